--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -85,7 +85,7 @@
         .with_target(false)
         .init();
     for warning in &loaded.warnings {
-        tracing::info!("{}: warning: {warning}", loaded.settings.label);
+        tracing::info!(node = %loaded.settings.label, event = %"setting_warning", warning = ?warning);
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
--- a/crates/core/src/awaits.rs
+++ b/crates/core/src/awaits.rs
@@ -8,6 +8,7 @@
 //! What a last job's due time leaves passes back through the jobs that it needs, and so does its
 //! priority.
 
+use crate::event::Event;
 use crate::io::*;
 use crate::leader::{LeadWait, Leader};
 use crate::model::*;
@@ -82,7 +83,7 @@
             if job.aborted || job.awaits() {
                 continue;
             }
-            ctx.log(Severity::Debug, format!("job {w} awaits nothing more"));
+            ctx.emit(Event::JobDependenciesMet { job: w.clone() });
             // Its times begin now, and so does the demand that it stands for.
             self.arrived(ctx.now.mono, &w);
             self.ranks_old = true;
@@ -105,7 +106,7 @@
                 && !job.aborted
             {
                 job.aborted = true;
-                ctx.log(Severity::Debug, format!("job {id} is cancelled with one that it awaits"));
+                ctx.emit(Event::JobCancelledByDependency { job: id.clone() });
                 // Nothing of it was ever placed, so it only has to be written.
                 self.stop_job(ctx, &id);
                 self.ranks_old = true;
@@ -146,7 +147,7 @@
         match result {
             Ok(StateReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
                 Ok(end) => self.end_known(ctx, &id, &end),
-                Err(_) => ctx.log(Severity::Error, format!("record {} not understood", pair.path)),
+                Err(_) => ctx.emit(Event::RecordUnreadable { key: pair.path }),
             },
             // Its own record is still on its way to us, or it could not be read.
             _ => self.stages.ask.push_back((again, id)),
--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -9,6 +9,7 @@
 //! jobs costs one write or two. Outcomes go along, or alone after a while: nothing but the machines'
 //! `forget` waits for them, since a new leader learns them from the next reports.
 
+use crate::event::Event;
 use crate::io::*;
 use crate::leader::{LeadWait, Leader};
 use crate::model::*;
@@ -552,7 +553,7 @@
             // Too large, as all else is checked here: the limits have fallen. If an earlier copy of it
             // may have been carried out, that is settled first.
             Err(IoError::Rejected(why)) if !f.rejected => {
-                ctx.log(Severity::Error, format!("transaction rejected: {why}"));
+                ctx.emit(Event::TransactionRejected { reason: why });
                 if !ctx.limits.too_large() {
                     self.down = Some(StepDown::TransactionRejected);
                 } else if f.unanswered {
@@ -655,8 +656,11 @@
         }
         for id in f.finals {
             if let Some(job) = self.jobs.remove(&id) {
-                let how = if job.aborted { "cancelled" } else { "done" };
-                ctx.log(Severity::Debug, format!("job {id} {how}"));
+                ctx.emit(if job.aborted {
+                    Event::JobCancelled { job: id.clone() }
+                } else {
+                    Event::JobCompleted { job: id.clone() }
+                });
                 self.forget_facts(&job);
                 self.unlink(&job);
                 self.dead_parts.extend(self.parts.remove(&id));
--- /dev/null
+++ b/crates/core/src/event.rs
@@ -0,0 +1,496 @@
+//! What a node logs: typed events with a stable name and named values. Whoever runs the node renders them.
+
+use crate::capacity::TooSmall;
+use crate::io::Severity;
+use crate::model::Id;
+pub use crate::step_down::{ForeignWrite, StepDown};
+use shaleshunt_wire::worker::Cause;
+use std::borrow::Cow;
+use std::fmt;
+
+/// Something that happened, for the log.
+#[derive(Debug, Clone, PartialEq)]
+pub enum Event {
+    /// This node was elected: it holds the leader's lease and has raised the epoch by compare-and-swap.
+    LeaderElected {
+        /// The new epoch; it is part of every fencing token that this leader hands out.
+        epoch: u64,
+    },
+    /// Failover is complete: the new leader has read all records and begins to schedule.
+    LeaderStateLoaded {
+        /// The leader's epoch.
+        epoch: u64,
+        /// Unfinished jobs.
+        jobs: usize,
+        /// Known machines.
+        machines: usize,
+    },
+    /// This node gives up leadership.
+    LeaderSteppedDown {
+        /// The epoch that it led.
+        epoch: u64,
+        /// Why.
+        reason: StepDown,
+    },
+    /// The leader's figures, once a reporting interval.
+    LeaderStatus(Box<LeaderFigures>),
+    /// The state service fails only this node: its requests are relayed through a peer.
+    StateServiceRelayStarted {
+        /// The peer.
+        peer: String,
+    },
+    /// The state service serves this node directly again; nothing is relayed any more.
+    StateServiceRelayEnded,
+    /// The state service throttles: fewer writes a second are sent from here on.
+    WriteRateReduced {
+        /// The new rate.
+        writes_per_s: f64,
+    },
+    /// The state service refused a transaction as malformed or too large.
+    TransactionRejected {
+        /// What the service said.
+        reason: String,
+    },
+    /// A record at the state service cannot be decoded; it is left out.
+    RecordUnreadable {
+        /// The record's key.
+        key: String,
+    },
+    /// The parts of a submission that takes more than one value do not make up a submission.
+    SubmissionPartsUnreadable {
+        /// What the parts' keys begin with.
+        prefix: String,
+    },
+    /// A job was committed and acknowledged to its user.
+    JobAccepted {
+        /// The job.
+        job: Id,
+    },
+    /// A user's cancellation was committed.
+    JobCancellationRecorded {
+        /// The job.
+        job: Id,
+    },
+    /// A job ended by cancellation: its final record is committed.
+    JobCancelled {
+        /// The job.
+        job: Id,
+    },
+    /// A job's tasks are all done: its final record is committed.
+    JobCompleted {
+        /// The job.
+        job: Id,
+    },
+    /// All dependencies of a job have completed: its tasks may be placed.
+    JobDependenciesMet {
+        /// The job.
+        job: Id,
+    },
+    /// A job is cancelled because a dependency of it was.
+    JobCancelledByDependency {
+        /// The dependent job.
+        job: Id,
+    },
+    /// A job that would miss its deadline on owned machines is offloaded to rented machines.
+    JobOffloaded {
+        /// The job.
+        job: Id,
+    },
+    /// A task's attempt failed.
+    TaskFailed {
+        /// The task.
+        task: String,
+        /// The machine that ran it.
+        machine: Id,
+        /// What the machine reports as the cause.
+        cause: Cause,
+    },
+    /// Preemption: tasks on a machine are stopped to make room for a more urgent job.
+    TasksPreempted {
+        /// The machine.
+        machine: Id,
+        /// The job that gets the room.
+        job: Id,
+        /// How many tasks are stopped.
+        tasks: usize,
+    },
+    /// A machine that is not in the leader's records reports: it is taken into the cluster.
+    MachineAdopted {
+        /// The machine.
+        machine: Id,
+    },
+    /// A machine announces that the provider takes it back (spot interruption).
+    MachineInterruptionNotice {
+        /// The machine.
+        machine: Id,
+        /// Seconds left.
+        seconds_left: f64,
+    },
+    /// A machine sent no heartbeat until lease expiry: its tasks have stopped by themselves and are placed anew.
+    MachineLeaseExpired {
+        /// The machine.
+        machine: Id,
+        /// How many tasks it held.
+        tasks: usize,
+    },
+    /// A machine fails its tasks: it is in quarantine and gets none for a while.
+    MachineQuarantined {
+        /// The machine.
+        machine: Id,
+        /// How long the quarantine lasts, in seconds.
+        seconds: f64,
+    },
+    /// Several tasks at once overrun on a machine: little is placed there for a while.
+    MachineSlow {
+        /// The machine.
+        machine: Id,
+    },
+    /// No machine of a zone is heard, as in a network partition: nothing new is placed there.
+    ZoneUnreachable {
+        /// The zone.
+        zone: String,
+    },
+    /// Reconciliation with the provider's first list: machines that were up then count as owned.
+    OwnedMachinesRecorded {
+        /// How many.
+        machines: usize,
+    },
+    /// A setting grants less than the cluster needs.
+    SettingTooSmall(TooSmall),
+    /// Scale out: the provider granted machines, perhaps fewer than requested.
+    ScaleOutGranted {
+        /// Name of the request; it makes a repeated request idempotent.
+        request: String,
+        /// The zone.
+        zone: String,
+        /// Machines granted.
+        granted: usize,
+        /// Machines requested.
+        requested: u32,
+    },
+    /// Scale out: the provider has no capacity; the request is over.
+    ScaleOutNoCapacity {
+        /// Name of the request.
+        request: String,
+        /// The zone.
+        zone: String,
+    },
+    /// Scale out: the provider refused the request as invalid.
+    ScaleOutRejected {
+        /// Name of the request.
+        request: String,
+        /// What the provider said.
+        reason: String,
+    },
+    /// Scale in: the provider confirmed that a machine is given back.
+    ScaleInCompleted {
+        /// The machine.
+        machine: Id,
+    },
+}
+
+/// Figures of a leader: how much there is to do, and what holds it up.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct LeaderFigures {
+    /// Unfinished jobs.
+    pub jobs: usize,
+    /// Tasks that wait for a place.
+    pub tasks_waiting: u32,
+    /// Machines that may get tasks.
+    pub machines_usable: usize,
+    /// Known machines.
+    pub machines: usize,
+    /// Transactions sent since the last figures.
+    pub transactions: u32,
+    /// Writes in them for jobs and their ends.
+    pub writes_ends: u32,
+    /// Writes in them of pages of task facts.
+    pub writes_pages: u32,
+    /// Writes in them of blocks of machines.
+    pub writes_blocks: u32,
+    /// Other writes in them.
+    pub writes_other: u32,
+    /// Writes that the rate limit allows at once.
+    pub write_budget: f64,
+    /// Ends to be written.
+    pub ends_pending: usize,
+    /// Jobs to be written at once.
+    pub jobs_pending: usize,
+    /// Jobs that may be written later.
+    pub jobs_deferred: usize,
+    /// Pages of task facts.
+    pub pages: usize,
+    /// Whether a transaction is under way.
+    pub transaction_in_flight: bool,
+}
+
+/// The value of an event's field.
+#[derive(Debug, Clone, PartialEq)]
+pub enum EventValue<'a> {
+    /// A name or a reason.
+    Text(Cow<'a, str>),
+    /// A count or a number that identifies something.
+    Count(u64),
+    /// A measure; rendered with three decimals at most.
+    Number(f64),
+    /// Yes or no.
+    Flag(bool),
+}
+
+impl<'a> From<&'a str> for EventValue<'a> {
+    fn from(text: &'a str) -> Self {
+        EventValue::Text(Cow::Borrowed(text))
+    }
+}
+
+impl From<String> for EventValue<'_> {
+    fn from(text: String) -> Self {
+        EventValue::Text(Cow::Owned(text))
+    }
+}
+
+impl From<u64> for EventValue<'_> {
+    fn from(count: u64) -> Self {
+        EventValue::Count(count)
+    }
+}
+
+impl From<u32> for EventValue<'_> {
+    fn from(count: u32) -> Self {
+        EventValue::Count(count.into())
+    }
+}
+
+impl From<usize> for EventValue<'_> {
+    fn from(count: usize) -> Self {
+        EventValue::Count(count as u64)
+    }
+}
+
+impl From<f64> for EventValue<'_> {
+    fn from(number: f64) -> Self {
+        EventValue::Number(number)
+    }
+}
+
+impl From<bool> for EventValue<'_> {
+    fn from(flag: bool) -> Self {
+        EventValue::Flag(flag)
+    }
+}
+
+impl fmt::Display for EventValue<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            // Quoted where it would not be one word, so that a line stays one line and can be split.
+            EventValue::Text(text) => {
+                let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '=' | '"' | '\\');
+                if !text.is_empty() && text.chars().all(plain) { write!(f, "{text}") } else { write!(f, "{text:?}") }
+            }
+            EventValue::Count(count) => write!(f, "{count}"),
+            EventValue::Number(number) => write!(f, "{}", (number * 1000.0).round() / 1000.0),
+            EventValue::Flag(flag) => write!(f, "{flag}"),
+        }
+    }
+}
+
+impl Event {
+    /// How much it matters to an operator.
+    pub fn severity(&self) -> Severity {
+        match self {
+            Event::TransactionRejected { .. }
+            | Event::RecordUnreadable { .. }
+            | Event::SubmissionPartsUnreadable { .. }
+            | Event::ScaleOutRejected { .. } => Severity::Error,
+            Event::LeaderElected { .. }
+            | Event::LeaderStateLoaded { .. }
+            | Event::LeaderSteppedDown { .. }
+            | Event::StateServiceRelayStarted { .. }
+            | Event::StateServiceRelayEnded
+            | Event::WriteRateReduced { .. }
+            | Event::JobCancellationRecorded { .. }
+            | Event::MachineLeaseExpired { .. }
+            | Event::MachineQuarantined { .. }
+            | Event::ZoneUnreachable { .. }
+            | Event::OwnedMachinesRecorded { .. }
+            | Event::SettingTooSmall(_)
+            | Event::ScaleOutGranted { .. } => Severity::Info,
+            Event::LeaderStatus(_)
+            | Event::JobAccepted { .. }
+            | Event::JobCancelled { .. }
+            | Event::JobCompleted { .. }
+            | Event::JobDependenciesMet { .. }
+            | Event::JobCancelledByDependency { .. }
+            | Event::JobOffloaded { .. }
+            | Event::TaskFailed { .. }
+            | Event::TasksPreempted { .. }
+            | Event::MachineAdopted { .. }
+            | Event::MachineInterruptionNotice { .. }
+            | Event::MachineSlow { .. }
+            | Event::ScaleOutNoCapacity { .. }
+            | Event::ScaleInCompleted { .. } => Severity::Debug,
+        }
+    }
+
+    /// Its name, which stays the same between versions.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Event::LeaderElected { .. } => "leader_elected",
+            Event::LeaderStateLoaded { .. } => "leader_state_loaded",
+            Event::LeaderSteppedDown { .. } => "leader_stepped_down",
+            Event::LeaderStatus(_) => "leader_status",
+            Event::StateServiceRelayStarted { .. } => "state_service_relay_started",
+            Event::StateServiceRelayEnded => "state_service_relay_ended",
+            Event::WriteRateReduced { .. } => "write_rate_reduced",
+            Event::TransactionRejected { .. } => "transaction_rejected",
+            Event::RecordUnreadable { .. } => "record_unreadable",
+            Event::SubmissionPartsUnreadable { .. } => "submission_parts_unreadable",
+            Event::JobAccepted { .. } => "job_accepted",
+            Event::JobCancellationRecorded { .. } => "job_cancellation_recorded",
+            Event::JobCancelled { .. } => "job_cancelled",
+            Event::JobCompleted { .. } => "job_completed",
+            Event::JobDependenciesMet { .. } => "job_dependencies_met",
+            Event::JobCancelledByDependency { .. } => "job_cancelled_by_dependency",
+            Event::JobOffloaded { .. } => "job_offloaded",
+            Event::TaskFailed { .. } => "task_failed",
+            Event::TasksPreempted { .. } => "tasks_preempted",
+            Event::MachineAdopted { .. } => "machine_adopted",
+            Event::MachineInterruptionNotice { .. } => "machine_interruption_notice",
+            Event::MachineLeaseExpired { .. } => "machine_lease_expired",
+            Event::MachineQuarantined { .. } => "machine_quarantined",
+            Event::MachineSlow { .. } => "machine_slow",
+            Event::ZoneUnreachable { .. } => "zone_unreachable",
+            Event::OwnedMachinesRecorded { .. } => "owned_machines_recorded",
+            Event::SettingTooSmall(_) => "setting_too_small",
+            Event::ScaleOutGranted { .. } => "scale_out_granted",
+            Event::ScaleOutNoCapacity { .. } => "scale_out_no_capacity",
+            Event::ScaleOutRejected { .. } => "scale_out_rejected",
+            Event::ScaleInCompleted { .. } => "scale_in_completed",
+        }
+    }
+
+    /// Its fields, by name.
+    pub fn fields(&self) -> Vec<(&'static str, EventValue<'_>)> {
+        match self {
+            Event::LeaderElected { epoch } => vec![("epoch", (*epoch).into())],
+            Event::LeaderStateLoaded { epoch, jobs, machines } => {
+                vec![("epoch", (*epoch).into()), ("jobs", (*jobs).into()), ("machines", (*machines).into())]
+            }
+            Event::LeaderSteppedDown { epoch, reason } => vec![
+                ("epoch", (*epoch).into()),
+                ("reason", reason.name().into()),
+                ("detail", reason.to_string().into()),
+            ],
+            Event::LeaderStatus(figures) => figures.fields(),
+            Event::StateServiceRelayStarted { peer } => vec![("peer", peer.as_str().into())],
+            Event::StateServiceRelayEnded => Vec::new(),
+            Event::WriteRateReduced { writes_per_s } => vec![("writes_per_s", (*writes_per_s).into())],
+            Event::TransactionRejected { reason } => vec![("reason", reason.as_str().into())],
+            Event::RecordUnreadable { key } => vec![("key", key.as_str().into())],
+            Event::SubmissionPartsUnreadable { prefix } => vec![("prefix", prefix.as_str().into())],
+            Event::JobAccepted { job }
+            | Event::JobCancellationRecorded { job }
+            | Event::JobCancelled { job }
+            | Event::JobCompleted { job }
+            | Event::JobDependenciesMet { job }
+            | Event::JobCancelledByDependency { job }
+            | Event::JobOffloaded { job } => vec![("job", (&**job).into())],
+            Event::TaskFailed { task, machine, cause } => vec![
+                ("task", task.as_str().into()),
+                ("machine", (&**machine).into()),
+                ("cause", format!("{cause:?}").into()),
+            ],
+            Event::TasksPreempted { machine, job, tasks } => {
+                vec![("machine", (&**machine).into()), ("job", (&**job).into()), ("tasks", (*tasks).into())]
+            }
+            Event::MachineAdopted { machine }
+            | Event::MachineSlow { machine }
+            | Event::ScaleInCompleted { machine } => vec![("machine", (&**machine).into())],
+            Event::MachineInterruptionNotice { machine, seconds_left } => {
+                vec![("machine", (&**machine).into()), ("seconds_left", (*seconds_left).into())]
+            }
+            Event::MachineLeaseExpired { machine, tasks } => {
+                vec![("machine", (&**machine).into()), ("tasks", (*tasks).into())]
+            }
+            Event::MachineQuarantined { machine, seconds } => {
+                vec![("machine", (&**machine).into()), ("seconds", (*seconds).into())]
+            }
+            Event::ZoneUnreachable { zone } => vec![("zone", zone.as_str().into())],
+            Event::OwnedMachinesRecorded { machines } => vec![("machines", (*machines).into())],
+            Event::SettingTooSmall(TooSmall { field, value, least, machines }) => vec![
+                ("setting", (*field).into()),
+                ("value", (*value).into()),
+                ("least", (*least).into()),
+                ("machines", (*machines).into()),
+            ],
+            Event::ScaleOutGranted { request, zone, granted, requested } => vec![
+                ("request", request.as_str().into()),
+                ("zone", zone.as_str().into()),
+                ("granted", (*granted).into()),
+                ("requested", (*requested).into()),
+            ],
+            Event::ScaleOutNoCapacity { request, zone } => {
+                vec![("request", request.as_str().into()), ("zone", zone.as_str().into())]
+            }
+            Event::ScaleOutRejected { request, reason } => {
+                vec![("request", request.as_str().into()), ("reason", reason.as_str().into())]
+            }
+        }
+    }
+
+    /// Its fields as `key=value`, separated by spaces.
+    pub fn details(&self) -> Details<'_> {
+        Details(self)
+    }
+}
+
+impl LeaderFigures {
+    fn fields(&self) -> Vec<(&'static str, EventValue<'static>)> {
+        vec![
+            ("jobs", self.jobs.into()),
+            ("tasks_waiting", self.tasks_waiting.into()),
+            ("machines_usable", self.machines_usable.into()),
+            ("machines", self.machines.into()),
+            ("transactions", self.transactions.into()),
+            ("writes_ends", self.writes_ends.into()),
+            ("writes_pages", self.writes_pages.into()),
+            ("writes_blocks", self.writes_blocks.into()),
+            ("writes_other", self.writes_other.into()),
+            ("write_budget", self.write_budget.round().into()),
+            ("ends_pending", self.ends_pending.into()),
+            ("jobs_pending", self.jobs_pending.into()),
+            ("jobs_deferred", self.jobs_deferred.into()),
+            ("pages", self.pages.into()),
+            ("transaction_in_flight", self.transaction_in_flight.into()),
+        ]
+    }
+}
+
+/// An event's fields, rendered when they are written.
+#[derive(Debug, Clone, Copy)]
+pub struct Details<'a>(&'a Event);
+
+impl fmt::Display for Details<'_> {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        for (i, (key, value)) in self.0.fields().into_iter().enumerate() {
+            if i > 0 {
+                write!(f, " ")?;
+            }
+            write!(f, "{key}={value}")?;
+        }
+        Ok(())
+    }
+}
+
+impl fmt::Display for Event {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "event={}", self.name())?;
+        for (key, value) in self.fields() {
+            write!(f, " {key}={value}")?;
+        }
+        Ok(())
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/event/tests.rs
@@ -0,0 +1,233 @@
+use super::*;
+use std::collections::BTreeSet;
+
+/// How many variants there are, and where each stands among the samples. A new variant must be added here to
+/// compile, and to the samples for the tests to pass.
+const VARIANTS: usize = 31;
+fn place(event: &Event) -> usize {
+    match event {
+        Event::LeaderElected { .. } => 0,
+        Event::LeaderStateLoaded { .. } => 1,
+        Event::LeaderSteppedDown { .. } => 2,
+        Event::LeaderStatus(_) => 3,
+        Event::StateServiceRelayStarted { .. } => 4,
+        Event::StateServiceRelayEnded => 5,
+        Event::WriteRateReduced { .. } => 6,
+        Event::TransactionRejected { .. } => 7,
+        Event::RecordUnreadable { .. } => 8,
+        Event::SubmissionPartsUnreadable { .. } => 9,
+        Event::JobAccepted { .. } => 10,
+        Event::JobCancellationRecorded { .. } => 11,
+        Event::JobCancelled { .. } => 12,
+        Event::JobCompleted { .. } => 13,
+        Event::JobDependenciesMet { .. } => 14,
+        Event::JobCancelledByDependency { .. } => 15,
+        Event::JobOffloaded { .. } => 16,
+        Event::TaskFailed { .. } => 17,
+        Event::TasksPreempted { .. } => 18,
+        Event::MachineAdopted { .. } => 19,
+        Event::MachineInterruptionNotice { .. } => 20,
+        Event::MachineLeaseExpired { .. } => 21,
+        Event::MachineQuarantined { .. } => 22,
+        Event::MachineSlow { .. } => 23,
+        Event::ZoneUnreachable { .. } => 24,
+        Event::OwnedMachinesRecorded { .. } => 25,
+        Event::SettingTooSmall(_) => 26,
+        Event::ScaleOutGranted { .. } => 27,
+        Event::ScaleOutNoCapacity { .. } => 28,
+        Event::ScaleOutRejected { .. } => 29,
+        Event::ScaleInCompleted { .. } => 30,
+    }
+}
+
+/// One of each, with its severity and the line that it becomes.
+fn samples() -> Vec<(Event, Severity, &'static str)> {
+    use Severity::{Debug, Error, Info};
+    let id = |name: &str| -> Id { name.into() };
+    let (job, machine) = (id("wk-000412"), id("m-17"));
+    let (zone, request) = ("zhubei".to_string(), "h-7-1".to_string());
+    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: 0, found: Some(7) };
+    let small = TooSmall { field: "params.resources.core_share", value: 0.5, least: 0.64, machines: 4000 };
+    let figures = LeaderFigures {
+        jobs: 1,
+        tasks_waiting: 2,
+        machines_usable: 3,
+        machines: 4,
+        transactions: 5,
+        writes_ends: 6,
+        writes_pages: 7,
+        writes_blocks: 8,
+        writes_other: 9,
+        write_budget: 10.4,
+        ends_pending: 11,
+        jobs_pending: 12,
+        jobs_deferred: 13,
+        pages: 14,
+        transaction_in_flight: true,
+    };
+    vec![
+        (Event::LeaderElected { epoch: 7 }, Info, "event=leader_elected epoch=7"),
+        (
+            Event::LeaderStateLoaded { epoch: 7, jobs: 408, machines: 85 },
+            Info,
+            "event=leader_state_loaded epoch=7 jobs=408 machines=85",
+        ),
+        (
+            Event::LeaderSteppedDown { epoch: 7, reason: StepDown::ForeignWrite(foreign) },
+            Info,
+            "event=leader_stepped_down epoch=7 reason=foreign_write detail=\"somebody else writes the leader's keys: \
+             f/wk-1 expected at version 0, found at 7\"",
+        ),
+        (
+            Event::LeaderStatus(Box::new(figures)),
+            Debug,
+            "event=leader_status jobs=1 tasks_waiting=2 machines_usable=3 machines=4 transactions=5 writes_ends=6 \
+             writes_pages=7 writes_blocks=8 writes_other=9 write_budget=10 ends_pending=11 jobs_pending=12 \
+             jobs_deferred=13 pages=14 transaction_in_flight=true",
+        ),
+        (Event::StateServiceRelayStarted { peer: "n2".into() }, Info, "event=state_service_relay_started peer=n2"),
+        (Event::StateServiceRelayEnded, Info, "event=state_service_relay_ended"),
+        (Event::WriteRateReduced { writes_per_s: 42.54321 }, Info, "event=write_rate_reduced writes_per_s=42.543"),
+        (
+            Event::TransactionRejected { reason: "value \"x\"\ntoo large".into() },
+            Error,
+            "event=transaction_rejected reason=\"value \\\"x\\\"\\ntoo large\"",
+        ),
+        (Event::RecordUnreadable { key: "j/wk-1".into() }, Error, "event=record_unreadable key=j/wk-1"),
+        (
+            Event::SubmissionPartsUnreadable { prefix: "s/wk-1/".into() },
+            Error,
+            "event=submission_parts_unreadable prefix=s/wk-1/",
+        ),
+        (Event::JobAccepted { job: job.clone() }, Debug, "event=job_accepted job=wk-000412"),
+        (Event::JobCancellationRecorded { job: job.clone() }, Info, "event=job_cancellation_recorded job=wk-000412"),
+        (Event::JobCancelled { job: job.clone() }, Debug, "event=job_cancelled job=wk-000412"),
+        (Event::JobCompleted { job: job.clone() }, Debug, "event=job_completed job=wk-000412"),
+        (Event::JobDependenciesMet { job: job.clone() }, Debug, "event=job_dependencies_met job=wk-000412"),
+        (
+            Event::JobCancelledByDependency { job: job.clone() },
+            Debug,
+            "event=job_cancelled_by_dependency job=wk-000412",
+        ),
+        (Event::JobOffloaded { job: job.clone() }, Debug, "event=job_offloaded job=wk-000412"),
+        (
+            Event::TaskFailed { task: "wk-000412/3".into(), machine: machine.clone(), cause: Cause::NoSuch },
+            Debug,
+            "event=task_failed task=wk-000412/3 machine=m-17 cause=NoSuch",
+        ),
+        (
+            Event::TasksPreempted { machine: machine.clone(), job: job.clone(), tasks: 2 },
+            Debug,
+            "event=tasks_preempted machine=m-17 job=wk-000412 tasks=2",
+        ),
+        (Event::MachineAdopted { machine: machine.clone() }, Debug, "event=machine_adopted machine=m-17"),
+        (
+            Event::MachineInterruptionNotice { machine: machine.clone(), seconds_left: 12.5 },
+            Debug,
+            "event=machine_interruption_notice machine=m-17 seconds_left=12.5",
+        ),
+        (
+            Event::MachineLeaseExpired { machine: machine.clone(), tasks: 3 },
+            Info,
+            "event=machine_lease_expired machine=m-17 tasks=3",
+        ),
+        (
+            Event::MachineQuarantined { machine: machine.clone(), seconds: 60.0 },
+            Info,
+            "event=machine_quarantined machine=m-17 seconds=60",
+        ),
+        (Event::MachineSlow { machine: machine.clone() }, Debug, "event=machine_slow machine=m-17"),
+        (Event::ZoneUnreachable { zone: zone.clone() }, Info, "event=zone_unreachable zone=zhubei"),
+        (Event::OwnedMachinesRecorded { machines: 85 }, Info, "event=owned_machines_recorded machines=85"),
+        (
+            Event::SettingTooSmall(small),
+            Info,
+            "event=setting_too_small setting=params.resources.core_share value=0.5 least=0.64 machines=4000",
+        ),
+        (
+            Event::ScaleOutGranted { request: request.clone(), zone: zone.clone(), granted: 2, requested: 5 },
+            Info,
+            "event=scale_out_granted request=h-7-1 zone=zhubei granted=2 requested=5",
+        ),
+        (
+            Event::ScaleOutNoCapacity { request: request.clone(), zone },
+            Debug,
+            "event=scale_out_no_capacity request=h-7-1 zone=zhubei",
+        ),
+        (
+            Event::ScaleOutRejected { request, reason: String::new() },
+            Error,
+            "event=scale_out_rejected request=h-7-1 reason=\"\"",
+        ),
+        (Event::ScaleInCompleted { machine }, Debug, "event=scale_in_completed machine=m-17"),
+    ]
+}
+
+#[test]
+fn there_is_a_sample_of_each_event() {
+    let places: Vec<usize> = samples().iter().map(|(event, ..)| place(event)).collect();
+    assert_eq!(places, (0..VARIANTS).collect::<Vec<_>>());
+}
+
+#[test]
+fn every_event_has_a_name_of_its_own_in_snake_case() {
+    let names: BTreeSet<&str> = samples().iter().map(|(event, ..)| event.name()).collect();
+    assert_eq!(names.len(), VARIANTS);
+    assert!(names.iter().all(|name| name.chars().all(|c| c.is_ascii_lowercase() || c == '_')), "{names:?}");
+}
+
+#[test]
+fn each_event_keeps_its_severity() {
+    for (event, severity, _) in samples() {
+        assert_eq!(event.severity(), severity, "{event}");
+    }
+}
+
+#[test]
+fn an_event_is_rendered_as_one_line_of_keys_and_values() {
+    for (event, _, line) in samples() {
+        assert_eq!(event.to_string(), line);
+        let details = event.details().to_string();
+        assert_eq!(format!("event={} {details}", event.name()).trim_end(), line);
+        assert!(!line.contains('\n'));
+    }
+}
+
+#[test]
+fn no_field_is_named_as_what_is_written_before_the_fields() {
+    for (event, ..) in samples() {
+        let keys: Vec<&str> = event.fields().into_iter().map(|(key, _)| key).collect();
+        assert!(keys.iter().all(|key| !["node", "event", "message"].contains(key)), "{event}");
+        assert_eq!(keys.iter().collect::<BTreeSet<_>>().len(), keys.len(), "{event}");
+    }
+}
+
+#[test]
+fn text_is_quoted_unless_it_is_one_word() {
+    let text = |t: &'static str| EventValue::from(t).to_string();
+    assert_eq!(text("f/wk-1"), "f/wk-1");
+    assert_eq!(text("two words"), "\"two words\"");
+    assert_eq!(text("a=b"), "\"a=b\"");
+    assert_eq!(text("a\nb"), "\"a\\nb\"");
+    assert_eq!(text("\u{1b}[0m"), "\"\\u{1b}[0m\"");
+    assert_eq!(text(""), "\"\"");
+}
+
+#[test]
+fn each_reason_to_step_down_has_a_name_of_its_own() {
+    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: 0, found: None };
+    let reasons = [
+        (StepDown::NewerEpoch, "newer_epoch"),
+        (StepDown::NewerLeader, "newer_leader"),
+        (StepDown::NewerToken, "newer_fencing_token"),
+        (StepDown::LeaseEnded, "lease_expired"),
+        (StepDown::ChangesMissed, "changes_missed"),
+        (StepDown::Unreadable, "records_unreadable"),
+        (StepDown::TransactionRejected, "transaction_rejected"),
+        (StepDown::ForeignWrite(foreign), "foreign_write"),
+        (StepDown::Unheard, "no_heartbeats"),
+    ];
+    for (reason, name) in reasons {
+        assert_eq!(reason.name(), name);
+    }
+}
--- a/crates/core/src/failing.rs
+++ b/crates/core/src/failing.rs
@@ -1,6 +1,6 @@
 //! Machines on which tasks fail or take too long, told from jobs that fail everywhere.
 
-use crate::io::*;
+use crate::event::Event;
 use crate::leader::Leader;
 use crate::model::*;
 use crate::node::Ctx;
@@ -67,7 +67,7 @@
         let pause = ctx.tune.sick_s * 1000.0 * f64::from(1u32 << (m.sick_times - 1).min(3));
         m.sick_until = now + pause as u64;
         m.failures.clear();
-        ctx.log(Severity::Info, format!("machine {machine} fails its tasks: not used for {} s", pause / 1000.0));
+        ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause / 1000.0 });
     }
 
     /// Machines that are slow, told by tasks that overrun: the design's slack counts queued work
@@ -97,7 +97,7 @@
         }
         let Some(m) = self.machines.get_mut(machine) else { return };
         if now >= m.slow_until {
-            ctx.log(Severity::Debug, format!("machine {machine} is slow"));
+            ctx.emit(Event::MachineSlow { machine: machine.clone() });
         }
         m.slow_until = now + (ctx.set.lease_s * 500.0) as u64;
     }
--- a/crates/core/src/front.rs
+++ b/crates/core/src/front.rs
@@ -1,6 +1,7 @@
 //! Users' requests, on any node. Nothing here needs the leader: an acceptance or withdrawal is a
 //! conditional write, a poll a fresh read. Only final states, which never change, are remembered.
 
+use crate::event::Event;
 use crate::io::*;
 use crate::leader::Leader;
 use crate::model::{FinalRecord, JobRecord, keys};
@@ -627,7 +628,7 @@
             FrontWait::Probe => {
                 if result.is_ok() {
                     ctx.via = None;
-                    ctx.log(Severity::Info, "state service serves this node again".into());
+                    ctx.emit(Event::StateServiceRelayEnded);
                 }
             }
             FrontWait::Accept(batch) => {
@@ -773,7 +774,7 @@
             FrontWait::Withdraw(mut asked) => match result {
                 Ok(StateReply::Committed(_)) => {
                     self.remember(ctx, &asked.job, JobStatus::Aborted, 0);
-                    ctx.log(Severity::Info, format!("job {} withdrawn", asked.job));
+                    ctx.emit(Event::JobCancellationRecorded { job: asked.job.as_str().into() });
                     ctx.answer(asked.id, Answer::Job(200, final_view(&asked.job, JobStatus::Aborted, 0)));
                 }
                 Ok(StateReply::Conflict(_)) if asked.tries < 3 => {
@@ -805,7 +806,7 @@
             Ok(StateReply::Committed(ledger)) => {
                 self.most = (self.most * 2).clamp(2, ctx.limits.ops().max(2));
                 for p in batch {
-                    ctx.log(Severity::Debug, format!("job {} accepted", p.spec.id));
+                    ctx.emit(Event::JobAccepted { job: p.spec.id.as_str().into() });
                     let view = if p.doomed {
                         self.remember(ctx, &p.spec.id, JobStatus::Aborted, p.spec.tasks);
                         final_view(&p.spec.id, JobStatus::Aborted, p.spec.tasks)
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,5 +1,6 @@
 //! What goes into the owner and what comes out of it.
 
+use crate::event::Event;
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::cloud::{Catalog, Hire, ListPage};
 use shaleshunt_wire::state::{News, Page, Pair, Txn};
@@ -230,5 +231,5 @@
     /// Tell a peer.
     Peer(String, shaleshunt_peer::Frame),
     /// An event for the log.
-    Log(Severity, String),
+    Log(Event),
 }
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -3,6 +3,7 @@
 
 use crate::awaits::Stages;
 use crate::commit::{Flight, Written};
+use crate::event::{Event, LeaderFigures};
 use crate::fleet::Fleet;
 use crate::io::*;
 use crate::model::*;
@@ -392,10 +393,7 @@
         // All are asked, some at a time, so that the new token is confirmed before the next report.
         self.confirm =
             self.machines.values().filter(|m| !m.endpoint.is_empty() && m.session > 0).map(|m| m.id.clone()).collect();
-        ctx.log(
-            Severity::Info,
-            format!("epoch {}: read {} jobs, {} machines", self.epoch, self.jobs.len(), self.machines.len()),
-        );
+        ctx.emit(Event::LeaderStateLoaded { epoch: self.epoch, jobs: self.jobs.len(), machines: self.machines.len() });
         self.watch(ctx);
     }
 
@@ -547,7 +545,7 @@
             return;
         }
         let Some(rec) = Stored::read(v) else {
-            ctx.log(Severity::Error, format!("record {path} not understood"));
+            ctx.emit(Event::RecordUnreadable { key: path.into() });
             return;
         };
         let (cancelled, _) = rec.cancelled();
@@ -763,30 +761,29 @@
         self.push_orders(ctx);
     }
 
-    /// A line for operators: how much there is to do, and what holds it up.
+    /// An event for operators: how much there is to do, and what holds it up.
     fn tell_state(&mut self, ctx: &mut Ctx) {
         debug_assert!(self.machines.consistent(), "machines by free CPUs");
         let waiting: u32 = self.jobs.values().filter(|j| !j.aborted).map(Job::waiting).sum();
         let used = self.machines.values().filter(|m| m.usable(ctx.now.mono, &ctx.set)).count();
-        let line = format!(
-            "{} jobs, {waiting} tasks wait, {used} of {} machines usable; writes in {} transactions: {} for ends, \
-             {} pages, {} blocks, {} others, {:.0} in hand; {} ends and {} jobs to write at once, {} later, {} pages{}",
-            self.jobs.len(),
-            self.machines.len(),
-            self.written.transactions,
-            self.written.ends,
-            self.written.pages,
-            self.written.blocks,
-            self.written.others,
-            self.writes,
-            self.ends.len(),
-            self.urgent.len(),
-            self.lazy.len(),
-            self.pages.len(),
-            if self.flight.is_some() { ", one under way" } else { "" },
-        );
-        self.written = Written::default();
-        ctx.log(Severity::Debug, line);
+        let written = std::mem::take(&mut self.written);
+        ctx.emit(Event::LeaderStatus(Box::new(LeaderFigures {
+            jobs: self.jobs.len(),
+            tasks_waiting: waiting,
+            machines_usable: used,
+            machines: self.machines.len(),
+            transactions: written.transactions,
+            writes_ends: written.ends,
+            writes_pages: written.pages,
+            writes_blocks: written.blocks,
+            writes_other: written.others,
+            write_budget: self.writes,
+            ends_pending: self.ends.len(),
+            jobs_pending: self.urgent.len(),
+            jobs_deferred: self.lazy.len(),
+            pages: self.pages.len(),
+            transaction_in_flight: self.flight.is_some(),
+        })));
     }
 
     /// Whether workers' leases may be renewed: no withdrawal can have been missed for too long.
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -7,9 +7,11 @@
 //! - `leader` keeps what only the leader knows; `commit` writes it to the state service, the facts
 //!   about tasks on `pages`; `reports` takes in what machines say, `orders` tells them what
 //!   to do, `silence` and `failing` watch them, `fleet` keeps them; `queue` orders jobs, `place` chooses machines,
-//!   `preemption` makes room on them, `send_out` sends jobs to rented ones; `rent` talks to the cloud.
+//!   `preemption` makes room on them, `send_out` sends jobs to rented ones; `rent` talks to the cloud;
+//!   `event` names what is logged.
 
 pub mod capacity;
+pub mod event;
 pub mod io;
 pub mod model;
 pub mod node;
@@ -35,6 +37,7 @@
 mod silence;
 mod step_down;
 
+pub use event::Event;
 pub use io::{Batch, Command, Effect, IoError, Now, Severity, StateReply, StateRequest};
 pub use node::Node;
 pub use settings::{Settings, Tuning};
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -1,5 +1,6 @@
 //! One node: users' requests, leadership and, while it leads, the scheduler.
 
+use crate::event::Event;
 use crate::front::{Front, FrontWait};
 use crate::io::*;
 use crate::leader::{LeadWait, Leader};
@@ -127,14 +128,14 @@
     pub fn answer(&mut self, id: RequestId, answer: Answer) {
         self.out.push(Effect::Answer(id, answer));
     }
-    pub fn log(&mut self, severity: Severity, text: String) {
-        self.out.push(Effect::Log(severity, text));
+    pub fn emit(&mut self, event: Event) {
+        self.out.push(Effect::Log(event));
     }
     /// The leader's changes were refused as too many. While submissions wait, it is them.
     pub fn write_refused(&mut self) {
         if !self.accepting && self.limits.refused(self.now.mono, self.set.report_ms()) {
             let rate = self.limits.rate();
-            self.log(Severity::Info, format!("state service grants fewer changes: {rate:.1} a second from here"));
+            self.emit(Event::WriteRateReduced { writes_per_s: rate });
         }
     }
     /// Whether the state service has lately failed us and not answered since: then users are told
@@ -537,7 +538,7 @@
             (VoteWait::Take { epoch, pass }, Ok(StateReply::Committed(ledger))) => {
                 self.epoch = epoch;
                 self.foreman = Some(self.ctx.set.label.clone());
-                self.ctx.log(Severity::Info, format!("epoch {epoch}: leads from here"));
+                self.ctx.emit(Event::LeaderElected { epoch });
                 self.leader = Some(Box::new(Leader::new(&mut self.ctx, epoch, ledger, pass)));
                 self.pulse_at = self.ctx.now.mono;
             }
@@ -571,7 +572,7 @@
 
     fn deposed(&mut self, why: StepDown) {
         if let Some(l) = self.leader.take() {
-            self.ctx.log(Severity::Info, format!("epoch {}: steps down: {why}", l.epoch));
+            self.ctx.emit(Event::LeaderSteppedDown { epoch: l.epoch, reason: why.clone() });
             self.ctx.state(StateRequest::EndHold { pass: l.pass }, Wait::Ignore);
             self.foreman = None;
             // A leader that no machine reaches leaves the next election to others.
@@ -687,7 +688,7 @@
         match &self.ctx.via {
             None if self.ctx.state_down() => {
                 if let Some(peer) = self.served_peer() {
-                    self.ctx.log(Severity::Info, format!("state service refuses this node alone: through {peer}"));
+                    self.ctx.emit(Event::StateServiceRelayStarted { peer: peer.clone() });
                     self.ctx.via = Some(peer);
                     self.via_at = now;
                     self.front.probe_at = now + self.ctx.set.report_ms();
--- a/crates/core/src/parts.rs
+++ b/crates/core/src/parts.rs
@@ -4,6 +4,7 @@
 //! record which still comes finds it missing and fails.
 
 use crate::commit::Flight;
+use crate::event::Event;
 use crate::front::{Front, FrontWait, Pending};
 use crate::io::*;
 use crate::leader::{LeadWait, Leader};
@@ -231,7 +232,7 @@
     /// A job whose submission is in parts is known.
     pub(crate) fn large_set(&mut self, ctx: &mut Ctx, rec: &LargeRecord, version: u64, got: Vec<Pair>) {
         let Some(whole) = join(rec, &got) else {
-            ctx.log(Severity::Error, format!("parts {} not understood", rec.p));
+            ctx.emit(Event::SubmissionPartsUnreadable { prefix: rec.p.clone() });
             return;
         };
         let id: Id = whole.s.id.as_str().into();
--- a/crates/core/src/preemption.rs
+++ b/crates/core/src/preemption.rs
@@ -1,6 +1,6 @@
 //! Room for urgent work: which less urgent tasks are stopped for it.
 
-use crate::io::*;
+use crate::event::Event;
 use crate::leader::Leader;
 use crate::model::*;
 use crate::node::Ctx;
@@ -85,7 +85,7 @@
         let last = last.cloned();
         self.sample_from = last;
         let (_, machine, victims) = best?;
-        ctx.log(Severity::Debug, format!("machine {machine}: {} tasks make room for {id}", victims.len()));
+        ctx.emit(Event::TasksPreempted { machine: machine.clone(), job: id.clone(), tasks: victims.len() });
         for slot in victims {
             self.stop_place(now, &machine, slot);
         }
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -1,6 +1,7 @@
 //! The cloud: its list, hires and returns.
 
 use crate::capacity;
+use crate::event::Event;
 use crate::io::*;
 use crate::leader::{HireState, LeadWait, Leader};
 use crate::model::*;
@@ -111,7 +112,7 @@
             self.release(ctx.now.mono, id, slot, false);
         }
         if let Some(m) = self.machines.remove(id) {
-            ctx.log(Severity::Debug, format!("machine {id} returned"));
+            ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
             self.confirming -= u32::from(m.confirms);
             if let Some(b) = m.block.and_then(|n| self.blocks.get_mut(&n)) {
                 b.machines.remove(id);
@@ -143,7 +144,7 @@
         if self.owned.is_none() && (!list.is_empty() || settled) {
             let owned: BTreeSet<String> =
                 list.iter().filter(|m| !m.spot && m.status == ListedStatus::Running).map(|m| m.id.clone()).collect();
-            ctx.log(Severity::Info, format!("{} machines are owned", owned.len()));
+            ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
             let most = ctx.limits.value_bytes();
             let mut parts: Vec<(usize, Vec<String>)> = vec![(0, Vec::new())];
             for name in &owned {
@@ -192,7 +193,7 @@
         }
         let most = capacity::most_machines(&ctx.set, catalog).unwrap_or(0);
         for warning in capacity::too_small(&ctx.set, most.max(owned.len() as u32)) {
-            ctx.log(Severity::Info, format!("warning: {warning}"));
+            ctx.emit(Event::SettingTooSmall(warning));
         }
     }
 
@@ -224,7 +225,12 @@
             Ok(CloudReply::Hired(machines)) => {
                 let ids: Vec<Id> = machines.iter().map(|n| n.as_str().into()).collect();
                 h.answer = Some(ids.clone());
-                ctx.log(Severity::Info, format!("hire {name}: {} of {} in {}", ids.len(), hire.count, hire.zone));
+                ctx.emit(Event::ScaleOutGranted {
+                    request: name.into(),
+                    zone: hire.zone.clone(),
+                    granted: ids.len(),
+                    requested: hire.count,
+                });
                 if (ids.len() as u32) < hire.count {
                     self.refused.insert(place, (now + ctx.set.report_ms() * 3, 1));
                 } else {
@@ -242,11 +248,11 @@
                 h.answer = Some(Vec::new());
                 let times = self.refused.get(&place).map_or(0, |r| r.1) + 1;
                 let wait = ctx.set.report_ms() * 2 * u64::from(1u32 << (times - 1).min(2));
-                ctx.log(Severity::Debug, format!("hire {name}: no capacity in {}", hire.zone));
+                ctx.emit(Event::ScaleOutNoCapacity { request: name.into(), zone: hire.zone });
                 self.refused.insert(place, (now + wait, times));
             }
             Err(IoError::Rejected(why)) => {
-                ctx.log(Severity::Error, format!("hire {name} rejected: {why}"));
+                ctx.emit(Event::ScaleOutRejected { request: name.into(), reason: why });
                 h.answer = Some(Vec::new());
             }
             Ok(_) | Err(_) => h.retry_at = now + ctx.set.report_ms() / 3,
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -4,6 +4,7 @@
 //! that lacks it or shows it ended while no direct call is under way; a newer session; a return
 //! answered 200; silence for longer than a lease since anybody could have renewed it.
 
+use crate::event::Event;
 use crate::io::*;
 use crate::leader::Leader;
 use crate::model::*;
@@ -39,7 +40,7 @@
         m.deaf = if self.owned.is_some() && !owned { u32::MAX / 2 } else { 0 };
         self.machines.insert(m);
         self.confirm.push_back(machine.clone());
-        ctx.log(Severity::Debug, format!("machine {machine} reports"));
+        ctx.emit(Event::MachineAdopted { machine: machine.clone() });
     }
 
     /// Takes in a report; false if it is older than one already seen.
@@ -93,7 +94,7 @@
         match r.warn_s {
             Some(s) if m.warned.is_none() => {
                 m.warned = Some(now + (s.max(0.0) * 1000.0) as u64);
-                ctx.log(Severity::Debug, format!("machine {machine} is taken away in {s} s"));
+                ctx.emit(Event::MachineInterruptionNotice { machine: machine.clone(), seconds_left: s });
             }
             Some(_) => {}
             None => m.warned = None,
@@ -250,7 +251,7 @@
                 }
             }
             Cause::Done | Cause::Error | Cause::NoSuch | Cause::Unknown => {
-                ctx.log(Severity::Debug, format!("task {name} failed on {machine}: {cause:?}"));
+                ctx.emit(Event::TaskFailed { task: name.to_string(), machine: machine.clone(), cause });
                 if cause == Cause::Error {
                     let ran = p.running.map_or(0, |r| now.saturating_sub(r));
                     self.failed_on(ctx, machine, &p.job, ran);
--- a/crates/core/src/send_out.rs
+++ b/crates/core/src/send_out.rs
@@ -1,6 +1,6 @@
 //! Which jobs with deadlines go to rented machines (the paper's offloading).
 
-use crate::io::*;
+use crate::event::Event;
 use crate::leader::Leader;
 use crate::model::*;
 use crate::node::Ctx;
@@ -56,7 +56,7 @@
                 && !j.sent_out
             {
                 j.sent_out = true;
-                ctx.log(Severity::Debug, format!("job {id} goes to rented machines"));
+                ctx.emit(Event::JobOffloaded { job: id.clone() });
             }
         }
     }
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/silence.rs
@@ -1,6 +1,6 @@
 //! Machines, zones and whole fleets that do not report: who is asked, what is not used, what is given up.
 
-use crate::io::*;
+use crate::event::Event;
 use crate::leader::Leader;
 use crate::model::*;
 use crate::node::Ctx;
@@ -45,7 +45,7 @@
             return;
         }
         for z in silent.difference(&self.zones_cut) {
-            ctx.log(Severity::Info, format!("zone {z} is silent: nothing new goes there"));
+            ctx.emit(Event::ZoneUnreachable { zone: z.clone() });
         }
         self.zones_cut = silent;
         for m in self.machines.values_mut() {
@@ -128,7 +128,7 @@
         for id in silent {
             let Some(m) = self.machines.get(&id) else { continue };
             let slots: Vec<u64> = m.places.iter().map(|p| p.slot).collect();
-            ctx.log(Severity::Info, format!("machine {id} silent for a lease: {} tasks given up", slots.len()));
+            ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: slots.len() });
             for slot in slots {
                 self.release(now, &id, slot, false);
             }
--- a/crates/core/src/step_down.rs
+++ b/crates/core/src/step_down.rs
@@ -4,7 +4,8 @@
 
 /// A key of the leader's that has another version than the one the leader knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct ForeignWrite {
+pub struct ForeignWrite {
+    /// The key.
     pub key: String,
     /// The version that the leader's transaction required.
     pub expected: u64,
@@ -14,7 +15,7 @@
 
 /// The reason for which a leader steps down.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum StepDown {
+pub enum StepDown {
     /// The epoch key has changed.
     NewerEpoch,
     /// A peer leads a newer epoch.
@@ -35,6 +36,23 @@
     Unheard,
 }
 
+impl StepDown {
+    /// A short name for searches and counts, which stays the same between versions.
+    pub fn name(&self) -> &'static str {
+        match self {
+            StepDown::NewerEpoch => "newer_epoch",
+            StepDown::NewerLeader => "newer_leader",
+            StepDown::NewerToken => "newer_fencing_token",
+            StepDown::LeaseEnded => "lease_expired",
+            StepDown::ChangesMissed => "changes_missed",
+            StepDown::Unreadable => "records_unreadable",
+            StepDown::TransactionRejected => "transaction_rejected",
+            StepDown::ForeignWrite(_) => "foreign_write",
+            StepDown::Unheard => "no_heartbeats",
+        }
+    }
+}
+
 impl fmt::Display for StepDown {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -85,7 +85,7 @@
 pub async fn run(settings: Settings, tuning: Tuning, wiring: Wiring) -> std::io::Result<()> {
     let front = TcpListener::bind(&wiring.front).await?;
     let back = TcpListener::bind(&wiring.back).await?;
-    tracing::info!("{}: serves on {}, peers on {}", settings.label, wiring.front, wiring.back);
+    tracing::info!(node = %settings.label, event = %"listening", front = %wiring.front, back = %wiring.back);
     let report = Duration::from_secs_f64(settings.report_s);
     let patience = report.mul_f64(0.4);
     let by_memory = (settings.mem_mb * 1024.0 / 2.0 / CONNECTION_KIB) as usize;
@@ -175,7 +175,7 @@
             meter.time(meter::effect(&effect), || hands.carry_out(effect));
         }
         if let Some(line) = meter.line(report) {
-            tracing::debug!("{}: {line}", hands.me.label);
+            tracing::debug!(node = %hands.me.label, event = %"owner_loop", message = %line);
         }
         if tidied.elapsed() > report / 10 {
             tidied = Instant::now();
@@ -238,12 +238,13 @@
                     let _ = tell.send(answer);
                 }
             }
-            Effect::Log(severity, text) => {
-                let node = self.me.label.as_str();
-                match severity {
-                    Severity::Error => tracing::error!("{node}: {text}"),
-                    Severity::Info => tracing::info!("{node}: {text}"),
-                    Severity::Debug => tracing::debug!("{node}: {text}"),
+            Effect::Log(event) => {
+                let (node, name, details) = (self.me.label.as_str(), event.name(), event.details());
+                // `message` is written without a key, so the event's fields follow as they are.
+                match event.severity() {
+                    Severity::Error => tracing::error!(%node, event = %name, message = %details),
+                    Severity::Info => tracing::info!(%node, event = %name, message = %details),
+                    Severity::Debug => tracing::debug!(%node, event = %name, message = %details),
                 }
             }
             Effect::Peer(label, frame) => {
@@ -288,14 +289,14 @@
         let Some(link) = self.links.get(&label) else { return };
         if link.try_send(frame).is_ok() {
             if let Some(frames) = self.dropped.remove(&label) {
-                tracing::info!("{}: {frames} frames to {label} were dropped", self.me.label);
+                tracing::info!(node = %self.me.label, event = %"peer_frames_dropped", peer = %label, frames);
             }
             return;
         }
         let frames = self.dropped.entry(label.clone()).or_default();
         *frames += 1;
         if *frames == 1 {
-            tracing::info!("{}: frames to {label} are dropped: its link takes no more", self.me.label);
+            tracing::info!(node = %self.me.label, event = %"peer_link_full", peer = %label);
         }
     }
 
--- a/crates/net/src/meter.rs
+++ b/crates/net/src/meter.rs
@@ -31,7 +31,8 @@
         result
     }
 
-    /// The line, if `every` has passed since the last one.
+    /// The line as `key=value`, if `every` has passed since the last one: the share of the clock that the owner's
+    /// loop took, then each kind with its count and its milliseconds, the longest first.
     pub fn line(&mut self, every: Duration) -> Option<String> {
         let passed = self.since.elapsed();
         if !self.on || passed < every {
@@ -41,15 +42,12 @@
         kinds.sort_by_key(|(_, (_, took))| std::cmp::Reverse(*took));
         let owner: Duration = kinds.iter().map(|(_, (_, took))| *took).sum();
         self.since = Instant::now();
-        let one =
-            |(kind, (n, took)): &(&str, (u64, Duration))| format!("{kind} {n} in {:.1}", took.as_secs_f64() * 1e3);
-        let list: Vec<String> = kinds.iter().map(one).collect();
         let share = owner.as_secs_f64() / passed.as_secs_f64() * 100.0;
-        Some(format!(
-            "the owner's loop took {share:.1}% of {:.1} s (ms by kind: {})",
-            passed.as_secs_f64(),
-            list.join(", ")
-        ))
+        let mut line = format!("share_percent={share:.1} interval_s={:.1}", passed.as_secs_f64());
+        for (kind, (n, took)) in kinds {
+            line += &format!(" {kind}.count={n} {kind}.ms={:.1}", took.as_secs_f64() * 1e3);
+        }
+        Some(line)
     }
 }
 
@@ -65,11 +63,11 @@
         Command::Submit(..) => "submissions",
         Command::Status(..) => "polls",
         Command::Withdraw(..) => "withdrawals",
-        Command::Up(..) => "health checks",
+        Command::Up(..) => "health_checks",
         Command::Checkin(..) => "reports",
-        Command::State(..) => "state answers",
-        Command::Cloud(..) => "cloud answers",
-        Command::Orders(..) => "calls answered",
+        Command::State(..) => "state_answers",
+        Command::Cloud(..) => "cloud_answers",
+        Command::Orders(..) => "calls_answered",
         Command::Peer(..) | Command::PeerLost(..) => "peers",
         Command::Tick => "ticks",
     }
@@ -78,11 +76,11 @@
 /// The kind of an effect.
 pub fn effect(e: &Effect) -> &'static str {
     match e {
-        Effect::State(..) => "state requests",
-        Effect::Cloud(..) => "cloud requests",
+        Effect::State(..) => "state_requests",
+        Effect::Cloud(..) => "cloud_requests",
         Effect::Orders(..) => "calls",
         Effect::Answer(..) => "answers",
-        Effect::Peer(..) => "to peers",
+        Effect::Peer(..) => "to_peers",
         Effect::Log(..) => "log",
     }
 }
--- a/crates/net/src/peers.rs
+++ b/crates/net/src/peers.rs
@@ -86,7 +86,7 @@
                 }
                 Ok(None) => break,
                 Err(e) => {
-                    tracing::error!("from a peer: {e}");
+                    tracing::error!(event = %"peer_frame_invalid", error = e.to_string());
                     break 'read;
                 }
             }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -62,14 +62,15 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(e) => {
-                tracing::error!("accept: {e}");
+                tracing::error!(event = %"accept_failed", error = e.to_string());
                 tokio::time::sleep(Duration::from_millis(50)).await;
                 continue;
             }
         };
         let admission = connections.admit();
         if admission != Admission::Open && !std::mem::replace(&mut full, true) {
-            tracing::info!("{} connections are open: machines are sent to other nodes", connections.open());
+            // Machines are sent to other nodes.
+            tracing::info!(event = %"connection_limit_reached", open = connections.open());
         }
         full &= connections.open() > limits.connections / 2;
         if admission == Admission::Refused {
@@ -101,7 +102,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(e) = served {
-        tracing::debug!("connection: {e}");
+        tracing::debug!(event = %"connection_failed", error = e.to_string());
     }
 }
 
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -6,6 +6,7 @@
 use crate::worker::{Event, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
+use shaleshunt_core::event::Event as Logged;
 use shaleshunt_core::io::{Answer, CloudRequest, Command, Effect, OrdersReply};
 use shaleshunt_core::settings::Limits;
 use shaleshunt_core::{IoError, Node, Now, Settings, StateRequest, Tuning};
@@ -1010,10 +1011,10 @@
                     }
                 }
             }
-            Effect::Log(_, text) => {
-                self.zones_silent += u32::from(text.contains("is silent: nothing new"));
+            Effect::Log(event) => {
+                self.zones_silent += u32::from(matches!(event, Logged::ZoneUnreachable { .. }));
                 if let Some(log) = &mut self.log {
-                    log.push(format!("{:.3} n{}: {text}", now as f64 / 1000.0, who.0));
+                    log.push(format!("{:.3} n{}: {event}", now as f64 / 1000.0, who.0));
                 }
             }
         }
