--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -11,9 +11,9 @@
 use crate::parts::{LargeRecord, Parts, Stored};
 use crate::step_down::{ForeignWrite, StepDown};
 use serde_json::Value;
-use shaleshunt_wire::Room;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
+use shaleshunt_wire::{Epoch, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -79,7 +79,7 @@
 
 /// The leader's state.
 pub struct Leader {
-    pub(crate) epoch: u64,
+    pub(crate) epoch: Epoch,
     pub(crate) version: u64,
     pub(crate) pass: u64,
     /// Everything has been read.
@@ -198,7 +198,7 @@
 }
 
 impl Leader {
-    pub(crate) fn new(ctx: &mut Ctx, epoch: u64, version: u64, pass: u64) -> Leader {
+    pub(crate) fn new(ctx: &mut Ctx, epoch: Epoch, version: u64, pass: u64) -> Leader {
         let now = ctx.now.mono;
         let mut l = Leader {
             epoch,
@@ -797,7 +797,7 @@
     /// A new attempt number, never used before in any epoch.
     pub(crate) fn next_attempt(&mut self) -> u64 {
         self.attempts += 1;
-        (self.epoch << ATTEMPT_BITS) + self.attempts
+        (self.epoch.0 << ATTEMPT_BITS) + self.attempts
     }
 
     /// A new number for a placement inside this process.
@@ -808,7 +808,7 @@
 
     /// Token for a machine.
     pub(crate) fn token(&self, m: &Machine) -> u64 {
-        (self.epoch << TOKEN_BITS) + m.bump
+        (self.epoch.0 << TOKEN_BITS) + m.bump
     }
 
     pub(crate) fn new_machine(&self, ctx: &Ctx, id: &Id, frame: &str, zone: &str, spot: bool, owned: bool) -> Machine {
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -10,6 +10,7 @@
 use crate::work::{Work, WorkCounter};
 use serde_json::{Value, json};
 use shaleshunt_peer::Frame;
+use shaleshunt_wire::Epoch;
 use shaleshunt_wire::cloud::Catalog;
 use shaleshunt_wire::state::{Condition, Txn, Write};
 use shaleshunt_wire::worker::{Order, Report, ReportReply, TaskStatus, split_task_name};
@@ -24,7 +25,7 @@
     /// Leadership.
     Vote(VoteWait),
     /// The leader's work; void in another epoch.
-    Lead(u64, LeadWait),
+    Lead(Epoch, LeadWait),
     /// The catalogue.
     Catalog,
     /// Nothing.
@@ -37,7 +38,7 @@
     Look,
     Watch,
     Hold,
-    Take { epoch: u64, pass: u64 },
+    Take { epoch: Epoch, pass: u64 },
 }
 
 /// What every part of the owner shares: time, settings, requests under way and effects.
@@ -158,7 +159,7 @@
 /// The leader as this node last heard it: what it needs to keep its zone's leases without it.
 #[derive(Debug, Clone, Default)]
 struct Heard {
-    epoch: u64,
+    epoch: Epoch,
     /// When its last pulse came.
     at: u64,
     /// It surely lived and led after this time: it had heard a pulse of ours of this time.
@@ -172,7 +173,7 @@
     leader: Option<Box<Leader>>,
     /// Name and epoch of the leader, as last known.
     foreman: Option<String>,
-    epoch: u64,
+    epoch: Epoch,
     /// Leadership is looked at again at this time, unless a request for it is under way.
     look_at: Option<u64>,
     vote_ledger: u64,
@@ -224,7 +225,7 @@
             front: Front::default(),
             leader: None,
             foreman: None,
-            epoch: 0,
+            epoch: Epoch::NONE,
             look_at: Some(now.mono),
             vote_ledger: 0,
             via_at: 0,
@@ -349,7 +350,7 @@
     fn checkin(&mut self, id: RequestId, report: Report) {
         // A token above our epoch's shows that there is a newer leader. Any 200 of ours would be
         // dropped and would hold the worker here while its lease runs out.
-        let theirs = report.token >> crate::leader::TOKEN_BITS;
+        let theirs = Epoch(report.token >> crate::leader::TOKEN_BITS);
         if self.leader.as_ref().is_some_and(|l| theirs > l.epoch) {
             self.deposed(StepDown::NewerToken);
         }
@@ -386,9 +387,9 @@
         let (now, set) = (self.ctx.now.mono, &self.ctx.set);
         let term = set.blind_ms().min((self.ctx.tune.block_term_s * 1000.0) as u64);
         let sure = self.heard.sure.min(self.sighted);
-        let ours = self.heard.epoch > 0 && self.heard.epoch == self.epoch && sure > 0;
+        let ours = self.heard.epoch > Epoch::NONE && self.heard.epoch == self.epoch && sure > 0;
         let unheard = now.saturating_sub(self.heard.at) > set.report_ms() / 2;
-        let token = report.token >> crate::leader::TOKEN_BITS == self.heard.epoch;
+        let token = Epoch(report.token >> crate::leader::TOKEN_BITS) == self.heard.epoch;
         if !(ours && unheard && token && report.zone == set.location && now < sure + term) {
             return None;
         }
@@ -485,7 +486,7 @@
                 let get = |key: &str| page.pairs.iter().find(|p| p.path == key);
                 let epoch = get(keys::EPOCH);
                 let number = epoch.and_then(|p| p.v["epoch"].as_u64()).unwrap_or(0);
-                self.epoch = self.epoch.max(number);
+                self.epoch = self.epoch.max(Epoch(number));
                 match get(keys::LEAD) {
                     Some(lead) => {
                         let node = lead.v["node"].as_str().unwrap_or_default().to_string();
@@ -512,15 +513,15 @@
                 // Read again: the epoch's version must be no older than the lease.
                 self.ctx.state(
                     StateRequest::Get { key: keys::EPOCH.into() },
-                    Wait::Vote(VoteWait::Take { epoch: 0, pass }),
+                    Wait::Vote(VoteWait::Take { epoch: Epoch::NONE, pass }),
                 );
             }
-            (VoteWait::Take { epoch: 0, pass }, Ok(reply @ (StateReply::Found(_) | StateReply::Missing))) => {
+            (VoteWait::Take { epoch: Epoch::NONE, pass }, Ok(reply @ (StateReply::Found(_) | StateReply::Missing))) => {
                 let (version, number) = match &reply {
                     StateReply::Found(p) => (p.version, p.v["epoch"].as_u64().unwrap_or(0)),
                     _ => (0, 0),
                 };
-                let epoch = number.max(self.epoch) + 1;
+                let epoch = Epoch(number).max(self.epoch).next();
                 let node: Value = json!({"node": self.ctx.set.label, "pass": pass});
                 let txn = Txn {
                     conditions: vec![
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -117,7 +117,7 @@
         if orders.is_empty() && m.ours && m.deaf == 0 && !confirms {
             return;
         }
-        let token = (self.epoch << crate::leader::TOKEN_BITS) + m.bump;
+        let token = (self.epoch.0 << crate::leader::TOKEN_BITS) + m.bump;
         let risky = !orders.is_empty();
         let body = Orders { token, session: m.session, orders };
         let to = m.endpoint.clone();
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -6,6 +6,7 @@
 //! are bytes left over.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use shaleshunt_wire::Epoch;
 
 /// Version of the format.
 pub const VERSION: u8 = 3;
@@ -24,7 +25,7 @@
     /// Sent a few times a second.
     Pulse {
         /// Highest epoch that the speaker knows.
-        epoch: u64,
+        epoch: Epoch,
         /// Leader of that epoch, empty if not known.
         leader: String,
         /// Whether the speaker leads.
@@ -47,7 +48,7 @@
     /// of the job's record, by which polls are compared.
     Counts {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// Job, version of its record, done, running.
         jobs: Vec<(String, u64, u32, u32)>,
     },
@@ -151,7 +152,7 @@
             }
             Frame::Pulse { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
                 b.put_u8(2);
-                b.put_u64(*epoch);
+                b.put_u64(epoch.0);
                 put_text(&mut b, leader);
                 b.put_u8(u8::from(*leads));
                 b.put_u32(*state_age_ms);
@@ -164,7 +165,7 @@
             }
             Frame::Counts { epoch, jobs } => {
                 b.put_u8(3);
-                b.put_u64(*epoch);
+                b.put_u64(epoch.0);
                 b.put_u32(jobs.len() as u32);
                 for (job, version, done, running) in jobs {
                     put_text(&mut b, job);
@@ -210,7 +211,7 @@
         let frame = match r.u8()? {
             1 => Frame::Hello { node: r.text()? },
             2 => Frame::Pulse {
-                epoch: r.u64()?,
+                epoch: Epoch(r.u64()?),
                 leader: r.text()?,
                 leads: r.u8()? != 0,
                 state_age_ms: r.u32()?,
@@ -221,7 +222,7 @@
                 waiting: r.u32()?,
             },
             3 => {
-                let epoch = r.u64()?;
+                let epoch = Epoch(r.u64()?);
                 let n = r.u32()? as usize;
                 let mut jobs = Vec::new();
                 for _ in 0..n {
--- a/crates/peer/src/tests.rs
+++ b/crates/peer/src/tests.rs
@@ -4,7 +4,7 @@
     vec![
         Frame::Hello { node: "n-0".into() },
         Frame::Pulse {
-            epoch: 7,
+            epoch: Epoch(7),
             leader: "n-1".into(),
             leads: true,
             state_age_ms: 12,
@@ -14,7 +14,7 @@
             kept_ms: 31,
             waiting: 5,
         },
-        Frame::Counts { epoch: 7, jobs: vec![("wk-1".into(), 412, 3, 4), ("wk-2".into(), 9, 0, 1)] },
+        Frame::Counts { epoch: Epoch(7), jobs: vec![("wk-1".into(), 412, 3, 4), ("wk-2".into(), 9, 0, 1)] },
         Frame::Relay { id: 9, body: Bytes::from_static(b"{}") },
         Frame::Relayed { id: 9, status: 409, body: Bytes::from_static(b"{\"a\":1}") },
     ]
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -2,6 +2,7 @@
 
 use crate::world::{LEADER, Side, Trouble, User, World};
 use shaleshunt_core::settings::{Aim, Limits, Settings, Team};
+use shaleshunt_wire::Epoch;
 use shaleshunt_wire::cloud::Frame;
 use shaleshunt_wire::user::{Shape, Submission, Urgency};
 use std::collections::BTreeMap;
@@ -370,7 +371,7 @@
             check(have >= least, format!("{have} cancellations, fewer than {least}"))
         }
         ["epoch", "at-least", n] => {
-            let least = number(n)? as u64;
+            let least = Epoch(number(n)? as u64);
             check(w.epoch() >= least, format!("epoch {}, less than {least}", w.epoch()))
         }
         ["largest", "begun", "within", s] => {
@@ -387,7 +388,7 @@
             check(w.leaders() == want, format!("{} leaders, not {want}", w.leaders()))
         }
         ["epoch", "at-most", n] => {
-            let most = number(n)? as u64;
+            let most = Epoch(number(n)? as u64);
             check(w.epoch() <= most, format!("epoch {}, more than {most}", w.epoch()))
         }
         ["calls", "at-most", n] => {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -21,10 +21,13 @@
 //! `pass` and `hold` (lease), `foreman` (leader), `halt`, `warnS` and the amounts.
 
 pub mod cloud;
+mod ids;
 pub mod state;
 pub mod user;
 pub mod worker;
 
+pub use ids::Epoch;
+
 /// Largest request body, in bytes, and longest line of a response.
 pub const MAX_BODY: usize = 64 * 1024;
 /// Most tasks that one job may have.
