--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -13,12 +13,10 @@
 use serde_json::Value;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
-use shaleshunt_wire::{Epoch, Room};
+use shaleshunt_wire::{Epoch, FencingToken, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Bits of a token below the epoch: a machine's own counter.
-pub(crate) const TOKEN_BITS: u32 = 20;
 /// Bits of an attempt below the epoch: the leader's counter.
 const ATTEMPT_BITS: u32 = 28;
 
@@ -807,8 +805,8 @@
     }
 
     /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> u64 {
-        (self.epoch.0 << TOKEN_BITS) + m.bump
+    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
+        FencingToken::new(self.epoch, m.bump)
     }
 
     pub(crate) fn new_machine(&self, ctx: &Ctx, id: &Id, frame: &str, zone: &str, spot: bool, owned: bool) -> Machine {
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -350,7 +350,7 @@
     fn checkin(&mut self, id: RequestId, report: Report) {
         // A token above our epoch's shows that there is a newer leader. Any 200 of ours would be
         // dropped and would hold the worker here while its lease runs out.
-        let theirs = Epoch(report.token >> crate::leader::TOKEN_BITS);
+        let theirs = report.token.epoch();
         if self.leader.as_ref().is_some_and(|l| theirs > l.epoch) {
             self.deposed(StepDown::NewerToken);
         }
@@ -389,7 +389,7 @@
         let sure = self.heard.sure.min(self.sighted);
         let ours = self.heard.epoch > Epoch::NONE && self.heard.epoch == self.epoch && sure > 0;
         let unheard = now.saturating_sub(self.heard.at) > set.report_ms() / 2;
-        let token = Epoch(report.token >> crate::leader::TOKEN_BITS) == self.heard.epoch;
+        let token = report.token.epoch() == self.heard.epoch;
         if !(ours && unheard && token && report.zone == set.location && now < sure + term) {
             return None;
         }
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -4,6 +4,7 @@
 use crate::leader::{LeadWait, Leader};
 use crate::model::*;
 use crate::node::Ctx;
+use shaleshunt_wire::FencingToken;
 use shaleshunt_wire::worker::*;
 
 /// Most commands in one message, so that no line grows too long.
@@ -117,7 +118,7 @@
         if orders.is_empty() && m.ours && m.deaf == 0 && !confirms {
             return;
         }
-        let token = (self.epoch.0 << crate::leader::TOKEN_BITS) + m.bump;
+        let token = FencingToken::new(self.epoch, m.bump);
         let risky = !orders.is_empty();
         let body = Orders { token, session: m.session, orders };
         let to = m.endpoint.clone();
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -10,7 +10,7 @@
 use crate::node::Ctx;
 use crate::step_down::StepDown;
 use shaleshunt_wire::worker::*;
-use shaleshunt_wire::{Epoch, Room};
+use shaleshunt_wire::{FencingToken, Room};
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -23,7 +23,7 @@
         }
         let machine: Id = report.machine.as_str().into();
         let fresh = self.report(ctx, &machine, report, true);
-        let token = self.machines.get(&machine).map_or(self.epoch.0 << crate::leader::TOKEN_BITS, |m| self.token(m));
+        let token = self.machines.get(&machine).map_or(FencingToken::new(self.epoch, 0), |m| self.token(m));
         let orders = if fresh { self.orders_for(&machine, true) } else { Vec::new() };
         if let Some(m) = self.machines.get_mut(&machine) {
             m.answer_open |= orders.iter().any(|o| matches!(o, Order::Run { .. }));
@@ -48,7 +48,7 @@
         if !self.machines.contains_key(machine) {
             self.adopt(ctx, machine, &r);
         }
-        let token = self.machines.get(machine).map_or(0, |m| self.token(m));
+        let token = self.machines.get(machine).map_or(FencingToken::default(), |m| self.token(m));
         let epoch = self.epoch;
         let Some(m) = self.machines.get_mut(machine) else { return false };
         if m.heard.is_some() && (r.session, r.tick) <= m.last || r.session < m.session {
@@ -108,7 +108,7 @@
             m.deaf = 0;
             self.replan = true;
         }
-        if current && Epoch(r.token >> crate::leader::TOKEN_BITS) > epoch {
+        if current && r.token.epoch() > epoch {
             self.down = Some(StepDown::NewerToken);
         }
         // A direct call's report may be older than the answer to the last check-in, which may still
--- a/crates/testkit/src/worker.rs
+++ b/crates/testkit/src/worker.rs
@@ -1,8 +1,8 @@
 //! A worker: session, lease, token and tasks.
 
-use shaleshunt_wire::Room;
 use shaleshunt_wire::user::{Shape, Submission};
 use shaleshunt_wire::worker::*;
+use shaleshunt_wire::{FencingToken, Room};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A task on the machine.
@@ -51,7 +51,7 @@
     pub session: u64,
     tick: u64,
     /// Highest token seen.
-    pub token: u64,
+    pub token: FencingToken,
     /// Tasks by name.
     pub tasks: BTreeMap<String, Vec<Task>>,
     images: BTreeSet<String>,
@@ -91,7 +91,7 @@
             fetch,
             session: 1,
             tick: 0,
-            token: 0,
+            token: FencingToken::default(),
             tasks: BTreeMap::new(),
             images: BTreeSet::new(),
             answered: now,
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -34,3 +34,25 @@
         Epoch(self.0 + 1)
     }
 }
+
+number! {
+    /// What the wire calls `baton`: shows a machine which leader speaks, and which of that leader's
+    /// commands still count. The epoch is in the high bits, the machine's own counter below it; a
+    /// machine refuses whatever comes with a lower token than the highest it has seen.
+    FencingToken
+}
+
+impl FencingToken {
+    /// Bits below the epoch: the machine's counter.
+    const COUNTER_BITS: u32 = 20;
+
+    /// The token of an epoch for a machine whose counter is this.
+    pub fn new(epoch: Epoch, counter: u64) -> FencingToken {
+        FencingToken((epoch.0 << Self::COUNTER_BITS) + counter)
+    }
+
+    /// The epoch that it was made in.
+    pub fn epoch(self) -> Epoch {
+        Epoch(self.0 >> Self::COUNTER_BITS)
+    }
+}
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,5 +1,6 @@
 //! Workers' interface: reports and commands.
 
+use crate::FencingToken;
 use serde::{Deserialize, Serialize};
 
 /// State of a task on a machine.
@@ -88,7 +89,7 @@
     pub tick: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(default, rename = "warnS")]
     pub warn_s: Option<f64>,
@@ -148,7 +149,7 @@
 pub struct ReportReply {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Commands, executed in order.
     pub orders: Vec<Order>,
 }
@@ -158,7 +159,7 @@
 pub struct Orders {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Session that they are meant for.
     #[serde(rename = "shift")]
     pub session: u64,
