--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
-use shaleshunt_wire::{Epoch, FencingToken, Room};
+use shaleshunt_wire::{AgentEpoch, Epoch, FencingToken, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -388,8 +388,12 @@
             z.1 += 1;
         }
         // All are asked, some at a time, so that the new token is confirmed before the next report.
-        self.confirm =
-            self.machines.values().filter(|m| !m.endpoint.is_empty() && m.session > 0).map(|m| m.id.clone()).collect();
+        self.confirm = self
+            .machines
+            .values()
+            .filter(|m| !m.endpoint.is_empty() && m.session > AgentEpoch::NONE)
+            .map(|m| m.id.clone())
+            .collect();
         ctx.log(
             Severity::Info,
             format!("epoch {}: read {} jobs, {} machines", self.epoch, self.jobs.len(), self.machines.len()),
@@ -421,7 +425,15 @@
     }
 
     /// A placement that an earlier leader committed. That of a task whose outcome is committed is void.
-    pub(crate) fn placed_before(&mut self, ctx: &Ctx, id: &Id, machine: &Id, session: u64, attempt: u64, task: u32) {
+    pub(crate) fn placed_before(
+        &mut self,
+        ctx: &Ctx,
+        id: &Id,
+        machine: &Id,
+        session: AgentEpoch,
+        attempt: u64,
+        task: u32,
+    ) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.done.get(task) && task < j.spec.tasks) else { return };
         let known =
             job.live.get(&task).is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
--- a/crates/core/src/orders.rs
+++ b/crates/core/src/orders.rs
@@ -4,8 +4,8 @@
 use crate::leader::{LeadWait, Leader};
 use crate::model::*;
 use crate::node::Ctx;
-use shaleshunt_wire::FencingToken;
 use shaleshunt_wire::worker::*;
+use shaleshunt_wire::{AgentEpoch, FencingToken};
 
 /// Most commands in one message, so that no line grows too long.
 const MAX_ORDERS: usize = 300;
@@ -94,7 +94,7 @@
                 m.push = true;
             } else if now < m.call_after {
                 self.push_later.insert((m.call_after, id));
-            } else if !m.endpoint.is_empty() && m.session > 0 {
+            } else if !m.endpoint.is_empty() && m.session > AgentEpoch::NONE {
                 self.call(ctx, &id, false);
             }
         }
@@ -103,7 +103,8 @@
         let most = (ctx.set.state_rps / 4.0).max(1.0) as u32;
         while self.confirming < most {
             let Some(id) = self.confirm.pop_front() else { break };
-            let open = |m: &Machine| !m.ours && m.call.is_none() && !m.endpoint.is_empty() && m.session > 0;
+            let open =
+                |m: &Machine| !m.ours && m.call.is_none() && !m.endpoint.is_empty() && m.session > AgentEpoch::NONE;
             if self.machines.get(&id).is_some_and(open) {
                 self.call(ctx, &id, true);
             }
--- a/crates/core/src/pages.rs
+++ b/crates/core/src/pages.rs
@@ -13,6 +13,7 @@
 use crate::node::Ctx;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
+use shaleshunt_wire::AgentEpoch;
 use shaleshunt_wire::state::Pair;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -38,7 +39,7 @@
     pub j: String,
     /// Machine, its session, and the attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub m: Option<(String, u64, u64)>,
+    pub m: Option<(String, AgentEpoch, u64)>,
     /// Done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub d: bool,
@@ -65,7 +66,7 @@
 }
 
 /// The page with the last fact about a task, and where it is placed: machine, session, attempt.
-type LastFact = (u32, Option<(Id, u64, u64)>);
+type LastFact = (u32, Option<(Id, AgentEpoch, u64)>);
 
 /// What is known of a page that is stored.
 #[derive(Debug, Default)]
@@ -130,7 +131,7 @@
         let mut done = Fact::new(&job.id);
         done.d = true;
         let mut free = Fact::new(&job.id);
-        let mut placed: BTreeMap<(&Id, u64, u64), Fact> = BTreeMap::new();
+        let mut placed: BTreeMap<(&Id, AgentEpoch, u64), Fact> = BTreeMap::new();
         let mut plans = Vec::new();
         for task in taken.keys() {
             if job.done.get(*task) {
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -7,7 +7,7 @@
 use crate::node::Ctx;
 use shaleshunt_wire::cloud::{Hire, Listed, ListedStatus};
 use shaleshunt_wire::user::Shape;
-use shaleshunt_wire::{MAX_HIRE, MAX_RETURN, Room};
+use shaleshunt_wire::{AgentEpoch, MAX_HIRE, MAX_RETURN, Room};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that has not come up after so many times its type's usual boot time is returned.
@@ -457,7 +457,7 @@
             let here = now.saturating_sub(self.took_at);
             match m.heard {
                 None if m.owned => {}
-                None if m.session > 0 => m.leaving |= here > silence * 2,
+                None if m.session > AgentEpoch::NONE => m.leaving |= here > silence * 2,
                 None => m.leaving |= age > boot_s * NEVER_BOOTS + set.report_s && here > silence * 2,
                 Some(h) if !m.owned => {
                     let quiet = now.saturating_sub(h);
--- a/crates/core/src/silence.rs
+++ b/crates/core/src/silence.rs
@@ -5,6 +5,7 @@
 use crate::model::*;
 use crate::node::Ctx;
 use crate::step_down::StepDown;
+use shaleshunt_wire::AgentEpoch;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// So many overdue reports of a zone show that it is cut off, or those of all its machines if it has fewer.
@@ -63,7 +64,7 @@
     fn misses_reports(&self, ctx: &Ctx, zone: Option<&str>, machines: u32) -> bool {
         let (now, report) = (ctx.now.mono, ctx.set.report_ms());
         // A machine known from records has two reporting intervals after a takeover to be heard.
-        let last = |m: &Machine| m.heard.or((m.session > 0).then_some(self.took_at + report));
+        let last = |m: &Machine| m.heard.or((m.session > AgentEpoch::NONE).then_some(self.took_at + report));
         let overdue = |m: &&Machine| last(m).is_some_and(|at| now.saturating_sub(at) > report * LATEST_REPORT / 100);
         let here = self.machines.values().filter(|m| zone.is_none_or(|zone| m.zone == zone));
         here.filter(overdue).take(MISSED_REPORTS).count() >= MISSED_REPORTS.min(machines as usize)
--- a/crates/loopback/src/machines.rs
+++ b/crates/loopback/src/machines.rs
@@ -122,7 +122,7 @@
             let mut worker = worker.borrow_mut();
             let session = worker.session;
             worker.turn(now, &fleet.jobs.borrow(), &fleet.completed.borrow(), &BTreeSet::new());
-            fleet.counts.borrow_mut().leases_lost += worker.session - session;
+            fleet.counts.borrow_mut().leases_lost += worker.session.0 - session.0;
             worker.events.clear();
             worker.begin_report(now, interval)
         };
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -56,3 +56,19 @@
         Epoch(self.0 >> Self::COUNTER_BITS)
     }
 }
+
+number! {
+    /// What the wire calls `shift`: the incarnation of a worker agent. It grows each time that the
+    /// worker's lease runs out; what was placed in an earlier one is gone from the machine.
+    AgentEpoch
+}
+
+impl AgentEpoch {
+    /// Of a machine that has never reported.
+    pub const NONE: AgentEpoch = AgentEpoch(0);
+
+    /// The incarnation after this one.
+    pub fn next(self) -> AgentEpoch {
+        AgentEpoch(self.0 + 1)
+    }
+}
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! Workers' interface: reports and commands.
 
-use crate::FencingToken;
+use crate::{AgentEpoch, FencingToken};
 use serde::{Deserialize, Serialize};
 
 /// State of a task on a machine.
@@ -84,7 +84,7 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub session: AgentEpoch,
     /// Order among the reports of a session.
     pub tick: u64,
     /// Highest token seen.
@@ -162,7 +162,7 @@
     pub token: FencingToken,
     /// Session that they are meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub session: AgentEpoch,
     /// Commands, executed in order.
     pub orders: Vec<Order>,
 }
