--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -13,13 +13,10 @@
 use serde_json::Value;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
-use shaleshunt_wire::{AgentEpoch, Epoch, FencingToken, Room};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Bits of an attempt below the epoch: the leader's counter.
-const ATTEMPT_BITS: u32 = 28;
-
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
 const LAG_BETWEEN_PASSES: u64 = 4;
 
@@ -431,7 +428,7 @@
         id: &Id,
         machine: &Id,
         session: AgentEpoch,
-        attempt: u64,
+        attempt: Attempt,
         task: u32,
     ) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.done.get(task) && task < j.spec.tasks) else { return };
@@ -531,7 +528,7 @@
     fn halt_doubles(&mut self) {
         for job in self.jobs.values() {
             for list in job.live.values().filter(|l| l.len() > 1) {
-                let latest = list.iter().map(|l| l.attempt).max().unwrap_or(0);
+                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
                 for l in list.iter().filter(|l| l.attempt < latest) {
                     let places = self.machines.get_mut(&l.machine).map(|m| &mut m.places);
                     if let Some(p) = places.and_then(|p| p.iter_mut().find(|p| p.slot == l.slot)) {
@@ -805,9 +802,9 @@
     }
 
     /// A new attempt number, never used before in any epoch.
-    pub(crate) fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.attempts += 1;
-        (self.epoch.0 << ATTEMPT_BITS) + self.attempts
+        Attempt::new(self.epoch, self.attempts)
     }
 
     /// A new number for a placement inside this process.
--- a/crates/core/src/pages.rs
+++ b/crates/core/src/pages.rs
@@ -13,8 +13,8 @@
 use crate::node::Ctx;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use shaleshunt_wire::AgentEpoch;
 use shaleshunt_wire::state::Pair;
+use shaleshunt_wire::{AgentEpoch, Attempt};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -39,7 +39,7 @@
     pub j: String,
     /// Machine, its session, and the attempt.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub m: Option<(String, AgentEpoch, u64)>,
+    pub m: Option<(String, AgentEpoch, Attempt)>,
     /// Done.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub d: bool,
@@ -66,7 +66,7 @@
 }
 
 /// The page with the last fact about a task, and where it is placed: machine, session, attempt.
-type LastFact = (u32, Option<(Id, AgentEpoch, u64)>);
+type LastFact = (u32, Option<(Id, AgentEpoch, Attempt)>);
 
 /// What is known of a page that is stored.
 #[derive(Debug, Default)]
@@ -131,7 +131,7 @@
         let mut done = Fact::new(&job.id);
         done.d = true;
         let mut free = Fact::new(&job.id);
-        let mut placed: BTreeMap<(&Id, AgentEpoch, u64), Fact> = BTreeMap::new();
+        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), Fact> = BTreeMap::new();
         let mut plans = Vec::new();
         for task in taken.keys() {
             if job.done.get(*task) {
--- a/crates/core/src/place.rs
+++ b/crates/core/src/place.rs
@@ -4,8 +4,8 @@
 use crate::model::*;
 use crate::node::Ctx;
 use crate::settings::Aim;
-use shaleshunt_wire::Room;
 use shaleshunt_wire::user::Urgency;
+use shaleshunt_wire::{Attempt, Room};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most tasks stopped for others in one pass.
@@ -199,7 +199,7 @@
     }
 
     /// Puts a plan for a task on a machine; nothing leaves before it is committed.
-    fn plan(&mut self, now: u64, id: &Id, task: u32, machine: &Id, attempt: u64) -> u64 {
+    fn plan(&mut self, now: u64, id: &Id, task: u32, machine: &Id, attempt: Attempt) -> u64 {
         let slot = self.next_slot();
         let Some(session) = self.machines.get(machine).map(|m| m.session) else { return slot };
         if let Some(job) = self.jobs.get_mut(id) {
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -10,7 +10,7 @@
 use crate::node::Ctx;
 use crate::step_down::StepDown;
 use shaleshunt_wire::worker::*;
-use shaleshunt_wire::{FencingToken, Room};
+use shaleshunt_wire::{Attempt, FencingToken, Room};
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -116,7 +116,7 @@
         let answered = checkin && std::mem::take(&mut m.answer_open);
         let open = m.call.is_some() || m.answer_open;
         let local_gb = ctx.catalog.as_ref().and_then(|c| c.frame(&m.frame)).map_or(0.0, |f| f.local_gb);
-        let mut seen: Vec<(&str, u32, u64, &TaskReport, bool)> = Vec::with_capacity(r.tasks.len());
+        let mut seen: Vec<(&str, u32, Attempt, &TaskReport, bool)> = Vec::with_capacity(r.tasks.len());
         let mut strangers = Vec::new();
         for p in &r.tasks {
             match split_task_name(&p.task) {
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -72,3 +72,20 @@
         AgentEpoch(self.0 + 1)
     }
 }
+
+number! {
+    /// What the wire calls `try`: one attempt at a task, or one shared by the tasks of a gang that
+    /// start together. The epoch of the leader that chose it is in the high bits, that leader's
+    /// counter below it, so none is used twice and a later attempt has the higher number.
+    Attempt
+}
+
+impl Attempt {
+    /// Bits below the epoch: the leader's counter.
+    const COUNTER_BITS: u32 = 28;
+
+    /// The attempt of an epoch with this number.
+    pub fn new(epoch: Epoch, counter: u64) -> Attempt {
+        Attempt((epoch.0 << Self::COUNTER_BITS) + counter)
+    }
+}
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,6 +1,6 @@
 //! Workers' interface: reports and commands.
 
-use crate::{AgentEpoch, FencingToken};
+use crate::{AgentEpoch, Attempt, FencingToken};
 use serde::{Deserialize, Serialize};
 
 /// State of a task on a machine.
@@ -55,7 +55,7 @@
     pub task: String,
     /// Attempt.
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// State.
     pub status: TaskStatus,
     /// Why it ended.
@@ -119,7 +119,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     /// Stop a task.
     Halt {
@@ -128,7 +128,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         /// Time to save.
         #[serde(rename = "windDownS")]
         wind_down_s: f64,
@@ -140,7 +140,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
--- a/crates/wire/tests/ids.rs
+++ b/crates/wire/tests/ids.rs
@@ -1,6 +1,6 @@
 //! Numbers with types of their own.
 
-use shaleshunt_wire::{Epoch, FencingToken};
+use shaleshunt_wire::{Attempt, Epoch, FencingToken};
 
 #[test]
 fn a_token_holds_its_epoch_above_the_counter() {
@@ -10,3 +10,9 @@
     assert!(FencingToken::new(Epoch(7), 1_048_575) < FencingToken::new(Epoch(8), 0));
     assert_eq!(serde_json::to_string(&token).unwrap(), "7340035");
 }
+
+#[test]
+fn a_later_epoch_has_higher_attempts() {
+    assert_eq!(Attempt::new(Epoch(2), 5), Attempt(2 * 268_435_456 + 5));
+    assert!(Attempt::new(Epoch(2), 268_435_455) < Attempt::new(Epoch(3), 1));
+}
