--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,6 +4,7 @@
 use crate::io::Severity;
 use crate::model::Id;
 pub use crate::step_down::{ForeignWrite, StepDown};
+use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::Cause;
 use std::borrow::Cow;
 use std::fmt;
@@ -14,12 +15,12 @@
     /// This node was elected: it holds the leader's lease and has raised the epoch by compare-and-swap.
     LeaderElected {
         /// The new epoch; it is part of every fencing token that this leader hands out.
-        epoch: u64,
+        epoch: Epoch,
     },
     /// Failover is complete: the new leader has read all records and begins to schedule.
     LeaderStateLoaded {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// Unfinished jobs.
         jobs: usize,
         /// Known machines.
@@ -28,7 +29,7 @@
     /// This node gives up leadership.
     LeaderSteppedDown {
         /// The epoch that it led.
-        epoch: u64,
+        epoch: Epoch,
         /// Why.
         reason: StepDown,
     },
@@ -249,6 +250,12 @@
     }
 }
 
+impl From<Epoch> for EventValue<'_> {
+    fn from(epoch: Epoch) -> Self {
+        EventValue::Count(epoch.0)
+    }
+}
+
 impl From<u64> for EventValue<'_> {
     fn from(count: u64) -> Self {
         EventValue::Count(count)
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -1,4 +1,5 @@
 use super::*;
+use shaleshunt_wire::Epoch;
 use std::collections::BTreeSet;
 
 /// How many variants there are, and where each stands among the samples. A new variant must be added here to
@@ -66,14 +67,14 @@
         transaction_in_flight: true,
     };
     vec![
-        (Event::LeaderElected { epoch: 7 }, Info, "event=leader_elected epoch=7"),
+        (Event::LeaderElected { epoch: Epoch(7) }, Info, "event=leader_elected epoch=7"),
         (
-            Event::LeaderStateLoaded { epoch: 7, jobs: 408, machines: 85 },
+            Event::LeaderStateLoaded { epoch: Epoch(7), jobs: 408, machines: 85 },
             Info,
             "event=leader_state_loaded epoch=7 jobs=408 machines=85",
         ),
         (
-            Event::LeaderSteppedDown { epoch: 7, reason: StepDown::ForeignWrite(foreign) },
+            Event::LeaderSteppedDown { epoch: Epoch(7), reason: StepDown::ForeignWrite(foreign) },
             Info,
             "event=leader_stepped_down epoch=7 reason=foreign_write detail=\"somebody else writes the leader's keys: \
              f/wk-1 expected at version 0, found at 7\"",
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -12,17 +12,12 @@
 use crate::parts::{LargeRecord, Parts, Stored};
 use crate::step_down::{ForeignWrite, StepDown};
 use serde_json::Value;
-use shaleshunt_wire::Room;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
-/// Bits of a token below the epoch: a machine's own counter.
-pub(crate) const TOKEN_BITS: u32 = 20;
-/// Bits of an attempt below the epoch: the leader's counter.
-const ATTEMPT_BITS: u32 = 28;
-
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
 const LAG_BETWEEN_PASSES: u64 = 4;
 
@@ -80,7 +75,7 @@
 
 /// The leader's state.
 pub struct Leader {
-    pub(crate) epoch: u64,
+    pub(crate) epoch: Epoch,
     pub(crate) version: u64,
     pub(crate) pass: u64,
     /// Everything has been read.
@@ -199,7 +194,7 @@
 }
 
 impl Leader {
-    pub(crate) fn new(ctx: &mut Ctx, epoch: u64, version: u64, pass: u64) -> Leader {
+    pub(crate) fn new(ctx: &mut Ctx, epoch: Epoch, version: u64, pass: u64) -> Leader {
         let now = ctx.now.mono;
         let mut l = Leader {
             epoch,
@@ -391,8 +386,12 @@
             z.1 += 1;
         }
         // All are asked, some at a time, so that the new token is confirmed before the next report.
-        self.confirm =
-            self.machines.values().filter(|m| !m.endpoint.is_empty() && m.session > 0).map(|m| m.id.clone()).collect();
+        self.confirm = self
+            .machines
+            .values()
+            .filter(|m| !m.endpoint.is_empty() && m.session > AgentEpoch::NONE)
+            .map(|m| m.id.clone())
+            .collect();
         ctx.emit(Event::LeaderStateLoaded { epoch: self.epoch, jobs: self.jobs.len(), machines: self.machines.len() });
         self.watch(ctx);
     }
@@ -421,7 +420,15 @@
     }
 
     /// A placement that an earlier leader committed. That of a task whose outcome is committed is void.
-    pub(crate) fn placed_before(&mut self, ctx: &Ctx, id: &Id, machine: &Id, session: u64, attempt: u64, task: u32) {
+    pub(crate) fn placed_before(
+        &mut self,
+        ctx: &Ctx,
+        id: &Id,
+        machine: &Id,
+        session: AgentEpoch,
+        attempt: Attempt,
+        task: u32,
+    ) {
         let Some(job) = self.jobs.get(id).filter(|j| !j.done.get(task) && task < j.spec.tasks) else { return };
         let known =
             job.live.get(&task).is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
@@ -519,7 +526,7 @@
     fn halt_doubles(&mut self) {
         for job in self.jobs.values() {
             for list in job.live.values().filter(|l| l.len() > 1) {
-                let latest = list.iter().map(|l| l.attempt).max().unwrap_or(0);
+                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
                 for l in list.iter().filter(|l| l.attempt < latest) {
                     let places = self.machines.get_mut(&l.machine).map(|m| &mut m.places);
                     if let Some(p) = places.and_then(|p| p.iter_mut().find(|p| p.slot == l.slot)) {
@@ -792,9 +799,9 @@
     }
 
     /// A new attempt number, never used before in any epoch.
-    pub(crate) fn next_attempt(&mut self) -> u64 {
+    pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.attempts += 1;
-        (self.epoch << ATTEMPT_BITS) + self.attempts
+        Attempt::new(self.epoch, self.attempts)
     }
 
     /// A new number for a placement inside this process.
@@ -804,8 +811,8 @@
     }
 
     /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> u64 {
-        (self.epoch << TOKEN_BITS) + m.bump
+    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
+        FencingToken::new(self.epoch, m.bump)
     }
 
     pub(crate) fn new_machine(&self, ctx: &Ctx, id: &Id, frame: &str, zone: &str, spot: bool, owned: bool) -> Machine {
--- a/crates/core/src/reports.rs
+++ b/crates/core/src/reports.rs
@@ -10,8 +10,8 @@
 use crate::model::*;
 use crate::node::Ctx;
 use crate::step_down::StepDown;
-use shaleshunt_wire::Room;
 use shaleshunt_wire::worker::*;
+use shaleshunt_wire::{Attempt, FencingToken, Room};
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -24,7 +24,7 @@
         }
         let machine: Id = report.machine.as_str().into();
         let fresh = self.report(ctx, &machine, report, true);
-        let token = self.machines.get(&machine).map_or(self.epoch << crate::leader::TOKEN_BITS, |m| self.token(m));
+        let token = self.machines.get(&machine).map_or(FencingToken::new(self.epoch, 0), |m| self.token(m));
         let orders = if fresh { self.orders_for(&machine, true) } else { Vec::new() };
         if let Some(m) = self.machines.get_mut(&machine) {
             m.answer_open |= orders.iter().any(|o| matches!(o, Order::Run { .. }));
@@ -49,7 +49,7 @@
         if !self.machines.contains_key(machine) {
             self.adopt(ctx, machine, &r);
         }
-        let token = self.machines.get(machine).map_or(0, |m| self.token(m));
+        let token = self.machines.get(machine).map_or(FencingToken::default(), |m| self.token(m));
         let epoch = self.epoch;
         let Some(m) = self.machines.get_mut(machine) else { return false };
         if m.heard.is_some() && (r.session, r.tick) <= m.last || r.session < m.session {
@@ -109,7 +109,7 @@
             m.deaf = 0;
             self.replan = true;
         }
-        if current && r.token >> crate::leader::TOKEN_BITS > epoch {
+        if current && r.token.epoch() > epoch {
             self.down = Some(StepDown::NewerToken);
         }
         // A direct call's report may be older than the answer to the last check-in, which may still
@@ -117,7 +117,7 @@
         let answered = checkin && std::mem::take(&mut m.answer_open);
         let open = m.call.is_some() || m.answer_open;
         let local_gb = ctx.catalog.as_ref().and_then(|c| c.frame(&m.frame)).map_or(0.0, |f| f.local_gb);
-        let mut seen: Vec<(&str, u32, u64, &TaskReport, bool)> = Vec::with_capacity(r.tasks.len());
+        let mut seen: Vec<(&str, u32, Attempt, &TaskReport, bool)> = Vec::with_capacity(r.tasks.len());
         let mut strangers = Vec::new();
         for p in &r.tasks {
             match split_task_name(&p.task) {
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,5 +1,6 @@
 //! Workers' interface: reports and commands.
 
+use crate::{AgentEpoch, Attempt, FencingToken};
 use serde::{Deserialize, Serialize};
 
 /// State of a task on a machine.
@@ -54,7 +55,7 @@
     pub task: String,
     /// Attempt.
     #[serde(rename = "try")]
-    pub attempt: u64,
+    pub attempt: Attempt,
     /// State.
     pub status: TaskStatus,
     /// Why it ended.
@@ -83,12 +84,12 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub session: AgentEpoch,
     /// Order among the reports of a session.
     pub tick: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(default, rename = "warnS")]
     pub warn_s: Option<f64>,
@@ -118,7 +119,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
     /// Stop a task.
     Halt {
@@ -127,7 +128,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
         /// Time to save.
         #[serde(rename = "windDownS")]
         wind_down_s: f64,
@@ -139,7 +140,7 @@
         task: String,
         /// Attempt.
         #[serde(rename = "try")]
-        attempt: u64,
+        attempt: Attempt,
     },
 }
 
@@ -148,7 +149,7 @@
 pub struct ReportReply {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Commands, executed in order.
     pub orders: Vec<Order>,
 }
@@ -158,10 +159,10 @@
 pub struct Orders {
     /// Token.
     #[serde(rename = "baton")]
-    pub token: u64,
+    pub token: FencingToken,
     /// Session that they are meant for.
     #[serde(rename = "shift")]
-    pub session: u64,
+    pub session: AgentEpoch,
     /// Commands, executed in order.
     pub orders: Vec<Order>,
 }
