--- a/crates/core/src/commit.rs
+++ b/crates/core/src/commit.rs
@@ -17,8 +17,8 @@
 use crate::parts::Parts;
 use crate::step_down::{ForeignWrite, StepDown};
 use serde_json::json;
-use shaleshunt_wire::MAX_BODY;
 use shaleshunt_wire::state::{Condition, Txn, Write};
+use shaleshunt_wire::{MAX_BODY, Revision};
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
@@ -100,12 +100,12 @@
     fn full(&self) -> bool {
         self.txn.writes.len() >= self.ops
     }
-    fn set(&mut self, key: String, version: u64, v: serde_json::Value, bytes: usize) {
+    fn set(&mut self, key: String, version: Revision, v: serde_json::Value, bytes: usize) {
         self.bytes += bytes + key.len() * 2 + 60;
         self.txn.conditions.push(Condition { path: key.clone(), version });
         self.txn.writes.push(Write::set(key, v));
     }
-    fn drop_key(&mut self, key: String, version: u64) {
+    fn drop_key(&mut self, key: String, version: Revision) {
         self.bytes += key.len() * 2 + 60;
         self.txn.conditions.push(Condition { path: key.clone(), version });
         self.txn.writes.push(Write::drop_key(key));
@@ -146,10 +146,10 @@
     pub(crate) fn drafted(&self) -> usize {
         self.drafts.iter().map(Draft::bytes).sum()
     }
-    pub(crate) fn set(&mut self, key: String, version: u64, v: serde_json::Value, bytes: usize) {
+    pub(crate) fn set(&mut self, key: String, version: Revision, v: serde_json::Value, bytes: usize) {
         self.txn.set(key, version, v, bytes);
     }
-    pub(crate) fn drop_key(&mut self, key: String, version: u64) {
+    pub(crate) fn drop_key(&mut self, key: String, version: Revision) {
         self.txn.drop_key(key, version);
     }
     pub(crate) fn expect_job(&mut self, job: &Job) {
@@ -159,11 +159,15 @@
     fn foreign_write(&self, failed: &[String]) -> Option<ForeignWrite> {
         let key = failed.iter().find(|k| !k.starts_with(keys::JOBS))?;
         let condition = self.txn.txn.conditions.iter().find(|c| c.path == *key);
-        Some(ForeignWrite { key: key.clone(), expected: condition.map_or(0, |c| c.version), found: None })
+        Some(ForeignWrite {
+            key: key.clone(),
+            expected: condition.map_or(Revision::ABSENT, |c| c.version),
+            found: None,
+        })
     }
     pub(crate) fn expect_absent(&mut self, path: String) {
         self.txn.bytes += path.len() + 40;
-        self.txn.txn.conditions.push(Condition { path, version: 0 });
+        self.txn.txn.conditions.push(Condition { path, version: Revision::ABSENT });
     }
 }
 
@@ -262,7 +266,7 @@
                 break;
             }
             let key = if *n == 0 { keys::OWNED.to_string() } else { format!("{}/{n}", keys::OWNED) };
-            let version = self.owned_versions.get(&key).copied().unwrap_or(0);
+            let version = self.owned_versions.get(&key).copied().unwrap_or(Revision::ABSENT);
             f.txn.set(key.clone(), version, v, bytes);
             f.owned.extend(self.owned_dirty.pop_last().map(|(n, part)| (key, n, part)));
         }
@@ -274,7 +278,7 @@
             let bytes = v.to_string().len();
             // One that is too long for a value is asked from the cloud by each node.
             if bytes <= ctx.limits.value_bytes() {
-                f.txn.set(keys::CATALOG.into(), self.catalog_version.unwrap_or(0), v, bytes);
+                f.txn.set(keys::CATALOG.into(), self.catalog_version.unwrap_or(Revision::ABSENT), v, bytes);
                 f.catalog = true;
             }
             self.catalog_dirty = false;
@@ -323,8 +327,8 @@
                 continue;
             }
             let key = format!("{}{name}", keys::HIRES);
-            if h.version == 0 && h.answer.is_none() {
-                f.txn.set(key, 0, json!(h.hire), 200);
+            if h.version == Revision::ABSENT && h.answer.is_none() {
+                f.txn.set(key, Revision::ABSENT, json!(h.hire), 200);
                 f.hires.push(name.clone());
                 h.writing = true;
             } else if let Some(machines) = &h.answer
@@ -423,11 +427,11 @@
             let Some(b) = self.blocks.get(&n) else { continue };
             let (key, version) = (format!("{}{n}", keys::BLOCKS), b.version);
             if b.machines.is_empty() {
-                if version > 0 && f.txn.takes(1, 1, 100) {
+                if version > Revision::ABSENT && f.txn.takes(1, 1, 100) {
                     f.txn.drop_key(key, version);
                     f.blocks.push((n, Vec::new()));
                     self.dirty_blocks.remove(&n);
-                } else if version == 0 {
+                } else if version == Revision::ABSENT {
                     self.blocks.remove(&n);
                     self.dirty_blocks.remove(&n);
                 }
@@ -457,7 +461,9 @@
         let most = ctx.limits.block_machines();
         let Some(b) = self.blocks.get_mut(&n) else { return false };
         if b.machines.len() <= most {
-            let stored = |n: &u32| self.blocks.get(n).is_none_or(|b| b.version > 0) && !self.dirty_blocks.contains(n);
+            let stored = |n: &u32| {
+                self.blocks.get(n).is_none_or(|b| b.version > Revision::ABSENT) && !self.dirty_blocks.contains(n)
+            };
             return !self.blocks[&n].after.iter().all(stored);
         }
         let rest: Vec<Id> = b.machines.iter().skip(most).cloned().collect();
@@ -506,7 +512,7 @@
             f.txn.txn.writes.push(Write::drop_key(path));
         }
         let rec = FinalRecord { x: job.aborted, n: job.spec.tasks, t: ctx.now.wall };
-        f.txn.set(format!("{}{id}", keys::FINALS), 0, json!(rec), 50);
+        f.txn.set(format!("{}{id}", keys::FINALS), Revision::ABSENT, json!(rec), 50);
         if job.cancel_key {
             // Written with the job's record, so of the same revision.
             f.txn.drop_key(format!("{}{id}", keys::CANCELLED), job.version);
@@ -586,14 +592,14 @@
         let Some(key) = f.txn.marker().map(str::to_string) else { return };
         let version = match &result {
             Ok(StateReply::Found(pair)) => pair.version,
-            Ok(StateReply::Missing) => 0,
+            Ok(StateReply::Missing) => Revision::ABSENT,
             _ => {
                 f.asking = false;
                 self.commit_at = ctx.now.mono + ctx.set.report_ms() / 60;
                 return;
             }
         };
-        let before = f.txn.txn.conditions.iter().find(|c| c.path == key).map_or(0, |c| c.version);
+        let before = f.txn.txn.conditions.iter().find(|c| c.path == key).map_or(Revision::ABSENT, |c| c.version);
         if version == before {
             let conflict = std::mem::take(&mut f.conflict);
             if f.rejected {
@@ -623,7 +629,7 @@
     }
 
     /// Whether the key that was read and the epoch held at the same time.
-    pub(crate) fn settled(&mut self, ctx: &mut Ctx, version: u64, result: Result<StateReply, IoError>) {
+    pub(crate) fn settled(&mut self, ctx: &mut Ctx, version: Revision, result: Result<StateReply, IoError>) {
         match result {
             Ok(StateReply::Committed(_)) => {
                 if let Some(f) = self.flight.take() {
@@ -640,7 +646,7 @@
         }
     }
 
-    fn succeeded(&mut self, ctx: &mut Ctx, f: Flight, ledger: u64) {
+    fn succeeded(&mut self, ctx: &mut Ctx, f: Flight, ledger: Revision) {
         self.pages_stored(f.pages, f.noted, f.dead_pages, ledger);
         for (machine, slot) in f.plans {
             let Some(m) = self.machines.get_mut(&machine) else { continue };
@@ -672,7 +678,7 @@
                 continue;
             }
             if let Some(b) = self.blocks.get_mut(&n) {
-                b.version = if members.is_empty() { 0 } else { ledger };
+                b.version = if members.is_empty() { Revision::ABSENT } else { ledger };
                 b.after.clear();
             }
             for id in members {
@@ -735,7 +741,7 @@
         let taken = |parts: &Parts| stale.iter().any(|id| parts.iter().any(|(key, _)| key[2..].starts_with(&**id)));
         self.dead_parts.extend(f.parts.into_iter().filter(|parts| !taken(parts)));
         for key in f.orphans {
-            let version = f.txn.txn.conditions.iter().find(|c| c.path == key).map_or(0, |c| c.version);
+            let version = f.txn.txn.conditions.iter().find(|c| c.path == key).map_or(Revision::ABSENT, |c| c.version);
             self.orphans.insert(key, version);
         }
         self.owned_dirty.extend(f.owned.into_iter().map(|(_, n, part)| (n, part)));
--- a/crates/core/src/front.rs
+++ b/crates/core/src/front.rs
@@ -9,7 +9,7 @@
 use serde_json::json;
 use shaleshunt_wire::state::{Condition, Pair, Txn, Write};
 use shaleshunt_wire::user::{JobStatus, JobView, Shape, Submission};
-use shaleshunt_wire::{MAX_BODY, Room};
+use shaleshunt_wire::{MAX_BODY, Revision, Room};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// What a front request's answer is for.
@@ -18,7 +18,7 @@
     Accept(Vec<Pending>),
     Large(Box<Large>),
     /// The parts of a job's submission: its record, its version, and what has come.
-    Parts(Asked, Box<(LargeRecord, u64, Vec<Pair>)>),
+    Parts(Asked, Box<(LargeRecord, Revision, Vec<Pair>)>),
     Compare(Vec<Asked>),
     Job(Asked),
     Final(Asked),
@@ -63,7 +63,7 @@
 #[derive(Debug, Default)]
 struct Known {
     /// Version of its record.
-    version: u64,
+    version: Revision,
     /// Jobs that it awaits, as far as they were not known to be done.
     awaits: Vec<String>,
     /// It was neither cancelled nor finished later than this.
@@ -412,7 +412,7 @@
 
     /// Versions of jobs' records, as the leader has them. An old one does no harm: it is found out
     /// when it is compared.
-    pub fn learn<'a>(&mut self, ctx: &Ctx, jobs: impl Iterator<Item = (&'a str, u64)>) {
+    pub fn learn<'a>(&mut self, ctx: &Ctx, jobs: impl Iterator<Item = (&'a str, Revision)>) {
         let cap = Self::cap(ctx);
         for (job, version) in jobs {
             match self.open.of.get_mut(job) {
@@ -599,8 +599,8 @@
                     break;
                 }
                 let end = format!("{}{}", keys::FINALS, p.spec.id);
-                txn.conditions.push(Condition { path: key.clone(), version: 0 });
-                txn.conditions.push(Condition { path: end.clone(), version: 0 });
+                txn.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
+                txn.conditions.push(Condition { path: end.clone(), version: Revision::ABSENT });
                 txn.writes.push(Write::set(if p.doomed { end } else { key }, v));
                 batch.push(p);
                 if batch.len() >= self.most.clamp(1, ctx.limits.ops().max(1)) {
@@ -712,7 +712,7 @@
                         let txn = Txn {
                             conditions: vec![
                                 Condition { path: key.clone(), version: pair.version },
-                                Condition { path: cancel.clone(), version: 0 },
+                                Condition { path: cancel.clone(), version: Revision::ABSENT },
                             ],
                             writes: vec![Write::set(key, rec.into_cancelled()), Write::set(cancel, json!(true))],
                         };
@@ -785,7 +785,7 @@
         }
     }
 
-    fn read_parts(&mut self, ctx: &mut Ctx, asked: Asked, got: Box<(LargeRecord, u64, Vec<Pair>)>) {
+    fn read_parts(&mut self, ctx: &mut Ctx, asked: Asked, got: Box<(LargeRecord, Revision, Vec<Pair>)>) {
         let prefix = got.0.p.clone();
         let after = got.2.last().map(|p| p.path.clone()).unwrap_or_default();
         ctx.state(StateRequest::Scan { prefix, after }, Wait::Front(FrontWait::Parts(asked, got)));
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,6 +1,7 @@
 //! What goes into the owner and what comes out of it.
 
 use serde::{Deserialize, Serialize};
+use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::{Catalog, Hire, ListPage};
 use shaleshunt_wire::state::{News, Page, Pair, Txn};
 use shaleshunt_wire::user::Submission;
@@ -52,7 +53,7 @@
         /// What the keys begin with.
         prefix: String,
         /// Revision to begin after.
-        after: u64,
+        after: Revision,
         /// How long to wait.
         hold_ms: u64,
     },
@@ -68,7 +69,7 @@
     /// A page of keys.
     Page(Page),
     /// The transaction was carried out, at this revision.
-    Committed(u64),
+    Committed(Revision),
     /// These conditions failed; nothing was changed.
     Conflict(Vec<String>),
     /// A new lease.
--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use shaleshunt_wire::state::{Change, Page, Pair};
 use shaleshunt_wire::user::Urgency;
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Room};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Revision, Room};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, HashMap, VecDeque};
 
@@ -32,12 +32,12 @@
     Watch,
     Commit,
     Settle,
-    Settled(u64),
+    Settled(Revision),
     /// The version of a key that somebody else has written, for the log.
     ForeignWrite(ForeignWrite),
     Refresh(Id),
     End(Id),
-    Parts(Box<(LargeRecord, u64, Vec<Pair>)>),
+    Parts(Box<(LargeRecord, Revision, Vec<Pair>)>),
     Orders(Id),
     Hire(String),
     Return(Vec<Id>),
@@ -49,8 +49,8 @@
 #[derive(Debug)]
 pub(crate) struct HireState {
     pub hire: shaleshunt_wire::cloud::Hire,
-    /// Version of its record; 0 until recorded.
-    pub version: u64,
+    /// Version of its record; absent until recorded.
+    pub version: Revision,
     pub writing: bool,
     pub asking: bool,
     pub retry_at: u64,
@@ -75,7 +75,7 @@
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
-    pub(crate) version: u64,
+    pub(crate) version: Revision,
     pub(crate) pass: u64,
     /// Everything has been read.
     pub(crate) active: bool,
@@ -89,18 +89,18 @@
     old_machines: Vec<Pair>,
     old_done: Vec<Pair>,
     part_pairs: Vec<Pair>,
-    large: Vec<(LargeRecord, u64)>,
+    large: Vec<(LargeRecord, Revision)>,
     /// Parts of jobs' submissions, those that no record refers to, and records whose parts are to be
     /// read again at a time.
     pub(crate) parts: BTreeMap<Id, Parts>,
     pub(crate) dead_parts: Vec<Parts>,
     /// Jobs whose end this leader has written, with the revision of that: news of them that the watch
     /// brings from before is old.
-    pub(crate) ended: BTreeMap<Id, u64>,
+    pub(crate) ended: BTreeMap<Id, Revision>,
     /// Jobs that are not known before their parts have been read, with the version of the record.
-    pub(crate) reading_parts: BTreeMap<Id, u64>,
-    pub(crate) parts_later: Vec<(u64, LargeRecord, u64)>,
-    watch_from: Option<u64>,
+    pub(crate) reading_parts: BTreeMap<Id, Revision>,
+    pub(crate) parts_later: Vec<(u64, LargeRecord, Revision)>,
+    watch_from: Option<Revision>,
     watch_at: Option<u64>,
     /// Sending time of the last watch that was answered: no withdrawal before it was missed.
     pub(crate) fresh: u64,
@@ -129,8 +129,8 @@
     pub(crate) urgent: BTreeSet<(Reverse<Urgency>, u64, Id)>,
     pub(crate) lazy: BTreeSet<(u64, Id)>,
     /// Records of an earlier form, with versions. They go when all they held has been written anew.
-    pub(crate) orphans: BTreeMap<String, u64>,
-    pub(crate) legacy: BTreeMap<String, u64>,
+    pub(crate) orphans: BTreeMap<String, Revision>,
+    pub(crate) legacy: BTreeMap<String, Revision>,
     /// Machines to be told something at once; those that wait for a time; those to confirm a token.
     pub(crate) push: BTreeSet<Id>,
     pub(crate) push_later: BTreeSet<(u64, Id)>,
@@ -168,10 +168,10 @@
     /// The settings were compared with what the fleet needs.
     pub(crate) capacity_checked: bool,
     /// Versions of the keys that hold them, and the parts to be written.
-    pub(crate) owned_versions: BTreeMap<String, u64>,
+    pub(crate) owned_versions: BTreeMap<String, Revision>,
     pub(crate) owned_dirty: BTreeMap<u32, Vec<String>>,
     owned_parts: BTreeSet<String>,
-    pub(crate) catalog_version: Option<u64>,
+    pub(crate) catalog_version: Option<Revision>,
     pub(crate) catalog_dirty: bool,
     pub(crate) teams: BTreeMap<String, Room>,
     pub(crate) flight: Option<Flight>,
@@ -193,7 +193,7 @@
 }
 
 impl Leader {
-    pub(crate) fn new(ctx: &mut Ctx, epoch: Epoch, version: u64, pass: u64) -> Leader {
+    pub(crate) fn new(ctx: &mut Ctx, epoch: Epoch, version: Revision, pass: u64) -> Leader {
         let now = ctx.now.mono;
         let mut l = Leader {
             epoch,
@@ -541,14 +541,14 @@
 
     fn watch(&mut self, ctx: &mut Ctx) {
         self.watch_at = None;
-        let after = self.watch_from.unwrap_or(0);
+        let after = self.watch_from.unwrap_or(Revision::ABSENT);
         // Short: what is known of cancellations bounds how long leases may be renewed in a cut.
         let hold_ms = ctx.set.report_ms() / 8;
         let wait = self.wait(LeadWait::Watch);
         ctx.state(StateRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
     }
 
-    fn job_set(&mut self, ctx: &mut Ctx, path: &str, v: Value, version: u64) {
+    fn job_set(&mut self, ctx: &mut Ctx, path: &str, v: Value, version: Revision) {
         let id = &path[keys::JOBS.len().min(path.len())..];
         if self.ended.contains_key(id) || self.jobs.get(id).is_some_and(|j| j.version > version) {
             return;
@@ -583,7 +583,7 @@
     }
 
     /// A job that was not known has come.
-    pub(crate) fn record_set(&mut self, ctx: &mut Ctx, rec: JobRecord, version: u64) {
+    pub(crate) fn record_set(&mut self, ctx: &mut Ctx, rec: JobRecord, version: Revision) {
         if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.version >= version) {
             return;
         }
@@ -705,7 +705,7 @@
             (LeadWait::ForeignWrite(write), result) => {
                 let found = match result {
                     Ok(StateReply::Found(pair)) => Some(pair.version),
-                    Ok(StateReply::Missing) => Some(0),
+                    Ok(StateReply::Missing) => Some(Revision::ABSENT),
                     _ => None,
                 };
                 self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
@@ -926,7 +926,7 @@
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
     /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn counts(&self) -> Vec<(String, u64, u32, u32)> {
+    pub(crate) fn counts(&self) -> Vec<(String, Revision, u32, u32)> {
         // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
         // shown by the leader alone and read at each poll.
         self.jobs
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -10,10 +10,10 @@
 use crate::work::{Work, WorkCounter};
 use serde_json::{Value, json};
 use shaleshunt_peer::Frame;
-use shaleshunt_wire::Epoch;
 use shaleshunt_wire::cloud::Catalog;
 use shaleshunt_wire::state::{Condition, Txn, Write};
 use shaleshunt_wire::worker::{Order, Report, ReportReply, TaskStatus, split_task_name};
+use shaleshunt_wire::{Epoch, Revision};
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
@@ -176,7 +176,7 @@
     epoch: Epoch,
     /// Leadership is looked at again at this time, unless a request for it is under way.
     look_at: Option<u64>,
-    vote_ledger: u64,
+    vote_ledger: Revision,
     via_at: u64,
     /// The leader's lease at the state service.
     lead_pass: Option<u64>,
@@ -227,7 +227,7 @@
             foreman: None,
             epoch: Epoch::NONE,
             look_at: Some(now.mono),
-            vote_ledger: 0,
+            vote_ledger: Revision::ABSENT,
             via_at: 0,
             lead_pass: None,
             heard: Heard::default(),
@@ -519,13 +519,13 @@
             (VoteWait::Take { epoch: Epoch::NONE, pass }, Ok(reply @ (StateReply::Found(_) | StateReply::Missing))) => {
                 let (version, number) = match &reply {
                     StateReply::Found(p) => (p.version, p.v["epoch"].as_u64().unwrap_or(0)),
-                    _ => (0, 0),
+                    _ => (Revision::ABSENT, 0),
                 };
                 let epoch = Epoch(number).max(self.epoch).next();
                 let node: Value = json!({"node": self.ctx.set.label, "pass": pass});
                 let txn = Txn {
                     conditions: vec![
-                        Condition { path: keys::LEAD.into(), version: 0 },
+                        Condition { path: keys::LEAD.into(), version: Revision::ABSENT },
                         Condition { path: keys::EPOCH.into(), version },
                     ],
                     writes: vec![
--- a/crates/core/src/pages.rs
+++ b/crates/core/src/pages.rs
@@ -14,7 +14,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 use shaleshunt_wire::state::Pair;
-use shaleshunt_wire::{AgentEpoch, Attempt};
+use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -71,7 +71,7 @@
 /// What is known of a page that is stored.
 #[derive(Debug, Default)]
 pub(crate) struct Page {
-    version: u64,
+    version: Revision,
     /// Facts that still count, by job.
     jobs: BTreeMap<Id, u32>,
     live: u32,
@@ -276,7 +276,7 @@
     /// Writes the drafted pages into the transaction.
     pub(crate) fn gather_pages(&mut self, f: &mut Flight) {
         for d in std::mem::take(&mut f.drafts) {
-            let version = self.pages.all.get(&d.number).map_or(0, |p| p.version);
+            let version = self.pages.all.get(&d.number).map_or(Revision::ABSENT, |p| p.version);
             let v = json!(PageRecord { e: d.facts.clone() });
             f.set(key(d.number), version, v, d.bytes);
             f.pages.push(d);
@@ -287,7 +287,7 @@
     pub(crate) fn gather_dead_pages(&mut self, f: &mut Flight) {
         let newest = self.pages.newest;
         for (n, p) in &self.pages.all {
-            if *n < newest && p.live == 0 && p.version > 0 && f.takes(1, 1, 100) {
+            if *n < newest && p.live == 0 && p.version > Revision::ABSENT && f.takes(1, 1, 100) {
                 f.drop_key(key(*n), p.version);
                 f.dead_pages.push(*n);
             }
@@ -320,7 +320,7 @@
     }
 
     /// The pages of a transaction are stored.
-    pub(crate) fn pages_stored(&mut self, pages: Vec<Draft>, noted: Vec<Noted>, dead: Vec<u32>, ledger: u64) {
+    pub(crate) fn pages_stored(&mut self, pages: Vec<Draft>, noted: Vec<Noted>, dead: Vec<u32>, ledger: Revision) {
         for d in pages {
             let total = d.facts.iter().flat_map(|f| &f.n).map(|(_, len)| *len).sum();
             let page = self.pages.all.entry(d.number).or_default();
--- a/crates/core/src/parts.rs
+++ b/crates/core/src/parts.rs
@@ -11,9 +11,9 @@
 use crate::node::{Ctx, Moment, Wait};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use shaleshunt_wire::MAX_BODY;
 use shaleshunt_wire::state::{Condition, Pair, Txn, Write};
 use shaleshunt_wire::user::Submission;
+use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::BTreeMap;
 
 /// Record of an unfinished job whose submission is in parts.
@@ -67,7 +67,7 @@
 }
 
 /// The parts under a prefix, in order, with their versions.
-pub(crate) type Parts = Vec<(String, u64)>;
+pub(crate) type Parts = Vec<(String, Revision)>;
 
 /// The submission that a large record's parts make up.
 pub(crate) fn join(rec: &LargeRecord, pairs: &[Pair]) -> Option<JobRecord> {
@@ -106,7 +106,7 @@
     parts: Vec<String>,
     /// Parts written, and the first one's version.
     written: usize,
-    first: u64,
+    first: Revision,
     /// Parts in the transaction under way; none when it holds the record.
     sending: usize,
     /// Its user has been told to come back; it goes on meanwhile.
@@ -118,7 +118,7 @@
         let text = serde_json::to_string(&p.spec).unwrap_or_default();
         let prefix = format!("{}{}/{}-{}-{}/", keys::PARTS, p.spec.id, ctx.set.label, ctx.process, p.order);
         let parts = cut(&text, ctx.limits.value_bytes());
-        Large { p, prefix, parts, written: 0, first: 0, sending: 0, told: false }
+        Large { p, prefix, parts, written: 0, first: Revision::ABSENT, sending: 0, told: false }
     }
     fn key(&self, n: usize) -> String {
         format!("{}{n:04}", self.prefix)
@@ -133,15 +133,16 @@
             if bytes > MAX_BODY && self.sending > 0 {
                 break;
             }
-            txn.conditions.push(Condition { path: self.key(n), version: 0 });
+            txn.conditions.push(Condition { path: self.key(n), version: Revision::ABSENT });
             txn.writes.push(Write::set(self.key(n), json!(part)));
             self.sending += 1;
         }
         if self.sending == 0 {
             let key = format!("{}{}", keys::JOBS, self.p.spec.id);
             let rec = LargeRecord { p: self.prefix.clone(), n: self.p.spec.tasks, at: self.p.wall, x: false, k: false };
-            txn.conditions.push(Condition { path: key.clone(), version: 0 });
-            txn.conditions.push(Condition { path: format!("{}{}", keys::FINALS, self.p.spec.id), version: 0 });
+            txn.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
+            txn.conditions
+                .push(Condition { path: format!("{}{}", keys::FINALS, self.p.spec.id), version: Revision::ABSENT });
             txn.conditions.push(Condition { path: self.key(0), version: self.first });
             txn.writes.push(Write::set(key, json!(rec)));
         }
@@ -193,7 +194,7 @@
 
 impl Leader {
     /// Reads the parts of a job that has come.
-    pub(crate) fn read_parts(&mut self, ctx: &mut Ctx, rec: LargeRecord, version: u64, got: Vec<Pair>) {
+    pub(crate) fn read_parts(&mut self, ctx: &mut Ctx, rec: LargeRecord, version: Revision, got: Vec<Pair>) {
         self.reading_parts.insert(rec.job().into(), version);
         let after = got.last().map(|p| p.path.clone()).unwrap_or_default();
         let prefix = rec.p.clone();
@@ -206,7 +207,7 @@
         &mut self,
         ctx: &mut Ctx,
         rec: LargeRecord,
-        version: u64,
+        version: Revision,
         mut got: Vec<Pair>,
         result: Result<StateReply, IoError>,
     ) {
@@ -229,7 +230,7 @@
     }
 
     /// A job whose submission is in parts is known.
-    pub(crate) fn large_set(&mut self, ctx: &mut Ctx, rec: &LargeRecord, version: u64, got: Vec<Pair>) {
+    pub(crate) fn large_set(&mut self, ctx: &mut Ctx, rec: &LargeRecord, version: Revision, got: Vec<Pair>) {
         let Some(whole) = join(rec, &got) else {
             ctx.log(Severity::Error, format!("parts {} not understood", rec.p));
             return;
@@ -240,7 +241,7 @@
     }
 
     /// Sorts what was read of parts at a takeover: jobs', and what no record refers to.
-    pub(crate) fn parts_loaded(&mut self, ctx: &mut Ctx, pairs: Vec<Pair>, records: Vec<(LargeRecord, u64)>) {
+    pub(crate) fn parts_loaded(&mut self, ctx: &mut Ctx, pairs: Vec<Pair>, records: Vec<(LargeRecord, Revision)>) {
         let mut by_prefix: BTreeMap<String, Vec<Pair>> = BTreeMap::new();
         for p in pairs {
             let prefix = p.path.rfind('/').map(|at| p.path[..=at].to_string()).unwrap_or_default();
--- a/crates/core/src/rent.rs
+++ b/crates/core/src/rent.rs
@@ -7,7 +7,7 @@
 use crate::node::Ctx;
 use shaleshunt_wire::cloud::{Hire, Listed, ListedStatus};
 use shaleshunt_wire::user::Shape;
-use shaleshunt_wire::{AgentEpoch, MAX_HIRE, MAX_RETURN, Room};
+use shaleshunt_wire::{AgentEpoch, MAX_HIRE, MAX_RETURN, Revision, Room};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A machine that has not come up after so many times its type's usual boot time is returned.
@@ -202,7 +202,7 @@
         let due: Vec<Hire> = self
             .hires
             .values()
-            .filter(|h| h.version > 0 && h.answer.is_none() && !h.asking && now >= h.retry_at)
+            .filter(|h| h.version > Revision::ABSENT && h.answer.is_none() && !h.asking && now >= h.retry_at)
             .map(|h| h.hire.clone())
             .collect();
         for hire in due {
@@ -408,7 +408,8 @@
         for (mut hire, _) in wanted {
             self.hire_count += 1;
             hire.hire = format!("{}-{}-{}", ctx.set.label, self.epoch, self.hire_count);
-            let state = HireState { hire, version: 0, writing: false, asking: false, retry_at: 0, answer: None };
+            let state =
+                HireState { hire, version: Revision::ABSENT, writing: false, asking: false, retry_at: 0, answer: None };
             self.hires.insert(state.hire.hire.clone(), state);
         }
     }
--- a/crates/core/src/step_down.rs
+++ b/crates/core/src/step_down.rs
@@ -1,5 +1,6 @@
 //! Why a leader gives up its leadership.
 
+use shaleshunt_wire::Revision;
 use std::fmt;
 
 /// A key of the leader's that has another version than the one the leader knows.
@@ -7,9 +8,9 @@
 pub(crate) struct ForeignWrite {
     pub key: String,
     /// The version that the leader's transaction required.
-    pub expected: u64,
-    /// The version at the state service, if it could be read; 0 for a key that is not there.
-    pub found: Option<u64>,
+    pub expected: Revision,
+    /// The version at the state service, if it could be read; absent for a key that is not there.
+    pub found: Option<Revision>,
 }
 
 /// The reason for which a leader steps down.
@@ -49,7 +50,7 @@
             StepDown::ForeignWrite(ForeignWrite { key, expected, found }) => {
                 write!(f, "somebody else writes the leader's keys: {key} expected at version {expected}, ")?;
                 match found {
-                    Some(0) => write!(f, "not there"),
+                    Some(Revision::ABSENT) => write!(f, "not there"),
                     Some(version) => write!(f, "found at {version}"),
                     None => write!(f, "not read since"),
                 }
--- a/crates/loopback/src/services.rs
+++ b/crates/loopback/src/services.rs
@@ -6,6 +6,7 @@
 use shaleshunt_core::{IoError, StateReply, StateRequest};
 use shaleshunt_testkit::cloud::Cloud;
 use shaleshunt_testkit::state::StateService;
+use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::MachineNames;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::state::{Hold, NewHold, TxnReply};
@@ -78,7 +79,11 @@
     }
     if path == paths::WATCH {
         let number = |name| received.parameter(name).and_then(|text| text.parse().ok());
-        return Some(StateRequest::Watch { prefix: prefix()?, after: number("after")?, hold_ms: number("holdMs")? });
+        return Some(StateRequest::Watch {
+            prefix: prefix()?,
+            after: Revision(number("after")?),
+            hold_ms: number("holdMs")?,
+        });
     }
     if path == paths::TXN {
         return serde_json::from_slice(&received.body).ok().map(StateRequest::Txn);
@@ -101,7 +106,7 @@
         Ok(StateReply::Missing) => json(404, &serde_json::json!({})),
         Ok(StateReply::Page(page)) => json(200, &page),
         Ok(StateReply::Committed(ledger)) => json(200, &TxnReply { failed: Vec::new(), ledger }),
-        Ok(StateReply::Conflict(failed)) => json(409, &TxnReply { failed, ledger: 0 }),
+        Ok(StateReply::Conflict(failed)) => json(409, &TxnReply { failed, ledger: Revision::ABSENT }),
         Ok(StateReply::Hold(pass)) => json(200, &Hold { pass }),
         Ok(StateReply::Fine) => json(200, &serde_json::json!({})),
         Ok(StateReply::News(news)) => json(200, &news),
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -6,7 +6,7 @@
 //! are bytes left over.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
-use shaleshunt_wire::Epoch;
+use shaleshunt_wire::{Epoch, Revision};
 
 /// Version of the format.
 pub const VERSION: u8 = 3;
@@ -50,7 +50,7 @@
         /// The leader's epoch.
         epoch: Epoch,
         /// Job, version of its record, done, running.
-        jobs: Vec<(String, u64, u32, u32)>,
+        jobs: Vec<(String, Revision, u32, u32)>,
     },
     /// Asks a peer to pass a request to the state service, which refuses the speaker alone.
     Relay {
@@ -169,7 +169,7 @@
                 b.put_u32(jobs.len() as u32);
                 for (job, version, done, running) in jobs {
                     put_text(&mut b, job);
-                    b.put_u64(*version);
+                    b.put_u64(version.0);
                     b.put_u32(*done);
                     b.put_u32(*running);
                 }
@@ -226,7 +226,7 @@
                 let n = r.u32()? as usize;
                 let mut jobs = Vec::new();
                 for _ in 0..n {
-                    jobs.push((r.text()?, r.u64()?, r.u32()?, r.u32()?));
+                    jobs.push((r.text()?, Revision(r.u64()?), r.u32()?, r.u32()?));
                 }
                 Frame::Counts { epoch, jobs }
             }
--- a/crates/peer/src/tests.rs
+++ b/crates/peer/src/tests.rs
@@ -14,7 +14,10 @@
             kept_ms: 31,
             waiting: 5,
         },
-        Frame::Counts { epoch: Epoch(7), jobs: vec![("wk-1".into(), 412, 3, 4), ("wk-2".into(), 9, 0, 1)] },
+        Frame::Counts {
+            epoch: Epoch(7),
+            jobs: vec![("wk-1".into(), Revision(412), 3, 4), ("wk-2".into(), Revision(9), 0, 1)],
+        },
         Frame::Relay { id: 9, body: Bytes::from_static(b"{}") },
         Frame::Relayed { id: 9, status: 409, body: Bytes::from_static(b"{\"a\":1}") },
     ]
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -89,3 +89,20 @@
         Attempt((epoch.0 << Self::COUNTER_BITS) + counter)
     }
 }
+
+number! {
+    /// A revision of the state service, which the wire calls `ledger`, and so the version of a key,
+    /// which it calls `stamp`: the revision of its last change. It only grows, and does with each
+    /// transaction that changes something.
+    Revision
+}
+
+impl Revision {
+    /// The version of a key that does not exist, and before the first revision.
+    pub const ABSENT: Revision = Revision(0);
+
+    /// The revision after this one.
+    pub fn next(self) -> Revision {
+        Revision(self.0 + 1)
+    }
+}
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -26,7 +26,7 @@
 pub mod user;
 pub mod worker;
 
-pub use ids::{AgentEpoch, Attempt, Epoch, FencingToken};
+pub use ids::{AgentEpoch, Attempt, Epoch, FencingToken, Revision};
 
 /// Largest request body, in bytes, and longest line of a response.
 pub const MAX_BODY: usize = 64 * 1024;
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/state.rs
@@ -1,5 +1,6 @@
 //! The state service's interface.
 
+use crate::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
@@ -12,7 +13,7 @@
     pub v: Value,
     /// Revision of its last change.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
     /// Lease that it is attached to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pass: Option<u64>,
@@ -27,17 +28,17 @@
     #[serde(default)]
     pub truncated: bool,
     /// Revision that the page shows.
-    pub ledger: u64,
+    pub ledger: Revision,
 }
 
-/// A condition on a key's version; 0 means that it does not exist.
+/// A condition on a key's version; [`Revision::ABSENT`] means that it does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key.
     pub path: String,
     /// Version.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A change in a transaction.
@@ -89,7 +90,7 @@
     #[serde(default)]
     pub failed: Vec<String>,
     /// Revision.
-    pub ledger: u64,
+    pub ledger: Revision,
 }
 
 /// Asks for a lease.
@@ -121,14 +122,14 @@
     pub v: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// Answer to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct News {
     /// Revision up to which the changes go.
-    pub ledger: u64,
+    pub ledger: Revision,
     /// Changes.
     #[serde(default)]
     pub news: Vec<Change>,
