--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -2,6 +2,7 @@
 
 use crate::event::Event;
 use serde::{Deserialize, Serialize};
+use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::{Catalog, Hire, ListPage};
 use shaleshunt_wire::state::{News, Page, Pair, Txn};
 use shaleshunt_wire::user::Submission;
@@ -53,7 +54,7 @@
         /// What the keys begin with.
         prefix: String,
         /// Revision to begin after.
-        after: u64,
+        after: Revision,
         /// How long to wait.
         hold_ms: u64,
     },
@@ -69,7 +70,7 @@
     /// A page of keys.
     Page(Page),
     /// The transaction was carried out, at this revision.
-    Committed(u64),
+    Committed(Revision),
     /// These conditions failed; nothing was changed.
     Conflict(Vec<String>),
     /// A new lease.
