--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use shaleshunt_wire::Epoch;
+use shaleshunt_wire::{Epoch, Revision};
 use std::collections::BTreeSet;
 
 /// How many variants there are, and where each stands among the samples. A new variant must be added here to
@@ -47,7 +47,7 @@
     let id = |name: &str| -> Id { name.into() };
     let (job, machine) = (id("wk-000412"), id("m-17"));
     let (zone, request) = ("zhubei".to_string(), "h-7-1".to_string());
-    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: 0, found: Some(7) };
+    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: Revision(0), found: Some(Revision(7)) };
     let small = TooSmall { field: "params.resources.core_share", value: 0.5, least: 0.64, machines: 4000 };
     let figures = LeaderFigures {
         jobs: 1,
@@ -216,7 +216,7 @@
 
 #[test]
 fn each_reason_to_step_down_has_a_name_of_its_own() {
-    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: 0, found: None };
+    let foreign = ForeignWrite { key: "f/wk-1".into(), expected: Revision(0), found: None };
     let reasons = [
         (StepDown::NewerEpoch, "newer_epoch"),
         (StepDown::NewerLeader, "newer_leader"),
