--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -69,7 +69,7 @@
         for warning in machines.iter().flat_map(|n| shaleshunt_core::capacity::too_small(&loaded.settings, *n)) {
             println!("warning: {warning}");
         }
-        println!("settings are fine: node {}, {} peers", loaded.settings.label, loaded.wiring.peers.len());
+        println!("settings are fine: node {}, {} peers", loaded.settings.node_name, loaded.wiring.peers.len());
         return ExitCode::SUCCESS;
     }
     let level = match std::env::var("LOG_LEVEL").as_deref() {
@@ -85,7 +85,7 @@
         .with_target(false)
         .init();
     for warning in &loaded.warnings {
-        tracing::info!(node = %loaded.settings.label, event = %"setting_warning", warning = ?warning);
+        tracing::info!(node = %loaded.settings.node_name, event = %"setting_warning", warning = ?warning);
     }
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,7 +1,7 @@
 //! Reads and checks the platform's settings and the operators' properties.
 
 use serde::Deserialize;
-use shaleshunt_core::settings::{Aim, Limits, Settings, Team, Tuning, renamed_key};
+use shaleshunt_core::settings::{Limits, ServiceObjective, Settings, TeamQuota, Tuning, renamed_key};
 use shaleshunt_net::Wiring;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -252,7 +252,7 @@
     for t in &p.teams {
         let fine = [t.cpus, t.cpus_max, t.gpus, t.gpus_max].iter().all(|x| x.is_finite() && (0.0..1e9).contains(x));
         check(fine, &format!("params.teams.{}", t.name), "amounts must be numbers from 0");
-        let team = Team {
+        let team = TeamQuota {
             guarantee: (shaleshunt_wire::to_milli(t.cpus), shaleshunt_wire::to_milli(t.gpus)),
             limit: (shaleshunt_wire::to_milli(t.cpus_max), shaleshunt_wire::to_milli(t.gpus_max)),
         };
@@ -261,10 +261,10 @@
     if !problems.is_empty() {
         return Err(problems);
     }
-    let mut aims: BTreeMap<String, Aim> = BTreeMap::new();
+    let mut objectives: BTreeMap<String, ServiceObjective> = BTreeMap::new();
     for o in &p.objectives {
         let Some(class) = &o.class else { continue };
-        let aim = aims.entry(class.clone()).or_default();
+        let aim = objectives.entry(class.clone()).or_default();
         match o.kind.as_str() {
             "wait" => aim.start_s.extend(o.within_s),
             "finished" => aim.finish_s.extend(o.within_s),
@@ -273,16 +273,16 @@
         }
     }
     let settings = Settings {
-        label: file.label,
+        node_name: file.label,
         location: file.location,
         peers: file.seeds.iter().map(|s| (s.label.clone(), s.location.clone())).collect(),
         zones: p.zones.clone(),
         teams,
-        aims,
-        report_s: p.workers.report_s,
+        objectives,
+        heartbeat_interval_s: p.workers.report_s,
         lease_s: p.workers.lease_s,
         cancel_s: p.workers.cancel_s,
-        state_rps: p.state.rps,
+        kv_rps: p.state.rps,
         state_next: p.state.next.as_ref().map(|n| Limits {
             value_kb: n.value_kb.unwrap_or(p.state.value_kb),
             txn_ops: n.txn_ops.unwrap_or(p.state.txn_ops),
@@ -290,7 +290,7 @@
         }),
         state: Limits { value_kb: p.state.value_kb, txn_ops: p.state.txn_ops, write_rps: p.state.write_rps },
         cloud_rps: p.cloud.rps,
-        list_lag_s: p.cloud.list_lag_s,
+        machine_list_lag_s: p.cloud.list_lag_s,
         mem_mb: p.resources.mem_mb,
         core_share: p.resources.core_share,
         sockets: p.resources.fd_limit,
--- a/crates/core/src/front.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,56 +1,56 @@
 //! Users' requests, on any node. Nothing here needs the leader: an acceptance or withdrawal is a
 //! conditional write, a poll a fresh read. Only final states, which never change, are remembered.
 
+use crate::controller::{BatchTime, Context, PendingRequest};
 use crate::event::Event;
 use crate::io::*;
 use crate::leader::Leader;
 use crate::model::{FinalRecord, JobRecord, keys};
-use crate::node::{Ctx, Moment, Wait};
-use crate::parts::{Large, LargeRecord, Stored, join};
+use crate::submission_parts::{SplitJobRecord, SplitSubmission, StoredJob, join};
 use serde_json::json;
-use shaleshunt_wire::state::{Condition, Pair, Txn, Write};
-use shaleshunt_wire::user::{JobStatus, JobView, Shape, Submission};
-use shaleshunt_wire::{MAX_BODY, Revision, Room};
+use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
+use shaleshunt_wire::user::{JobKind, JobStatus, JobView, Submission};
+use shaleshunt_wire::{MAX_BODY, Resources, Revision};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
 /// What a front request's answer is for.
 #[derive(Debug)]
-pub(crate) enum FrontWait {
-    Accept(Vec<Pending>),
-    Large(Box<Large>),
+pub(crate) enum ApiRequest {
+    Accept(Vec<PendingSubmission>),
+    SplitSubmission(Box<SplitSubmission>),
     /// The parts of a job's submission: its record, its version, and what has come.
-    Parts(Asked, Box<(LargeRecord, Revision, Vec<Pair>)>),
-    Compare(Vec<Asked>),
-    Job(Asked),
-    Final(Asked),
-    Withdraw(Asked),
+    Parts(JobQuery, Box<(SplitJobRecord, Revision, Vec<KeyValue>)>),
+    Compare(Vec<JobQuery>),
+    Job(JobQuery),
+    Final(JobQuery),
+    Withdraw(JobQuery),
     Probe,
 }
 
 /// A submission on its way.
 #[derive(Debug, Clone)]
-pub(crate) struct Pending {
+pub(crate) struct PendingSubmission {
     pub(crate) id: RequestId,
     pub(crate) spec: Submission,
-    pub(crate) wall: u64,
+    pub(crate) wall_ms: u64,
     since: u64,
     /// Its place among what came and what was looked for.
     pub(crate) order: u64,
     /// A job that it awaits is cancelled: it is accepted as cancelled.
-    doomed: bool,
+    cancelled_by_dependency: bool,
 }
 
 /// A question about a job.
 #[derive(Debug, Clone)]
-pub(crate) struct Asked {
+pub(crate) struct JobQuery {
     id: RequestId,
     job: String,
-    why: Why,
+    why: QueryPurpose,
     tries: u32,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Why {
+enum QueryPurpose {
     Poll,
     Resubmit,
     /// Would be refused, but an accepted job never is.
@@ -62,55 +62,55 @@
 
 /// What is known of an unfinished job.
 #[derive(Debug, Default)]
-struct Known {
+struct OpenJob {
     /// Version of its record.
     version: Revision,
     /// Jobs that it awaits, as far as they were not known to be done.
-    awaits: Vec<String>,
+    dependencies: Vec<String>,
     /// It was neither cancelled nor finished later than this.
-    open_at: Moment,
+    open_at: BatchTime,
 }
 
 /// What waits for a look at jobs that are awaited.
 #[derive(Debug)]
-enum Held {
-    Submit(Box<Pending>),
-    Ask(Asked, Moment),
+enum DeferredRequest {
+    Submit(Box<PendingSubmission>),
+    Ask(JobQuery, BatchTime),
 }
 
 /// What is known of the jobs that one awaits, directly or through others.
-enum Before {
+enum DependencyState {
     /// Each is done, or was open a short while ago.
     Clear,
     /// One is cancelled, and all that are named were accepted.
-    Doomed,
+    Cancelled,
     /// Of these it is not known.
     Unknown(Vec<String>),
 }
 
 /// Users' side of a node.
 #[derive(Default)]
-pub(crate) struct Front {
-    queue: VecDeque<Pending>,
-    flying: u32,
+pub(crate) struct Api {
+    queue: VecDeque<PendingSubmission>,
+    acceptances_in_flight: u32,
     /// Submissions that go in parts, between two transactions; the jobs whose do.
-    pub(crate) large: VecDeque<Box<Large>>,
+    pub(crate) large: VecDeque<Box<SplitSubmission>>,
     in_parts: HashSet<String>,
     /// Most acceptances in one transaction, fewer while the state service refuses: a large one finds
     /// its writes all at once less often than a small one.
     most: usize,
     /// Polls of jobs whose records are known, since when they wait: one transaction that only
     /// compares tells of many whether their records are still the same.
-    polls: VecDeque<(u64, Asked)>,
-    comparing: u32,
+    polls: VecDeque<(u64, JobQuery)>,
+    comparisons_in_flight: u32,
     /// Reads for polls that may be sent now.
     reads: f64,
     reads_at: u64,
     /// Unfinished jobs as last seen.
-    open: Remembered<Known>,
+    open: Remembered<OpenJob>,
     /// What waits for a look at awaited jobs; the jobs looked at or about to be, and those still to
     /// be read; whether one has been seen since.
-    held: Vec<Held>,
+    deferred: Vec<DeferredRequest>,
     looking: HashSet<String>,
     to_read: VecDeque<String>,
     looked: bool,
@@ -123,7 +123,7 @@
     order: u64,
     finals: Remembered<(JobStatus, u32)>,
     /// Jobs found to be cancelled that the leader, if it is here, has not been told of.
-    pub(crate) found_cancelled: Vec<String>,
+    pub(crate) newly_cancelled: Vec<String>,
     /// When to try the direct way to the state service again.
     pub probe_at: u64,
     retry_at: u64,
@@ -179,61 +179,61 @@
     Answer::Problem { status: 503, error, retry_after: Some(COME_BACK) }
 }
 
-impl Front {
+impl Api {
     /// Why a job can never run, if so.
-    fn refusal(ctx: &Ctx, s: &Submission) -> Option<&'static str> {
-        let Some(team) = ctx.set.teams.get(&s.team) else { return Some("unknown team") };
+    fn refusal(ctx: &Context, s: &Submission) -> Option<&'static str> {
+        let Some(team) = ctx.settings.teams.get(&s.team) else { return Some("unknown team") };
         let catalog = ctx.catalog.as_ref()?;
         let need = s.need();
-        let allowed = |f: &&shaleshunt_wire::cloud::Frame| {
-            s.frames.as_ref().is_none_or(|names| names.contains(&f.name))
+        let allowed = |f: &&shaleshunt_wire::cloud::MachineType| {
+            s.machine_types.as_ref().is_none_or(|names| names.contains(&f.name))
                 && s.zone.as_ref().is_none_or(|h| f.zones.is_empty() || f.zones.contains(h))
         };
-        if !catalog.frames.iter().filter(allowed).any(|f| f.room().fits(&need)) {
+        if !catalog.machine_types.iter().filter(allowed).any(|f| f.resources().fits(&need)) {
             return Some("a task fits no allowed machine type");
         }
-        let mut all = Room::default();
-        all.add(&need, if s.shape == Shape::Array { 1 } else { i64::from(s.tasks) });
+        let mut all = Resources::default();
+        all.add(&need, if s.kind == JobKind::Array { 1 } else { i64::from(s.tasks) });
         if !team.allows(&all) {
             return Some("more than the team's limit");
         }
         None
     }
 
-    pub fn submit(&mut self, ctx: &mut Ctx, id: RequestId, spec: Submission) {
+    pub fn submit(&mut self, ctx: &mut Context, id: RequestId, spec: Submission) {
         if let Some(view) = self.remembered(&spec.id) {
             ctx.answer(id, Answer::Job(200, view));
         } else if ctx.catalog.is_none() {
             ctx.answer(id, unavailable("machine types not known yet"));
-        } else if ctx.state_down() {
+        } else if ctx.kv_unavailable() {
             ctx.answer(id, unavailable("state service does not answer"));
         } else if let Some(error) = Self::refusal(ctx, &spec) {
-            let asked = Asked { id, job: spec.id, why: Why::Refuse(error), tries: 0 };
+            let asked = JobQuery { id, job: spec.id, why: QueryPurpose::Refuse(error), tries: 0 };
             self.read(ctx, asked);
         } else if self.in_parts.contains(&spec.id) {
             ctx.answer(id, unavailable("being written"));
-        } else if spec.awaits.contains(&spec.id) {
+        } else if spec.dependencies.contains(&spec.id) {
             // It was not accepted when its user named it.
-            let asked = Asked { id, job: spec.id, why: Why::Refuse(NEVER_ACCEPTED), tries: 0 };
+            let asked = JobQuery { id, job: spec.id, why: QueryPurpose::Refuse(NEVER_ACCEPTED), tries: 0 };
             self.read(ctx, asked);
         } else {
             self.order += 1;
-            let (wall, since, order) = (ctx.now.wall, ctx.now.mono, self.order);
-            self.admit(ctx, Pending { id, spec, wall, since, order, doomed: false });
+            let (wall_ms, since, order) = (ctx.now.wall_ms, ctx.now.monotonic_ms, self.order);
+            self.admit(ctx, PendingSubmission { id, spec, wall_ms, since, order, cancelled_by_dependency: false });
         }
     }
 
     /// Queues a submission, unless something is to be found out about the jobs that it awaits.
-    fn admit(&mut self, ctx: &mut Ctx, mut p: Pending) {
-        match self.before(&p.spec.awaits, Self::lately(ctx)).0 {
-            Before::Unknown(jobs) => {
+    fn admit(&mut self, ctx: &mut Context, mut p: PendingSubmission) {
+        match self.dependency_state(&p.spec.dependencies, Self::recent_enough(ctx)).0 {
+            DependencyState::Unknown(jobs) => {
                 self.look_at_jobs(ctx, jobs);
-                self.held.push(Held::Submit(Box::new(p)));
+                self.deferred.push(DeferredRequest::Submit(Box::new(p)));
                 return;
             }
-            Before::Doomed => p.doomed = true,
+            DependencyState::Cancelled => p.cancelled_by_dependency = true,
             // What is done by now need not be awaited, nor found out again by each leader.
-            Before::Clear => p.spec.awaits.retain(|a| self.remembered(a).is_none()),
+            DependencyState::Clear => p.spec.dependencies.retain(|a| self.remembered(a).is_none()),
         }
         self.queue.push_back(p);
     }
@@ -243,53 +243,53 @@
     /// changed with those before it, whoever leads and however long nobody did. A new job, of which
     /// nobody was told anything yet, does with what was seen well within `cancel_s`. Also says whether
     /// there are many.
-    fn before(&self, awaits: &[String], since: Moment) -> (Before, bool) {
+    fn dependency_state(&self, dependencies: &[String], since: BatchTime) -> (DependencyState, bool) {
         let mut seen: HashSet<&str> = HashSet::new();
-        let mut list: Vec<&String> = awaits.iter().collect();
-        let (mut unknown, mut doomed) = (Vec::new(), false);
+        let mut list: Vec<&String> = dependencies.iter().collect();
+        let (mut unknown, mut cancelled_by_dependency) = (Vec::new(), false);
         while let Some(job) = list.pop() {
             if !seen.insert(job) {
                 continue;
             }
             match (self.finals.of.get(job), self.open.of.get(job)) {
                 (Some((JobStatus::Done, _)), _) => {}
-                (Some(_), _) => doomed = true,
+                (Some(_), _) => cancelled_by_dependency = true,
                 (None, Some(k)) if k.open_at.covers(since) => {
-                    list.extend(&k.awaits);
+                    list.extend(&k.dependencies);
                 }
                 (None, _) => unknown.push(job.clone()),
             }
         }
-        if doomed {
+        if cancelled_by_dependency {
             // Whoever names a cancelled job is cancelled too, but only if all that it names was
             // accepted once.
-            let named: HashSet<&String> = awaits.iter().collect();
+            let named: HashSet<&String> = dependencies.iter().collect();
             unknown.retain(|job| named.contains(job) && !self.open.of.contains_key(job));
         }
         let many = seen.len() > MANY;
         match unknown.is_empty() {
-            false => (Before::Unknown(unknown), many),
-            true if doomed => (Before::Doomed, many),
-            true => (Before::Clear, many),
+            false => (DependencyState::Unknown(unknown), many),
+            true if cancelled_by_dependency => (DependencyState::Cancelled, many),
+            true => (DependencyState::Clear, many),
         }
     }
 
     /// Since when what is known of awaited jobs is good enough where nothing newer was told.
-    fn lately(ctx: &Ctx) -> Moment {
-        Moment { step: 0, at: ctx.now.mono.saturating_sub((ctx.set.cancel_s * 250.0) as u64).max(1) }
+    fn recent_enough(ctx: &Context) -> BatchTime {
+        BatchTime { step: 0, at: ctx.now.monotonic_ms.saturating_sub((ctx.settings.cancel_s * 250.0) as u64).max(1) }
     }
 
     /// Has jobs looked at: compared with others if their records are known, else read. Of a long list
     /// some at a time, so that nobody waits for long behind it.
-    fn look_at_jobs(&mut self, ctx: &Ctx, jobs: Vec<String>) {
+    fn look_at_jobs(&mut self, ctx: &Context, jobs: Vec<String>) {
         for job in jobs.into_iter().take(LOOKS) {
             if !self.looking.insert(job.clone()) {
                 continue;
             }
             if self.open.of.contains_key(&job) {
                 self.order += 1;
-                let asked = Asked { id: 0, job, why: Why::Look(self.order), tries: 0 };
-                self.polls.push_back((ctx.now.mono, asked));
+                let asked = JobQuery { id: 0, job, why: QueryPurpose::Look(self.order), tries: 0 };
+                self.polls.push_back((ctx.now.monotonic_ms, asked));
             } else {
                 self.to_read.push_back(job);
             }
@@ -297,12 +297,12 @@
     }
 
     /// Answers a question; a look is only noted.
-    fn reply(&mut self, ctx: &mut Ctx, asked: &Asked, answer: Answer) {
-        if let Why::Look(_) = asked.why {
+    fn reply(&mut self, ctx: &mut Context, asked: &JobQuery, answer: Answer) {
+        if let QueryPurpose::Look(_) = asked.why {
             self.looking.remove(&asked.job);
             self.looked = true;
             if let Answer::Problem { status: 503, .. } = answer {
-                self.look_at = ctx.now.mono + ctx.set.report_ms() / 60;
+                self.look_at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 60;
             }
             return;
         }
@@ -311,18 +311,18 @@
 
     /// Looks at the jobs on long lists again, a round at a time, when half of the time has passed for which
     /// what was seen of them counts.
-    fn turn_long_lists(&mut self, ctx: &Ctx) {
-        let now = ctx.now.mono;
+    fn refresh_long_dependency_lists(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic_ms;
         let open = &self.open.of;
         self.long_lists.retain(|job, until| *until > now && open.contains_key(job));
-        if !self.looking.is_empty() || ctx.state_down() {
+        if !self.looking.is_empty() || ctx.kv_unavailable() {
             return;
         }
-        let lately = Self::lately(ctx);
-        let since = Moment { at: lately.at.midpoint(now), ..lately };
+        let recent_enough = Self::recent_enough(ctx);
+        let since = BatchTime { at: recent_enough.at.midpoint(now), ..recent_enough };
         for job in self.long_lists.keys() {
             let Some(known) = self.open.of.get(job) else { continue };
-            if let (Before::Unknown(jobs), _) = self.before(&known.awaits, since) {
+            if let (DependencyState::Unknown(jobs), _) = self.dependency_state(&known.dependencies, since) {
                 self.look_at_jobs(ctx, jobs);
                 return;
             }
@@ -330,40 +330,43 @@
     }
 
     /// Goes on with what waited for looks, and sends looks that are due.
-    fn turn_held(&mut self, ctx: &mut Ctx, counts: &Counts, leader: Option<&Leader>) {
-        if self.held.is_empty() {
+    fn run_deferred_requests(&mut self, ctx: &mut Context, counts: &Counts, leader: Option<&Leader>) {
+        if self.deferred.is_empty() {
             self.absent.clear();
             self.looked = false;
         }
-        let now = ctx.now.mono;
-        let patience = |h: &Held| match h {
-            Held::Submit(p) => (p.since, shaleshunt_wire::SUBMIT_PATIENCE_S * 600.0),
-            Held::Ask(_, since) => (since.at, shaleshunt_wire::POLL_PATIENCE_S * 600.0),
+        let now = ctx.now.monotonic_ms;
+        let patience = |h: &DeferredRequest| match h {
+            DeferredRequest::Submit(p) => (p.since, shaleshunt_wire::SUBMIT_TIMEOUT_S * 600.0),
+            DeferredRequest::Ask(_, since) => (since.at, shaleshunt_wire::STATUS_TIMEOUT_S * 600.0),
         };
-        let late = |h: &Held| {
+        let late = |h: &DeferredRequest| {
             let (since, ms) = patience(h);
             now.saturating_sub(since) as f64 > ms
         };
-        if (std::mem::take(&mut self.looked) && now >= self.look_at) || self.held.iter().any(late) {
+        if (std::mem::take(&mut self.looked) && now >= self.look_at) || self.deferred.iter().any(late) {
             let absent = std::mem::take(&mut self.absent);
             // What is still wanted is asked for anew.
             for job in std::mem::take(&mut self.to_read) {
                 self.looking.remove(&job);
             }
-            for h in std::mem::take(&mut self.held) {
-                let refused =
-                    |p: &Pending| absent.iter().any(|(job, order)| *order > p.order && p.spec.awaits.contains(job));
+            for h in std::mem::take(&mut self.deferred) {
+                let refused = |p: &PendingSubmission| {
+                    absent.iter().any(|(job, order)| *order > p.order && p.spec.dependencies.contains(job))
+                };
                 match h {
-                    Held::Submit(p) if refused(&p) => {
-                        let why = Why::Refuse(NEVER_ACCEPTED);
-                        self.read(ctx, Asked { id: p.id, job: p.spec.id, why, tries: 0 });
+                    DeferredRequest::Submit(p) if refused(&p) => {
+                        let why = QueryPurpose::Refuse(NEVER_ACCEPTED);
+                        self.read(ctx, JobQuery { id: p.id, job: p.spec.id, why, tries: 0 });
+                    }
+                    DeferredRequest::Submit(p) if late(&DeferredRequest::Submit(p.clone())) => {
+                        ctx.answer(p.id, unavailable(NOT_KNOWN))
                     }
-                    Held::Submit(p) if late(&Held::Submit(p.clone())) => ctx.answer(p.id, unavailable(NOT_KNOWN)),
-                    Held::Submit(p) => self.admit(ctx, *p),
-                    Held::Ask(asked, since) if late(&Held::Ask(asked.clone(), since)) => {
+                    DeferredRequest::Submit(p) => self.admit(ctx, *p),
+                    DeferredRequest::Ask(asked, since) if late(&DeferredRequest::Ask(asked.clone(), since)) => {
                         ctx.answer(asked.id, unavailable(NOT_KNOWN));
                     }
-                    Held::Ask(asked, since) => self.open_job(ctx, asked, since, counts, leader),
+                    DeferredRequest::Ask(asked, since) => self.open_job(ctx, asked, since, counts, leader),
                 }
             }
         } else if now < self.look_at {
@@ -375,32 +378,32 @@
             && let Some(job) = self.to_read.pop_front()
         {
             self.order += 1;
-            let asked = Asked { id: 0, job, why: Why::Look(self.order), tries: 0 };
+            let asked = JobQuery { id: 0, job, why: QueryPurpose::Look(self.order), tries: 0 };
             self.read(ctx, asked);
         }
     }
 
-    pub fn status(&mut self, ctx: &mut Ctx, id: RequestId, job: String) {
-        self.ask(ctx, Asked { id, job, why: Why::Poll, tries: 0 });
+    pub fn status(&mut self, ctx: &mut Context, id: RequestId, job: String) {
+        self.query(ctx, JobQuery { id, job, why: QueryPurpose::Poll, tries: 0 });
     }
 
-    pub fn withdraw(&mut self, ctx: &mut Ctx, id: RequestId, job: String) {
-        self.ask(ctx, Asked { id, job, why: Why::Withdraw, tries: 0 });
+    pub fn withdraw(&mut self, ctx: &mut Context, id: RequestId, job: String) {
+        self.query(ctx, JobQuery { id, job, why: QueryPurpose::Withdraw, tries: 0 });
     }
 
-    fn ask(&mut self, ctx: &mut Ctx, asked: Asked) {
+    fn query(&mut self, ctx: &mut Context, asked: JobQuery) {
         if let Some(view) = self.remembered(&asked.job) {
             ctx.answer(asked.id, Answer::Job(200, view));
-        } else if ctx.state_down() {
+        } else if ctx.kv_unavailable() {
             ctx.answer(asked.id, unavailable("state service does not answer"));
-        } else if asked.why == Why::Poll
+        } else if asked.why == QueryPurpose::Poll
             && let Some(known) = self.open.of.get(&asked.job)
         {
             // What it awaits is compared along with it.
-            if let (Before::Unknown(jobs), _) = self.before(&known.awaits, ctx.moment()) {
+            if let (DependencyState::Unknown(jobs), _) = self.dependency_state(&known.dependencies, ctx.moment()) {
                 self.look_at_jobs(ctx, jobs);
             }
-            self.polls.push_back((ctx.now.mono, asked));
+            self.polls.push_back((ctx.now.monotonic_ms, asked));
         } else {
             self.read(ctx, asked);
         }
@@ -413,36 +416,37 @@
 
     /// Versions of jobs' records, as the leader has them. An old one does no harm: it is found out
     /// when it is compared.
-    pub fn learn<'a>(&mut self, ctx: &Ctx, jobs: impl Iterator<Item = (&'a str, Revision)>) {
+    pub fn learn<'a>(&mut self, ctx: &Context, jobs: impl Iterator<Item = (&'a str, Revision)>) {
         let cap = Self::cap(ctx);
         for (job, version) in jobs {
             match self.open.of.get_mut(job) {
                 Some(known) => {
                     known.version = version.max(known.version);
-                    known.awaits.clear();
+                    known.dependencies.clear();
                 }
-                None => self.open.insert(job, Known { version, ..Known::default() }, cap),
+                None => self.open.insert(job, OpenJob { version, ..OpenJob::default() }, cap),
             }
         }
     }
 
     /// Answers polls of jobs whose records are known, many with one transaction that only compares:
     /// as fresh as a read, at a fraction of the requests.
-    fn compare(&mut self, ctx: &mut Ctx) {
+    fn compare(&mut self, ctx: &mut Context) {
         let most = ctx.limits.conditions().max(1);
-        let gap = (1000.0 / (ctx.set.state_rps * COMPARE_SHARE)).min(shaleshunt_wire::POLL_PATIENCE_S * 250.0) as u64;
-        if ctx.state_down() {
+        let gap =
+            (1000.0 / (ctx.settings.kv_rps * COMPARE_SHARE)).min(shaleshunt_wire::STATUS_TIMEOUT_S * 250.0) as u64;
+        if ctx.kv_unavailable() {
             for (_, asked) in std::mem::take(&mut self.polls) {
                 self.reply(ctx, &asked, unavailable("state service does not answer"));
             }
         }
-        while self.comparing < COMPARING
+        while self.comparisons_in_flight < COMPARING
             && let Some((since, _)) = self.polls.front()
-            && (self.polls.len() >= most || ctx.now.mono.saturating_sub(*since) >= gap)
+            && (self.polls.len() >= most || ctx.now.monotonic_ms.saturating_sub(*since) >= gap)
         {
-            let mut txn = Txn { conditions: Vec::new(), writes: Vec::new() };
+            let mut transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
             let mut batch = Vec::new();
-            while txn.conditions.len() < most
+            while transaction.conditions.len() < most
                 && let Some((_, asked)) = self.polls.pop_front()
             {
                 let Some(version) = self.open.of.get(&asked.job).map(|k| k.version) else {
@@ -450,51 +454,63 @@
                     continue;
                 };
                 let path = format!("{}{}", keys::JOBS, asked.job);
-                if !txn.conditions.iter().any(|c| c.path == path) {
-                    txn.conditions.push(Condition { path, version });
+                if !transaction.conditions.iter().any(|c| c.path == path) {
+                    transaction.conditions.push(Condition { path, version });
                 }
                 batch.push(asked);
             }
             if !batch.is_empty() {
-                self.comparing += 1;
-                ctx.state(StateRequest::Txn(txn), Wait::Front(FrontWait::Compare(batch)));
+                self.comparisons_in_flight += 1;
+                ctx.send_kv(KvRequest::Transaction(transaction), PendingRequest::Api(ApiRequest::Compare(batch)));
             }
         }
     }
 
     /// A job is as its record says: neither finished nor cancelled. If it awaits others, it is called
     /// so only when none of them is known to be cancelled.
-    fn open_job(&mut self, ctx: &mut Ctx, asked: Asked, since: Moment, counts: &Counts, leader: Option<&Leader>) {
+    fn open_job(
+        &mut self,
+        ctx: &mut Context,
+        asked: JobQuery,
+        since: BatchTime,
+        counts: &Counts,
+        leader: Option<&Leader>,
+    ) {
         if let Some(known) = self.open.of.get(&asked.job)
-            && !matches!(asked.why, Why::Look(_))
+            && !matches!(asked.why, QueryPurpose::Look(_))
         {
             // Thousands cannot all be looked at for each question. Then what was seen lately does, and a
             // cancellation is told when it is in the job's own record: no node says it sooner.
-            let (mut found, many) = self.before(&known.awaits, since);
+            let (mut found, many) = self.dependency_state(&known.dependencies, since);
             if many {
-                let lately = Self::lately(ctx);
+                let recent_enough = Self::recent_enough(ctx);
                 if self.long_lists.len() < LONG_LISTS || self.long_lists.contains_key(&asked.job) {
-                    let until = ctx.now.mono + (ctx.set.cancel_s * 1000.0) as u64;
+                    let until = ctx.now.monotonic_ms + (ctx.settings.cancel_s * 1000.0) as u64;
                     self.long_lists.insert(asked.job.clone(), until);
                 }
-                found = self.before(&known.awaits, Moment { at: since.at.min(lately.at), ..lately }).0;
+                found = self
+                    .dependency_state(
+                        &known.dependencies,
+                        BatchTime { at: since.at.min(recent_enough.at), ..recent_enough },
+                    )
+                    .0;
             }
             match found {
-                Before::Clear => {}
-                Before::Doomed if many => {
+                DependencyState::Clear => {}
+                DependencyState::Cancelled if many => {
                     ctx.answer(asked.id, unavailable("about to be cancelled"));
                     return;
                 }
                 // One before it was cancelled, so it never runs: that is as final as its own record
                 // will be, and every node finds the same.
-                Before::Doomed => {
-                    self.remember(ctx, &asked.job, JobStatus::Aborted, 0);
-                    ctx.answer(asked.id, Answer::Job(200, final_view(&asked.job, JobStatus::Aborted, 0)));
+                DependencyState::Cancelled => {
+                    self.remember(ctx, &asked.job, JobStatus::Cancelled, 0);
+                    ctx.answer(asked.id, Answer::Job(200, final_view(&asked.job, JobStatus::Cancelled, 0)));
                     return;
                 }
-                Before::Unknown(jobs) => {
+                DependencyState::Unknown(jobs) => {
                     self.look_at_jobs(ctx, jobs);
-                    self.held.push(Held::Ask(asked, since));
+                    self.deferred.push(DeferredRequest::Ask(asked, since));
                     return;
                 }
             }
@@ -509,23 +525,23 @@
     }
 
     /// Whether a read that is limited may be sent now; it is counted then. Nodes that are heard share.
-    fn may_read(&mut self, ctx: &Ctx) -> bool {
-        let rate = ctx.set.state_rps * READ_SHARE / f64::from(1 + ctx.live_peers);
-        let gained = ctx.now.mono.saturating_sub(self.reads_at) as f64 / 1000.0 * rate;
+    fn may_read(&mut self, ctx: &Context) -> bool {
+        let rate = ctx.settings.kv_rps * READ_SHARE / f64::from(1 + ctx.live_peers);
+        let gained = ctx.now.monotonic_ms.saturating_sub(self.reads_at) as f64 / 1000.0 * rate;
         self.reads = (self.reads + gained).min(rate.max(1.0));
-        self.reads_at = ctx.now.mono;
+        self.reads_at = ctx.now.monotonic_ms;
         let may = self.reads >= 1.0;
         self.reads -= if may { 1.0 } else { 0.0 };
         may
     }
 
-    fn read(&mut self, ctx: &mut Ctx, asked: Asked) {
-        if asked.why == Why::Poll && !self.may_read(ctx) {
+    fn read(&mut self, ctx: &mut Context, asked: JobQuery) {
+        if asked.why == QueryPurpose::Poll && !self.may_read(ctx) {
             ctx.answer(asked.id, unavailable("too many at once"));
             return;
         }
         let key = format!("{}{}", keys::JOBS, asked.job);
-        ctx.state(StateRequest::Get { key }, Wait::Front(FrontWait::Job(asked)));
+        ctx.send_kv(KvRequest::Get { key }, PendingRequest::Api(ApiRequest::Job(asked)));
     }
 
     fn remembered(&self, job: &str) -> Option<JobView> {
@@ -534,64 +550,64 @@
 
     /// Whether a job is known here to be cancelled.
     pub fn is_cancelled(&self, job: &str) -> bool {
-        matches!(self.finals.of.get(job), Some((JobStatus::Aborted, _)))
+        matches!(self.finals.of.get(job), Some((JobStatus::Cancelled, _)))
     }
 
     /// Most jobs remembered of each kind: a small share of the memory limit.
-    fn cap(ctx: &Ctx) -> usize {
-        (ctx.set.mem_mb * 1024.0 * 1024.0 / 100.0 / 200.0) as usize
+    fn cap(ctx: &Context) -> usize {
+        (ctx.settings.mem_mb * 1024.0 * 1024.0 / 100.0 / 200.0) as usize
     }
 
-    fn remember(&mut self, ctx: &Ctx, job: &str, status: JobStatus, n: u32) {
-        if status == JobStatus::Aborted {
-            self.found_cancelled.push(job.to_string());
+    fn remember(&mut self, ctx: &Context, job: &str, status: JobStatus, n: u32) {
+        if status == JobStatus::Cancelled {
+            self.newly_cancelled.push(job.to_string());
         }
         self.finals.insert(job, (status, n), Self::cap(ctx));
     }
 
     /// Sends waiting acceptances, many in one transaction.
-    pub fn turn(&mut self, ctx: &mut Ctx, counts: &Counts, leader: Option<&Leader>) {
-        self.turn_held(ctx, counts, leader);
-        self.turn_long_lists(ctx);
+    pub fn run_due(&mut self, ctx: &mut Context, counts: &Counts, leader: Option<&Leader>) {
+        self.run_deferred_requests(ctx, counts, leader);
+        self.refresh_long_dependency_lists(ctx);
         self.compare(ctx);
-        let patience = (shaleshunt_wire::SUBMIT_PATIENCE_S * 1000.0 * 0.6) as u64;
-        while self.queue.front().is_some_and(|p| ctx.now.mono.saturating_sub(p.since) > patience) {
+        let patience = (shaleshunt_wire::SUBMIT_TIMEOUT_S * 1000.0 * 0.6) as u64;
+        while self.queue.front().is_some_and(|p| ctx.now.monotonic_ms.saturating_sub(p.since) > patience) {
             if let Some(p) = self.queue.pop_front() {
                 ctx.answer(p.id, unavailable("too many at once"));
             }
         }
         for large in &mut self.large {
-            if !large.told && ctx.now.mono.saturating_sub(large.p.since) > patience {
+            if !large.told && ctx.now.monotonic_ms.saturating_sub(large.p.since) > patience {
                 large.told = true;
                 ctx.answer(large.p.id, unavailable("being written"));
             }
         }
-        if ctx.now.mono >= self.retry_at
+        if ctx.now.monotonic_ms >= self.retry_at
             && let Some(large) = self.large.pop_front()
         {
-            self.send_large(ctx, large);
+            self.send_split_submission(ctx, large);
         }
-        while self.flying < FLYING && !self.queue.is_empty() && ctx.now.mono >= self.retry_at {
+        while self.acceptances_in_flight < FLYING && !self.queue.is_empty() && ctx.now.monotonic_ms >= self.retry_at {
             let mut batch = Vec::new();
-            let mut txn = Txn { conditions: Vec::new(), writes: Vec::new() };
+            let mut transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
             let mut bytes = 0;
             while let Some(p) = self.queue.pop_front() {
                 let key = format!("{}{}", keys::JOBS, p.spec.id);
-                if txn.conditions.iter().any(|c| c.path == key) {
+                if transaction.conditions.iter().any(|c| c.path == key) {
                     // The same job twice in a batch: the second learns from the first.
-                    let asked = Asked { id: p.id, job: p.spec.id, why: Why::Resubmit, tries: 0 };
+                    let asked = JobQuery { id: p.id, job: p.spec.id, why: QueryPurpose::Resubmit, tries: 0 };
                     self.read(ctx, asked);
                     continue;
                 }
-                let v = if p.doomed {
-                    json!(FinalRecord { x: true, n: p.spec.tasks, t: p.wall })
+                let v = if p.cancelled_by_dependency {
+                    json!(FinalRecord { x: true, n: p.spec.tasks, t: p.wall_ms })
                 } else {
-                    json!(JobRecord { s: p.spec.clone(), at: p.wall, x: false, k: false })
+                    json!(JobRecord { s: p.spec.clone(), at: p.wall_ms, x: false, k: false })
                 };
                 let size = v.to_string().len();
                 if size > ctx.limits.value_bytes() {
                     self.in_parts.insert(p.spec.id.clone());
-                    self.large.push_back(Box::new(Large::new(ctx, p)));
+                    self.large.push_back(Box::new(SplitSubmission::new(ctx, p)));
                     continue;
                 }
                 bytes += size + key.len() * 3 + 64;
@@ -599,56 +615,57 @@
                     self.queue.push_front(p);
                     break;
                 }
-                let end = format!("{}{}", keys::FINALS, p.spec.id);
-                txn.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
-                txn.conditions.push(Condition { path: end.clone(), version: Revision::ABSENT });
-                txn.writes.push(Write::set(if p.doomed { end } else { key }, v));
+                let end = format!("{}{}", keys::FINAL_RECORDS, p.spec.id);
+                transaction.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
+                transaction.conditions.push(Condition { path: end.clone(), version: Revision::ABSENT });
+                transaction.writes.push(Write::set(if p.cancelled_by_dependency { end } else { key }, v));
                 batch.push(p);
                 if batch.len() >= self.most.clamp(1, ctx.limits.ops().max(1)) {
                     break;
                 }
             }
             if !batch.is_empty() {
-                self.flying += 1;
-                ctx.state(StateRequest::Txn(txn), Wait::Front(FrontWait::Accept(batch)));
+                self.acceptances_in_flight += 1;
+                ctx.send_kv(KvRequest::Transaction(transaction), PendingRequest::Api(ApiRequest::Accept(batch)));
             }
         }
     }
 
-    pub fn state_answer(
+    pub fn handle_kv_reply(
         &mut self,
-        ctx: &mut Ctx,
-        wait: FrontWait,
-        sent: Moment,
-        result: Result<StateReply, IoError>,
+        ctx: &mut Context,
+        wait: ApiRequest,
+        sent: BatchTime,
+        result: Result<KvReply, RequestError>,
         counts: &Counts,
         leader: Option<&Leader>,
     ) {
         match wait {
-            FrontWait::Probe => {
+            ApiRequest::Probe => {
                 if result.is_ok() {
-                    ctx.via = None;
+                    ctx.relay = None;
                     ctx.emit(Event::StateServiceRelayEnded);
                 }
             }
-            FrontWait::Accept(batch) => {
-                self.flying -= 1;
+            ApiRequest::Accept(batch) => {
+                self.acceptances_in_flight -= 1;
                 self.accepted(ctx, batch, sent, result);
             }
-            FrontWait::Large(large) => {
-                if let Err(IoError::Throttled) = result {
-                    self.retry_at = ctx.now.mono + ctx.set.report_ms() / 60;
+            ApiRequest::SplitSubmission(large) => {
+                if let Err(RequestError::Throttled) = result {
+                    self.retry_at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 60;
                 }
-                self.large_sent(ctx, large, sent, result);
+                self.handle_split_submission_reply(ctx, large, sent, result);
             }
-            FrontWait::Parts(asked, mut got) => match result {
-                Ok(StateReply::Page(page)) => {
+            ApiRequest::Parts(asked, mut got) => match result {
+                Ok(KvReply::Page(page)) => {
                     got.2.extend(page.pairs);
                     if page.truncated {
                         self.read_parts(ctx, asked, got);
                     } else if let Some(rec) = join(&got.0, &got.2) {
                         // Its own record was read before; who awaits it looks again.
-                        let known = Known { version: got.1, awaits: rec.s.awaits, open_at: Moment::default() };
+                        let known =
+                            OpenJob { version: got.1, dependencies: rec.s.dependencies, open_at: BatchTime::default() };
                         self.open.insert(&asked.job, known, Self::cap(ctx));
                         self.open_job(ctx, asked, sent, counts, leader);
                     } else {
@@ -658,10 +675,10 @@
                 }
                 _ => self.reply(ctx, &asked, unavailable("state service does not answer")),
             },
-            FrontWait::Compare(batch) => {
-                self.comparing -= 1;
+            ApiRequest::Compare(batch) => {
+                self.comparisons_in_flight -= 1;
                 match result {
-                    Ok(StateReply::Committed(_)) => {
+                    Ok(KvReply::Committed(_)) => {
                         for asked in &batch {
                             if let Some(known) = self.open.of.get_mut(&asked.job) {
                                 known.open_at = if sent.covers(known.open_at) { sent } else { known.open_at };
@@ -672,11 +689,11 @@
                         }
                     }
                     // What changed is read; of the others nothing is said.
-                    Ok(StateReply::Conflict(failed)) => {
+                    Ok(KvReply::Conflict(failed)) => {
                         for f in &failed {
                             self.open.of.remove(f.get(keys::JOBS.len()..).unwrap_or_default());
                         }
-                        let known = |a: &Asked| self.open.of.contains_key(&a.job);
+                        let known = |a: &JobQuery| self.open.of.contains_key(&a.job);
                         let (same, changed): (Vec<_>, Vec<_>) = batch.into_iter().partition(known);
                         let (again, read) = if changed.is_empty() { (changed, same) } else { (same, changed) };
                         for asked in read {
@@ -687,7 +704,7 @@
                         }
                     }
                     other => {
-                        if let Err(IoError::Rejected(_)) = other {
+                        if let Err(RequestError::Rejected(_)) = other {
                             ctx.limits.too_large();
                         }
                         for asked in batch {
@@ -696,36 +713,40 @@
                     }
                 }
             }
-            FrontWait::Job(asked) => match result {
-                Ok(StateReply::Found(pair)) => {
-                    let Some(rec) = Stored::read(pair.v) else {
+            ApiRequest::Job(asked) => match result {
+                Ok(KvReply::Found(pair)) => {
+                    let Some(rec) = StoredJob::read(pair.v) else {
                         self.reply(ctx, &asked, unavailable("record not understood"));
                         return;
                     };
                     let (cancelled, tasks) = rec.cancelled();
                     if cancelled {
-                        self.remember(ctx, &asked.job, JobStatus::Aborted, tasks);
-                        let view = final_view(&asked.job, JobStatus::Aborted, tasks);
+                        self.remember(ctx, &asked.job, JobStatus::Cancelled, tasks);
+                        let view = final_view(&asked.job, JobStatus::Cancelled, tasks);
                         self.reply(ctx, &asked, Answer::Job(200, view));
-                    } else if asked.why == Why::Withdraw {
+                    } else if asked.why == QueryPurpose::Withdraw {
                         let key = format!("{}{}", keys::JOBS, asked.job);
                         let cancel = format!("{}{}", keys::CANCELLED, asked.job);
-                        let txn = Txn {
+                        let transaction = Transaction {
                             conditions: vec![
                                 Condition { path: key.clone(), version: pair.version },
                                 Condition { path: cancel.clone(), version: Revision::ABSENT },
                             ],
                             writes: vec![Write::set(key, rec.into_cancelled()), Write::set(cancel, json!(true))],
                         };
-                        ctx.state(StateRequest::Txn(txn), Wait::Front(FrontWait::Withdraw(asked)));
+                        ctx.send_kv(
+                            KvRequest::Transaction(transaction),
+                            PendingRequest::Api(ApiRequest::Withdraw(asked)),
+                        );
                     } else {
                         match rec {
-                            Stored::Whole(rec) => {
-                                let known = Known { version: pair.version, awaits: rec.s.awaits, open_at: sent };
+                            StoredJob::Whole(rec) => {
+                                let known =
+                                    OpenJob { version: pair.version, dependencies: rec.s.dependencies, open_at: sent };
                                 self.open.insert(&asked.job, known, Self::cap(ctx));
                                 self.open_job(ctx, asked, sent, counts, leader);
                             }
-                            Stored::Large(rec) => {
+                            StoredJob::SplitSubmission(rec) => {
                                 self.read_parts(ctx, asked, Box::new((rec, pair.version, Vec::new())))
                             }
                         }
@@ -733,51 +754,51 @@
                 }
                 // Not among the unfinished at this moment: either finished before, and then its
                 // final record is there by now, or never accepted until now.
-                Ok(StateReply::Missing) => {
-                    let key = format!("{}{}", keys::FINALS, asked.job);
-                    ctx.state(StateRequest::Get { key }, Wait::Front(FrontWait::Final(asked)));
+                Ok(KvReply::Missing) => {
+                    let key = format!("{}{}", keys::FINAL_RECORDS, asked.job);
+                    ctx.send_kv(KvRequest::Get { key }, PendingRequest::Api(ApiRequest::Final(asked)));
                 }
                 _ => self.reply(ctx, &asked, unavailable("state service does not answer")),
             },
-            FrontWait::Final(mut asked) => match result {
-                Ok(StateReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
+            ApiRequest::Final(mut asked) => match result {
+                Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
                     Ok(rec) => {
-                        let status = if rec.x { JobStatus::Aborted } else { JobStatus::Done };
+                        let status = if rec.x { JobStatus::Cancelled } else { JobStatus::Done };
                         self.remember(ctx, &asked.job, status, rec.n);
                         let view = final_view(&asked.job, status, rec.n);
                         self.reply(ctx, &asked, Answer::Job(200, view));
                     }
                     Err(_) => self.reply(ctx, &asked, unavailable("record not understood")),
                 },
-                Ok(StateReply::Missing) => match asked.why {
-                    Why::Refuse(error) => {
+                Ok(KvReply::Missing) => match asked.why {
+                    QueryPurpose::Refuse(error) => {
                         ctx.answer(asked.id, Answer::Problem { status: 422, error, retry_after: None });
                     }
                     // A conflict said that it is there; a read can only miss it if it was accepted
                     // between the two reads.
-                    Why::Resubmit if asked.tries < 3 => {
+                    QueryPurpose::Resubmit if asked.tries < 3 => {
                         asked.tries += 1;
                         self.read(ctx, asked);
                     }
-                    Why::Resubmit => ctx.answer(asked.id, unavailable("try again")),
-                    Why::Look(order) => {
+                    QueryPurpose::Resubmit => ctx.answer(asked.id, unavailable("try again")),
+                    QueryPurpose::Look(order) => {
                         self.absent.push((asked.job.clone(), order));
                         self.looking.remove(&asked.job);
                         self.looked = true;
                     }
-                    Why::Poll | Why::Withdraw => {
+                    QueryPurpose::Poll | QueryPurpose::Withdraw => {
                         ctx.answer(asked.id, Answer::Problem { status: 404, error: "no such job", retry_after: None });
                     }
                 },
                 _ => self.reply(ctx, &asked, unavailable("state service does not answer")),
             },
-            FrontWait::Withdraw(mut asked) => match result {
-                Ok(StateReply::Committed(_)) => {
-                    self.remember(ctx, &asked.job, JobStatus::Aborted, 0);
+            ApiRequest::Withdraw(mut asked) => match result {
+                Ok(KvReply::Committed(_)) => {
+                    self.remember(ctx, &asked.job, JobStatus::Cancelled, 0);
                     ctx.emit(Event::JobCancellationRecorded { job: asked.job.as_str().into() });
-                    ctx.answer(asked.id, Answer::Job(200, final_view(&asked.job, JobStatus::Aborted, 0)));
+                    ctx.answer(asked.id, Answer::Job(200, final_view(&asked.job, JobStatus::Cancelled, 0)));
                 }
-                Ok(StateReply::Conflict(_)) if asked.tries < 3 => {
+                Ok(KvReply::Conflict(_)) if asked.tries < 3 => {
                     asked.tries += 1;
                     self.read(ctx, asked);
                 }
@@ -786,43 +807,43 @@
         }
     }
 
-    fn read_parts(&mut self, ctx: &mut Ctx, asked: Asked, got: Box<(LargeRecord, Revision, Vec<Pair>)>) {
+    fn read_parts(&mut self, ctx: &mut Context, asked: JobQuery, got: Box<(SplitJobRecord, Revision, Vec<KeyValue>)>) {
         let prefix = got.0.p.clone();
         let after = got.2.last().map(|p| p.path.clone()).unwrap_or_default();
-        ctx.state(StateRequest::Scan { prefix, after }, Wait::Front(FrontWait::Parts(asked, got)));
+        ctx.send_kv(KvRequest::Scan { prefix, after }, PendingRequest::Api(ApiRequest::Parts(asked, got)));
     }
 
     pub(crate) fn accepted(
         &mut self,
-        ctx: &mut Ctx,
-        batch: Vec<Pending>,
-        sent: Moment,
-        result: Result<StateReply, IoError>,
+        ctx: &mut Context,
+        batch: Vec<PendingSubmission>,
+        sent: BatchTime,
+        result: Result<KvReply, RequestError>,
     ) {
         for p in &batch {
             self.in_parts.remove(&p.spec.id);
         }
         match result {
-            Ok(StateReply::Committed(ledger)) => {
+            Ok(KvReply::Committed(revision)) => {
                 self.most = (self.most * 2).clamp(2, ctx.limits.ops().max(2));
                 for p in batch {
                     ctx.emit(Event::JobAccepted { job: p.spec.id.as_str().into() });
-                    let view = if p.doomed {
-                        self.remember(ctx, &p.spec.id, JobStatus::Aborted, p.spec.tasks);
-                        final_view(&p.spec.id, JobStatus::Aborted, p.spec.tasks)
+                    let view = if p.cancelled_by_dependency {
+                        self.remember(ctx, &p.spec.id, JobStatus::Cancelled, p.spec.tasks);
+                        final_view(&p.spec.id, JobStatus::Cancelled, p.spec.tasks)
                     } else {
-                        let known = Known { version: ledger, awaits: p.spec.awaits, open_at: sent };
+                        let known = OpenJob { version: revision, dependencies: p.spec.dependencies, open_at: sent };
                         self.open.insert(&p.spec.id, known, Self::cap(ctx));
                         JobView { id: p.spec.id, status: JobStatus::Queued, done: None, running: None }
                     };
                     ctx.answer(p.id, Answer::Job(201, view));
                 }
             }
-            Ok(StateReply::Conflict(failed)) => {
+            Ok(KvReply::Conflict(failed)) => {
                 for p in batch.into_iter().rev() {
                     let known = |f: &String| f.get(2..) == Some(p.spec.id.as_str());
                     if failed.iter().any(known) {
-                        let asked = Asked { id: p.id, job: p.spec.id, why: Why::Resubmit, tries: 0 };
+                        let asked = JobQuery { id: p.id, job: p.spec.id, why: QueryPurpose::Resubmit, tries: 0 };
                         self.read(ctx, asked);
                     } else {
                         self.queue.push_front(p);
@@ -830,15 +851,15 @@
                 }
             }
             // Not carried out: again soon, within the user's patience.
-            Err(IoError::Throttled) => {
-                self.retry_at = ctx.now.mono + ctx.set.report_ms() / 60;
+            Err(RequestError::Throttled) => {
+                self.retry_at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 60;
                 self.most = batch.len() / 2;
                 for p in batch.into_iter().rev() {
                     self.queue.push_front(p);
                 }
             }
             // Too large by now: again in smaller tasks.
-            Err(IoError::Rejected(_)) if ctx.limits.too_large() => {
+            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
                 self.most = batch.len() / 2;
                 for p in batch.into_iter().rev() {
                     self.queue.push_front(p);
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -41,19 +41,24 @@
 /// Which settings grant less than so many machines need.
 pub fn too_small(settings: &Settings, machines: u32) -> Vec<TooSmall> {
     let fleet = f64::from(machines);
-    let needs = [
-        ("params.resources.core_share", settings.core_share, fleet / settings.report_s * CORE_PER_REPORT),
+    let open_dependencies = [
+        ("params.resources.core_share", settings.core_share, fleet / settings.heartbeat_interval_s * CORE_PER_REPORT),
         ("params.resources.mem_mb", settings.mem_mb, BASE_MIB + fleet * MIB_PER_MACHINE),
         ("params.resources.fd_limit", settings.sockets as f64, BASE_SOCKETS + fleet * SOCKETS_PER_MACHINE),
     ];
-    let small = needs.into_iter().filter(|(_, value, least)| value < least);
+    let small = open_dependencies.into_iter().filter(|(_, value, least)| value < least);
     small.map(|(field, value, least)| TooSmall { field, value, least, machines }).collect()
 }
 
 /// The most machines that the teams' limits allow, of the smallest type in the catalog; `None` if a team has no
 /// limit or no type is known.
 pub fn most_machines(settings: &Settings, catalog: &Catalog) -> Option<u32> {
-    let smallest = catalog.frames.iter().map(|frame| frame.room().cores).filter(|cores| *cores > 0).min()?;
+    let smallest = catalog
+        .machine_types
+        .iter()
+        .map(|machine_type| machine_type.resources().cores)
+        .filter(|cores| *cores > 0)
+        .min()?;
     let limits: Vec<i64> = settings.teams.values().map(|team| team.limit.0).collect();
     if limits.is_empty() || limits.contains(&0) {
         return None;
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -2,10 +2,10 @@
 
 use crate::capacity::TooSmall;
 use crate::io::Severity;
+pub use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::model::Id;
-pub use crate::step_down::{ForeignWrite, StepDown};
 use shaleshunt_wire::Epoch;
-use shaleshunt_wire::worker::Cause;
+use shaleshunt_wire::worker::ExitCause;
 use std::borrow::Cow;
 use std::fmt;
 
@@ -104,7 +104,7 @@
         /// The machine that ran it.
         machine: Id,
         /// What the machine reports as the cause.
-        cause: Cause,
+        cause: ExitCause,
     },
     /// Preemption: tasks on a machine are stopped to make room for a more urgent job.
     TasksPreempted {
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -3,23 +3,23 @@
 use crate::event::Event;
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::cloud::{Catalog, Hire, ListPage};
-use shaleshunt_wire::state::{News, Page, Pair, Txn};
+use shaleshunt_wire::cloud::{Catalog, ListPage, ScaleOutRequest};
+use shaleshunt_wire::kv::{KeyValue, Page, Transaction, WatchReply};
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::worker::{Orders, Report, ReportReply};
+use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply};
 
 /// The time of one batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Now {
+pub struct Timestamp {
     /// Steady clock, in milliseconds.
-    pub mono: u64,
+    pub monotonic_ms: u64,
     /// Time of day, in milliseconds since 1970; only for deadlines, never for safety.
-    pub wall: u64,
+    pub wall_ms: u64,
 }
 
 /// A request to the state service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum StateRequest {
+pub enum KvRequest {
     /// One key.
     Get {
         /// The key.
@@ -33,19 +33,24 @@
         after: String,
     },
     /// A transaction.
-    Txn(Txn),
+    #[serde(rename = "Txn")]
+    Transaction(Transaction),
     /// A new lease.
-    NewHold {
-        /// Its life without renewal.
-        life_ms: u64,
+    #[serde(rename = "NewHold")]
+    GrantLease {
+        /// Time to live without renewal.
+        #[serde(rename = "life_ms")]
+        ttl_ms: u64,
     },
     /// Renews a lease.
-    Renew {
+    #[serde(rename = "Renew")]
+    RenewLease {
         /// The lease.
         pass: u64,
     },
     /// Ends a lease.
-    EndHold {
+    #[serde(rename = "EndHold")]
+    RevokeLease {
         /// The lease.
         pass: u64,
     },
@@ -62,9 +67,9 @@
 
 /// The state service's answer.
 #[derive(Debug, Clone, PartialEq)]
-pub enum StateReply {
+pub enum KvReply {
     /// A key that is there.
-    Found(Pair),
+    Found(KeyValue),
     /// A key or lease that is not there.
     Missing,
     /// A page of keys.
@@ -74,30 +79,30 @@
     /// These conditions failed; nothing was changed.
     Conflict(Vec<String>),
     /// A new lease.
-    Hold(u64),
+    LeaseGranted(u64),
     /// Carried out.
-    Fine,
+    Done,
     /// Changes.
-    News(News),
+    Changes(WatchReply),
     /// The watch began too long ago.
-    TooOld,
+    Compacted,
 }
 
 /// Why a request brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
-pub enum IoError {
+pub enum RequestError {
     /// The request surely did not get out.
     #[error("not sent")]
     NotSent,
     /// Not sent, because too much was under way here: it says nothing about the other side.
     #[error("too much under way")]
-    Busy,
+    LocalOverload,
     /// No answer: it may have been carried out, or may be later.
     #[error("no answer")]
-    Unknown,
+    OutcomeUnknown,
     /// The service refused for now; not carried out.
     #[error("refused for now")]
-    Refused,
+    Unavailable,
     /// Too many requests; not carried out.
     #[error("too many requests")]
     Throttled,
@@ -109,7 +114,7 @@
     TooLong,
     /// The answer makes no sense.
     #[error("senseless answer")]
-    Senseless,
+    Malformed,
 }
 
 /// A request to the cloud.
@@ -118,9 +123,9 @@
     /// The types.
     Catalog,
     /// Machines, by name.
-    Hire(Hire),
+    ScaleOut(ScaleOutRequest),
     /// Gives machines back.
-    Return(Vec<String>),
+    ScaleIn(Vec<String>),
     /// A page of the list.
     List {
         /// Name to begin after.
@@ -134,22 +139,22 @@
     /// The types.
     Catalog(Catalog),
     /// Machines hired.
-    Hired(Vec<String>),
+    ScaledOut(Vec<String>),
     /// None to be had.
     NoCapacity,
     /// Machines are gone.
-    Returned,
+    ScaledIn,
     /// A page of the list.
-    Page(ListPage),
+    MachineList(ListPage),
 }
 
 /// A worker's answer to direct commands.
 #[derive(Debug, Clone, PartialEq)]
-pub enum OrdersReply {
+pub enum DirectCommandsReply {
     /// Executed; the report after it.
-    Executed(Report),
+    Executed(Heartbeat),
     /// Nothing executed; the report.
-    Outdated(Report),
+    Fenced(Heartbeat),
 }
 
 /// Number of a request that waits for its answer.
@@ -163,21 +168,21 @@
     /// A user's poll.
     Status(RequestId, String),
     /// A user's withdrawal.
-    Withdraw(RequestId, String),
+    Cancel(RequestId, String),
     /// A health check.
-    Up(RequestId),
+    HealthCheck(RequestId),
     /// A worker's report.
-    Checkin(RequestId, Box<Report>),
+    Heartbeat(RequestId, Box<Heartbeat>),
     /// The state service answered.
-    State(RequestId, Result<StateReply, IoError>),
+    Kv(RequestId, Result<KvReply, RequestError>),
     /// The cloud answered.
-    Cloud(RequestId, Result<CloudReply, IoError>),
+    Cloud(RequestId, Result<CloudReply, RequestError>),
     /// A worker answered direct commands.
-    Orders(RequestId, Result<OrdersReply, IoError>),
+    DirectCommands(RequestId, Result<DirectCommandsReply, RequestError>),
     /// A peer said something.
     Peer(String, shaleshunt_peer::Frame),
     /// A connection from or to a peer broke.
-    PeerLost(String),
+    PeerDisconnected(String),
     /// Nothing: time has passed.
     Tick,
 }
@@ -211,9 +216,9 @@
         retry_after: Option<u32>,
     },
     /// Answer to a report.
-    Report(ReportReply),
+    Heartbeat(HeartbeatReply),
     /// Report to another node (or to any other).
-    Elsewhere(Option<String>),
+    Redirect(Option<String>),
     /// Healthy.
     Healthy,
 }
@@ -222,11 +227,11 @@
 #[derive(Debug)]
 pub enum Effect {
     /// Ask the state service; through a peer if one is named.
-    State(RequestId, StateRequest, Option<String>),
+    Kv(RequestId, KvRequest, Option<String>),
     /// Ask the cloud.
     Cloud(RequestId, CloudRequest),
     /// Command a worker at an address.
-    Orders(RequestId, String, Orders),
+    DirectCommands(RequestId, String, DirectCommands),
     /// Answer a request.
     Answer(RequestId, Answer),
     /// Tell a peer.
--- a/crates/core/src/failing.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -1,9 +1,9 @@
 //! Machines on which tasks fail or take too long, told from jobs that fail everywhere.
 
+use crate::controller::Context;
 use crate::event::Event;
 use crate::leader::Leader;
 use crate::model::*;
-use crate::node::Ctx;
 use std::collections::BTreeSet;
 
 /// A task that has run for so many times what its job's tasks usually take overruns.
@@ -18,54 +18,62 @@
     /// is the machine; it is left alone for a while, then tried with one task. A job that failed on
     /// several machines without any such sign is held back and counts against no machine. With
     /// dozens of machines failing at once, a large job fails many times before its first task ends.
-    pub(crate) fn failed_on(&mut self, ctx: &mut Ctx, machine: &Id, job: &Id, ran: u64) {
-        let now = ctx.now.mono;
+    pub(crate) fn failed_on(&mut self, ctx: &mut Context, machine: &Id, job: &Id, runtime: u64) {
+        let now = ctx.now.monotonic_ms;
         let Some(j) = self.jobs.get_mut(job) else { return };
         j.failures += 1;
         j.failed_on.insert(machine.clone());
-        let long = ran + ctx.set.report_ms() / 2;
-        let steady = |l: &Live| {
-            let place = self.machines.get(&l.machine).and_then(|m| m.places.iter().find(|p| p.slot == l.slot));
+        let long = runtime + ctx.settings.heartbeat_interval_ms() / 2;
+        let steady = |l: &TaskPlacement| {
+            let place = self
+                .fleet
+                .machines
+                .get(&l.machine)
+                .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
             l.machine != *machine && place.is_some_and(|p| p.running.is_some_and(|r| now - r > long))
         };
         let does_well = j.done_count > 0 || j.live.values().flatten().any(steady);
         // Tasks that have only just begun elsewhere are no sign yet, but a job of which some run is
         // not called broken: a large one loses many tasks at once to a few machines.
-        let runs = |l: &Live| {
-            let place = self.machines.get(&l.machine).and_then(|m| m.places.iter().find(|p| p.slot == l.slot));
+        let runs = |l: &TaskPlacement| {
+            let place = self
+                .fleet
+                .machines
+                .get(&l.machine)
+                .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
             !j.failed_on.contains(&l.machine) && place.is_some_and(|p| p.running.is_some())
         };
         let many = (j.failed_on.len() >= 3 || j.failures >= 6) && !does_well;
         let broken = many && !j.live.values().flatten().any(runs);
         if many && !broken {
-            j.not_before = now + ctx.set.report_ms() / 4;
+            j.not_before = now + ctx.settings.heartbeat_interval_ms() / 4;
         }
         if broken {
-            let wait = ctx.tune.sick_s * 1000.0 / 8.0 * f64::from(1u32 << (j.failures.min(8) - 3).min(4));
+            let wait = ctx.tuning.quarantine_s * 1000.0 / 8.0 * f64::from(1u32 << (j.failures.min(8) - 3).min(4));
             j.not_before = now + wait as u64;
-            for m in self.machines.values_mut() {
+            for m in self.fleet.machines.values_mut() {
                 m.failures.retain(|f| f != job);
             }
         }
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         m.failed_at = now;
         if !broken {
             m.failures.push(job.clone());
         }
         let kinds: BTreeSet<&Id> = m.failures.iter().collect();
-        if (kinds.len() >= 2 || does_well || m.sick_times > 0) && !broken {
-            self.set_aside(ctx, machine);
+        if (kinds.len() >= 2 || does_well || m.quarantine_count > 0) && !broken {
+            self.quarantine(ctx, machine);
         }
-        self.replan = true;
+        self.scheduler.pass_wanted = true;
     }
 
     /// A machine fails its tasks: it is not used for a while, longer each time.
-    pub(crate) fn set_aside(&mut self, ctx: &mut Ctx, machine: &Id) {
-        let now = ctx.now.mono;
-        let Some(m) = self.machines.get_mut(machine).filter(|m| now >= m.sick_until) else { return };
-        m.sick_times += 1;
-        let pause = ctx.tune.sick_s * 1000.0 * f64::from(1u32 << (m.sick_times - 1).min(3));
-        m.sick_until = now + pause as u64;
+    pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
+        let now = ctx.now.monotonic_ms;
+        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| now >= m.quarantined_until) else { return };
+        m.quarantine_count += 1;
+        let pause = ctx.tuning.quarantine_s * 1000.0 * f64::from(1u32 << (m.quarantine_count - 1).min(3));
+        m.quarantined_until = now + pause as u64;
         m.failures.clear();
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause / 1000.0 });
     }
@@ -75,30 +83,33 @@
     /// more doubt. One task may be long by itself; several at once on one machine are its doing.
     /// Nothing but replicas goes there for half a lease. What runs there stays: it has a part of
     /// its way behind it, and the machine may be well again at any time. Looked at with each report.
-    pub(crate) fn watch_speed(&mut self, ctx: &mut Ctx, machine: &Id) {
-        let now = ctx.now.mono;
-        let Some(m) = self.machines.get(machine) else { return };
-        if m.places.len() < LEAST_OVERRUNS {
+    pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
+        let now = ctx.now.monotonic_ms;
+        let Some(m) = self.fleet.machines.get(machine) else { return };
+        if m.placements.len() < LEAST_OVERRUNS {
             return;
         }
         ctx.work.speed_examined();
         let (mut runs, mut over) = (0, 0);
-        for p in &m.places {
-            let Some(since) = p.running.filter(|_| p.halt.is_none()) else { continue };
+        for p in &m.placements {
+            let Some(since) = p.running.filter(|_| p.stop_grace_s.is_none()) else { continue };
             let Some(job) = self.jobs.get(&p.job).filter(|j| !j.is_service()) else { continue };
             runs += 1;
-            let usual =
-                if job.ran.0 >= 3 { job.ran.1 as f64 / f64::from(job.ran.0) } else { self.estimate(job) * 1500.0 };
+            let usual = if job.runtime.0 >= 3 {
+                job.runtime.1 as f64 / f64::from(job.runtime.0)
+            } else {
+                self.estimate(job) * 1500.0
+            };
             let elapsed = now.saturating_sub(since) as f64;
-            over += usize::from(elapsed > usual * OVERRUN + ctx.set.report_s * 100.0);
+            over += usize::from(elapsed > usual * OVERRUN + ctx.settings.heartbeat_interval_s * 100.0);
         }
         if over < LEAST_OVERRUNS || over * 3 < runs {
             return;
         }
-        let Some(m) = self.machines.get_mut(machine) else { return };
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         if now >= m.slow_until {
             ctx.emit(Event::MachineSlow { machine: machine.clone() });
         }
-        m.slow_until = now + (ctx.set.lease_s * 500.0) as u64;
+        m.slow_until = now + (ctx.settings.lease_s * 500.0) as u64;
     }
 }
--- a/crates/core/src/fleet.rs
+++ b/crates/core/src/leader/fleet/machines.rs
@@ -5,7 +5,7 @@
 //! the fleet.
 
 use crate::model::{Id, Machine};
-use shaleshunt_wire::Room;
+use shaleshunt_wire::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
 
@@ -15,20 +15,20 @@
 
 /// The machines by name. What a machine has room for changes only through here.
 #[derive(Debug, Default)]
-pub(crate) struct Fleet {
+pub(crate) struct MachineIndex {
     machines: BTreeMap<Id, Machine>,
     /// Machines by their free CPUs, in thousandths.
     by_free: BTreeMap<i64, BTreeSet<Id>>,
 }
 
-impl Deref for Fleet {
+impl Deref for MachineIndex {
     type Target = BTreeMap<Id, Machine>;
     fn deref(&self) -> &Self::Target {
         &self.machines
     }
 }
 
-impl Fleet {
+impl MachineIndex {
     pub(crate) fn get_mut(&mut self, id: &str) -> Option<&mut Machine> {
         self.machines.get_mut(id)
     }
@@ -53,29 +53,33 @@
     }
 
     /// A task takes room on a machine.
-    pub(crate) fn take_room(&mut self, id: &str, need: &Room) {
+    pub(crate) fn take_room(&mut self, id: &str, need: &Resources) {
         self.change(id, |machine| machine.used.add(need, 1));
     }
 
     /// A task's room on a machine is free again.
-    pub(crate) fn give_room(&mut self, id: &str, need: &Room) {
+    pub(crate) fn give_room(&mut self, id: &str, need: &Resources) {
         self.change(id, |machine| machine.used.add(need, -1));
     }
 
     /// All the room that a machine has became known.
-    pub(crate) fn set_room(&mut self, id: &str, room: Room) {
-        self.change(id, |machine| machine.room = room);
+    pub(crate) fn set_room(&mut self, id: &str, resources: Resources) {
+        self.change(id, |machine| machine.resources = resources);
     }
 
     /// The room of machines by their type became known.
-    pub(crate) fn set_rooms(&mut self, room_of: impl Fn(&str) -> Option<Room>) {
-        let changed: Vec<(Id, Room)> = self
+    pub(crate) fn set_rooms(&mut self, room_of: impl Fn(&str) -> Option<Resources>) {
+        let changed: Vec<(Id, Resources)> = self
             .machines
             .values()
-            .filter_map(|m| room_of(&m.frame).filter(|room| *room != m.room).map(|room| (m.id.clone(), room)))
+            .filter_map(|m| {
+                room_of(&m.machine_type)
+                    .filter(|resources| *resources != m.resources)
+                    .map(|resources| (m.id.clone(), resources))
+            })
             .collect();
-        for (id, room) in changed {
-            self.set_room(&id, room);
+        for (id, resources) in changed {
+            self.set_room(&id, resources);
         }
     }
 
--- /dev/null
+++ b/crates/core/src/leader/mod.rs
@@ -0,0 +1,819 @@
+//! What the leader knows, how it reads it all after it has taken the epoch, and how it learns of
+//! users' changes.
+
+pub(crate) mod autoscaler;
+pub(crate) mod fleet;
+pub(crate) mod recovery;
+pub(crate) mod scheduler;
+pub(crate) mod step_down;
+pub(crate) mod store;
+pub(crate) mod watch;
+
+use crate::controller::{Context, PendingRequest};
+use crate::event::{Event, LeaderFigures};
+use crate::io::*;
+use crate::leader::autoscaler::Autoscaler;
+use crate::leader::fleet::Fleet;
+use crate::leader::recovery::Recovery;
+use crate::leader::scheduler::Scheduler;
+use crate::leader::step_down::{ForeignWrite, StepDown};
+use crate::leader::store::Store;
+use crate::leader::watch::JobWatch;
+use crate::model::*;
+use crate::submission_parts::{SplitJobRecord, StoredJob};
+use serde_json::Value;
+use shaleshunt_wire::kv::{Change, KeyValue, Page};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
+use std::collections::BTreeMap;
+
+/// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
+const LAG_BETWEEN_PASSES: u64 = 4;
+
+/// Most arrivals remembered: three times what comes within two boot times in a threefold burst at 4,000
+/// machines. Of more the oldest are forgotten.
+const ARRIVALS: usize = 6000;
+
+/// Steps of the leader that wait for an answer.
+#[derive(Debug)]
+pub(crate) enum LeaderRequest {
+    Load(&'static str, String),
+    Renew,
+    Watch,
+    Commit,
+    Settle,
+    Settled(Revision),
+    /// The version of a key that somebody else has written, for the log.
+    ForeignWrite(ForeignWrite),
+    Refresh(Id),
+    End(Id),
+    Parts(Box<(SplitJobRecord, Revision, Vec<KeyValue>)>),
+    DirectCommands(Id),
+    ScaleOut(String),
+    ScaleIn(Vec<Id>),
+    MachineList,
+    Catalog,
+}
+
+/// A hire under way.
+#[derive(Debug)]
+pub(crate) struct ScaleOutState {
+    pub request: shaleshunt_wire::cloud::ScaleOutRequest,
+    /// Version of its record; absent until recorded.
+    pub version: Revision,
+    pub writing: bool,
+    pub asking: bool,
+    pub retry_at: u64,
+    /// Answered, with these machines.
+    pub answer: Option<Vec<Id>>,
+}
+
+/// Actual and estimated run time of a class's tasks.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct RuntimeStatistics {
+    pub actual: f64,
+    pub expected: f64,
+}
+
+/// What a class has on machines.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct ClassUsage {
+    pub all: i64,
+    pub owned: i64,
+}
+
+/// The leader's state.
+pub struct Leader {
+    pub(crate) epoch: Epoch,
+    pub(crate) version: Revision,
+    pub(crate) pass: u64,
+    /// Everything has been read.
+    pub(crate) active: bool,
+    /// Why leadership is over.
+    pub(crate) down: Option<StepDown>,
+    pub(crate) elected_at: u64,
+    renew_at: u64,
+    renewing: bool,
+    pub(crate) last_attempt: u64,
+    last_placement_id: u64,
+    pub(crate) jobs: BTreeMap<Id, Job>,
+    told_at: u64,
+    pub(crate) store: Store,
+    pub(crate) scheduler: Scheduler,
+    pub(crate) fleet: Fleet,
+    pub(crate) autoscaler: Autoscaler,
+    pub(crate) recovery: Recovery,
+    pub(crate) watch: JobWatch,
+}
+
+impl Leader {
+    pub(crate) fn new(ctx: &mut Context, epoch: Epoch, version: Revision, pass: u64) -> Leader {
+        let now = ctx.now.monotonic_ms;
+        let mut l = Leader {
+            epoch,
+            version,
+            pass,
+            active: false,
+            down: None,
+            elected_at: now,
+            renew_at: now,
+            renewing: false,
+            last_attempt: 0,
+            last_placement_id: 0,
+            jobs: BTreeMap::new(),
+            told_at: now,
+            store: Store::new(now),
+            scheduler: Scheduler::new(now),
+            fleet: Fleet::new(now),
+            autoscaler: Autoscaler::new(now),
+            recovery: Recovery::new(now),
+            watch: JobWatch::new(now),
+        };
+        l.store.write_tokens = ctx.limits.rate() * ctx.tuning.write_share;
+        let mine = [keys::JOBS, keys::SUBMISSION_PARTS, keys::TASK_PAGES, keys::MACHINE_BLOCKS, keys::SCALE_OUTS, "c/"];
+        for prefix in mine.into_iter().chain([keys::V01_OUTCOMES, keys::V01_MACHINES]) {
+            l.scan(ctx, prefix, String::new());
+        }
+        l
+    }
+
+    pub(crate) fn wait(&self, wait: LeaderRequest) -> PendingRequest {
+        PendingRequest::Leader(self.epoch, wait)
+    }
+
+    fn scan(&mut self, ctx: &mut Context, prefix: &'static str, after: String) {
+        self.recovery.scans_in_flight += 1;
+        let wait = self.wait(LeaderRequest::Load(prefix, after.clone()));
+        ctx.send_kv(KvRequest::Scan { prefix: prefix.into(), after }, wait);
+    }
+
+    fn handle_scan_page(&mut self, ctx: &mut Context, prefix: &'static str, page: Page) {
+        let last = page.pairs.last().map(|p| p.path.clone());
+        if prefix == keys::JOBS {
+            // Changes from the first page's revision on are seen by the watch.
+            self.watch.revision.get_or_insert(page.revision);
+        }
+        for pair in page.pairs {
+            match prefix {
+                keys::JOBS => self.apply_job_record(ctx, &pair.path, pair.v, pair.version),
+                keys::SUBMISSION_PARTS => self.recovery.part_pairs.push(pair),
+                keys::TASK_PAGES => self.recovery.page_pairs.push(pair),
+                keys::MACHINE_BLOCKS => self.recovery.block_pairs.push(pair),
+                keys::V01_OUTCOMES => self.recovery.v0_1_outcomes.push(pair),
+                keys::V01_MACHINES => self.recovery.v0_1_machines.push(pair),
+                keys::SCALE_OUTS => {
+                    if let Ok(request) = serde_json::from_value::<shaleshunt_wire::cloud::ScaleOutRequest>(pair.v) {
+                        let state = ScaleOutState {
+                            request,
+                            version: pair.version,
+                            writing: false,
+                            asking: false,
+                            retry_at: 0,
+                            answer: None,
+                        };
+                        self.autoscaler.scale_outs.insert(state.request.request.clone(), state);
+                    }
+                }
+                _ => match pair.path.as_str() {
+                    path if path.starts_with(keys::OWNED) => {
+                        self.autoscaler
+                            .owned_parts
+                            .extend(serde_json::from_value::<Vec<String>>(pair.v).unwrap_or_default());
+                        self.store.owned_list_versions.insert(pair.path, pair.version);
+                    }
+                    keys::CATALOG => {
+                        self.store.catalog_version = Some(pair.version);
+                        if ctx.catalog.is_none() {
+                            ctx.catalog = serde_json::from_value(pair.v).ok();
+                        }
+                    }
+                    _ => {}
+                },
+            }
+        }
+        match last {
+            Some(after) if page.truncated => self.scan(ctx, prefix, after),
+            _ => {
+                self.recovery.scans_in_flight -= 1;
+                if self.recovery.scans_in_flight == 0 && self.recovery.scan_retries.is_empty() {
+                    self.activate(ctx);
+                }
+                return;
+            }
+        }
+        self.recovery.scans_in_flight -= 1;
+    }
+
+    /// Everything has been read: joins outcomes and placements to jobs and begins to act.
+    fn activate(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic_ms;
+        if self.store.owned_list_versions.contains_key(keys::OWNED) {
+            self.autoscaler.owned = Some(std::mem::take(&mut self.autoscaler.owned_parts));
+        }
+        let (parts, large) =
+            (std::mem::take(&mut self.recovery.part_pairs), std::mem::take(&mut self.recovery.split_records));
+        self.restore_split_submissions(ctx, parts, large);
+        for pair in std::mem::take(&mut self.recovery.block_pairs) {
+            self.restore_block(ctx, pair);
+        }
+        let pages = std::mem::take(&mut self.recovery.page_pairs);
+        self.restore_pages(ctx, pages);
+        self.read_v0_1_records(ctx);
+        self.stop_superseded_placements();
+        self.active = true;
+        let ids: Vec<Id> = self.jobs.keys().cloned().collect();
+        for id in &ids {
+            if self.jobs.get(id).is_some_and(|j| j.cancelled) {
+                self.stop_job(ctx, id);
+            }
+            self.add_dependencies(ctx, id);
+            self.queue_write(now, id);
+        }
+        // A zone may be cut off already: its machines have two reporting intervals to be heard.
+        for m in self.fleet.machines.values().filter(|m| !m.zone.is_empty()) {
+            let z = self
+                .fleet
+                .zone_activity
+                .entry(m.zone.clone())
+                .or_insert((now + ctx.settings.heartbeat_interval_ms() * 2, 0));
+            z.1 += 1;
+        }
+        // All are asked, some at a time, so that the new token is confirmed before the next report.
+        self.fleet.unconfirmed = self
+            .fleet
+            .machines
+            .values()
+            .filter(|m| !m.endpoint.is_empty() && m.agent_epoch > AgentEpoch::NONE)
+            .map(|m| m.id.clone())
+            .collect();
+        ctx.emit(Event::LeaderStateLoaded {
+            epoch: self.epoch,
+            jobs: self.jobs.len(),
+            machines: self.fleet.machines.len(),
+        });
+        self.watch(ctx);
+    }
+
+    fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
+        let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
+        let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
+        let images: Vec<(u32, f64)> = rec.i.iter().map(|(name, gb)| (self.image(name), *gb)).collect();
+        let mut block =
+            Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
+        for (name, r) in rec.m {
+            let id: Id = name.as_str().into();
+            // In two blocks only if its move between them was not finished: either will do.
+            if self.fleet.machines.contains_key(&id) {
+                continue;
+            }
+            let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
+            (m.endpoint, m.agent_epoch, m.rented_at) = (r.e, r.s, r.t);
+            m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
+            (m.block, m.recorded) = (Some(n), true);
+            block.owned = r.o;
+            block.machines.insert(id.clone());
+            self.fleet.machines.insert(m);
+        }
+        self.store.newest_block = self.store.newest_block.max(n);
+        self.store.blocks.insert(n, block);
+    }
+
+    /// A placement that an earlier leader committed. That of a task whose outcome is committed is void.
+    pub(crate) fn restore_placement(
+        &mut self,
+        ctx: &Context,
+        id: &Id,
+        machine: &Id,
+        agent_epoch: AgentEpoch,
+        attempt: Attempt,
+        task: u32,
+    ) {
+        let Some(job) = self.jobs.get(id).filter(|j| !j.done.get(task) && task < j.spec.tasks) else { return };
+        let known =
+            job.live.get(&task).is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
+        if known {
+            return;
+        }
+        let (need, image, gb) = (job.need, job.image, job.spec.image_gb);
+        if !self.fleet.machines.contains_key(machine) {
+            // Gone by a return after which its jobs' records were not written any more, or not
+            // recorded: it counts until its silence or another return proves it gone.
+            let m = self.new_machine(ctx, machine, "", "", false, false);
+            self.fleet.machines.insert(m);
+        }
+        if let Some(m) = self.fleet.machines.get_mut(machine)
+            && !m.has_image(image)
+        {
+            m.images.push((image, gb));
+        }
+        let p = Placement {
+            job: id.clone(),
+            task,
+            attempt,
+            agent_epoch,
+            placement_id: self.next_placement_id(),
+            need,
+            image,
+            stage: PlacementState::Committed,
+            sent: true,
+            since: ctx.now.monotonic_ms,
+            running: None,
+            stop_grace_s: None,
+        };
+        self.add_placement(machine, p);
+    }
+
+    /// Records as version 0.1 kept them: machines with placements, and outcomes by themselves. A
+    /// task about which a page says something is known from there: the leader that wrote it had
+    /// read the earlier form.
+    fn read_v0_1_records(&mut self, ctx: &Context) {
+        let now = ctx.now.monotonic_ms;
+        // Outcomes of 0.1 came in chunks of a third of a value's limit, six bits a character.
+        let per_chunk = ((ctx.settings.state.value_kb * 1024.0 * 2.0) as u32 / 64 * 64).max(64);
+        let mut touched: Vec<(Id, u32)> = Vec::new();
+        for pair in std::mem::take(&mut self.recovery.v0_1_outcomes) {
+            let mut parts = pair.path[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
+            let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
+            let job = parts.next().and_then(|j| self.jobs.get_mut(j));
+            if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
+                let before = job.done.clone();
+                job.done.decode(chunk.saturating_mul(per_chunk), text);
+                job.done_count = job.done.count();
+                job.started = true;
+                let new = |i: &u32| job.done.get(*i) && !before.get(*i);
+                touched.extend((0..job.spec.tasks).filter(new).map(|i| (job.id.clone(), i)));
+            }
+            self.store.v0_1_keys.insert(pair.path, pair.version);
+        }
+        for pair in std::mem::take(&mut self.recovery.v0_1_machines) {
+            let name: Id = pair.path[keys::V01_MACHINES.len()..].into();
+            self.store.v0_1_keys.insert(pair.path, pair.version);
+            let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
+            if !self.fleet.machines.contains_key(&name) {
+                let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
+                (m.endpoint, m.agent_epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                self.fleet.machines.insert(m);
+                self.join_block(ctx, &name);
+            }
+            for (job, task, attempt) in rec.p {
+                let unknown = |j: &&Job| j.facts.get(task as usize).is_none_or(|at| *at == 0);
+                if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
+                    self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
+                    touched.push((id, task));
+                }
+            }
+        }
+        for (id, task) in touched {
+            self.record_change(now, &id, task, true);
+        }
+    }
+
+    /// The number of an image.
+    pub(crate) fn image(&mut self, name: &str) -> u32 {
+        if let Some(n) = self.fleet.image_numbers.get(name) {
+            return *n;
+        }
+        let n = self.fleet.image_names.len() as u32;
+        self.fleet.image_names.push(name.to_string());
+        self.fleet.image_numbers.insert(name.to_string(), n);
+        n
+    }
+
+    /// Where records of the earlier form name a task twice, the earlier placement had been released
+    /// when the later was planned, so it is gone; it must not be started again and is released by
+    /// proof as any other.
+    fn stop_superseded_placements(&mut self) {
+        for job in self.jobs.values() {
+            for list in job.live.values().filter(|l| l.len() > 1) {
+                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
+                for l in list.iter().filter(|l| l.attempt < latest) {
+                    let placements = self.fleet.machines.get_mut(&l.machine).map(|m| &mut m.placements);
+                    if let Some(p) = placements.and_then(|p| p.iter_mut().find(|p| p.placement_id == l.placement_id)) {
+                        p.stop_grace_s = Some(0.0);
+                    }
+                }
+            }
+        }
+    }
+
+    fn watch(&mut self, ctx: &mut Context) {
+        self.watch.retry_at = None;
+        let after = self.watch.revision.unwrap_or(Revision::ABSENT);
+        // Short: what is known of cancellations bounds how long leases may be renewed in a cut.
+        let hold_ms = ctx.settings.heartbeat_interval_ms() / 8;
+        let wait = self.wait(LeaderRequest::Watch);
+        ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
+    }
+
+    fn apply_job_record(&mut self, ctx: &mut Context, path: &str, v: Value, version: Revision) {
+        let id = &path[keys::JOBS.len().min(path.len())..];
+        if self.watch.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(|j| j.version > version) {
+            return;
+        }
+        let Some(rec) = StoredJob::read(v) else {
+            ctx.emit(Event::RecordUnreadable { key: path.into() });
+            return;
+        };
+        let (cancelled, _) = rec.cancelled();
+        if let Some(job) = self.jobs.get_mut(id) {
+            self.scheduler.pass_wanted = true;
+            job.version = version;
+            job.stale = false;
+            job.has_cancellation_key = match &rec {
+                StoredJob::Whole(r) => r.k,
+                StoredJob::SplitSubmission(r) => r.k,
+            };
+            let id = job.id.clone();
+            if cancelled && !job.cancelled {
+                job.cancelled = true;
+                self.stop_job(ctx, &id);
+                self.cancelled(ctx, &id);
+            }
+            self.queue_write(ctx.now.monotonic_ms, &id);
+            return;
+        }
+        match rec {
+            StoredJob::Whole(rec) => self.add_job(ctx, *rec, version),
+            StoredJob::SplitSubmission(rec) if self.active => self.read_parts(ctx, rec, version, Vec::new()),
+            StoredJob::SplitSubmission(rec) => self.recovery.split_records.push((rec, version)),
+        }
+    }
+
+    /// A job that was not known has come.
+    pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
+        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.version >= version) {
+            return;
+        }
+        self.scheduler.pass_wanted = true;
+        let mut job = Job::new(rec, version);
+        job.image = self.image(&job.spec.image);
+        let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
+        self.jobs.insert(id.clone(), job);
+        self.scheduler.ranks_outdated = true;
+        if self.active {
+            self.add_dependencies(ctx, &id);
+            if cancelled {
+                self.cancelled(ctx, &id);
+            } else if !dependencies {
+                self.record_arrival(ctx.now.monotonic_ms, &id);
+            }
+        }
+        self.queue_write(ctx.now.monotonic_ms, &id);
+    }
+
+    /// A job that may run has come: as much may come again.
+    pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
+        let Some(j) = self.jobs.get(id) else { return };
+        let rec = JobRecord { s: j.spec.clone(), at: j.at, x: false, k: false };
+        self.autoscaler.arrivals.push_back((now, Job::new(rec, j.version)));
+        if self.autoscaler.arrivals.len() > ARRIVALS {
+            self.autoscaler.arrivals.pop_front();
+        }
+    }
+
+    /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
+    /// never does. Its record is read for the rest.
+    pub(crate) fn stop_cancelled_job(&mut self, ctx: &mut Context, job: &str) {
+        let Some(j) = self.jobs.get_mut(job).filter(|j| !j.cancelled && !j.is_blocked()) else { return };
+        // Nothing more is placed before it has been read.
+        j.stale = true;
+        let id = j.id.clone();
+        self.stop_job(ctx, &id);
+        if self.active {
+            self.refresh(ctx, id);
+        }
+    }
+
+    /// A job's record is no longer there.
+    fn apply_job_removal(&mut self, ctx: &mut Context, id: &str) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.cancelled = true;
+            let id = job.id.clone();
+            self.stop_job(ctx, &id);
+            if let Some(job) = self.jobs.remove(&id) {
+                self.drop_facts(&job);
+                self.remove_dependencies(&job);
+            }
+            self.dependency_vanished(ctx.now.monotonic_ms, &id);
+            self.scheduler.ranks_outdated = true;
+            self.scheduler.pass_wanted = true;
+        }
+    }
+
+    pub(crate) fn handle_kv_reply(
+        &mut self,
+        ctx: &mut Context,
+        wait: LeaderRequest,
+        sent: u64,
+        result: Result<KvReply, RequestError>,
+    ) {
+        match (wait, result) {
+            (LeaderRequest::Load(prefix, _), Ok(KvReply::Page(page))) => self.handle_scan_page(ctx, prefix, page),
+            // Once more: after an outage all ask at once. The lease says for how long that is of use.
+            (LeaderRequest::Load(prefix, after), Err(_)) => {
+                self.recovery.scans_in_flight -= 1;
+                self.recovery.scan_retries.push((
+                    prefix,
+                    after,
+                    ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 60,
+                ));
+            }
+            (LeaderRequest::Load(..), _) => self.down = Some(StepDown::Unreadable),
+            (LeaderRequest::Renew, result) => {
+                self.renewing = false;
+                match result {
+                    Ok(KvReply::Missing) => self.down = Some(StepDown::LeaseEnded),
+                    Ok(_) => {}
+                    Err(_) => self.renew_at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 12,
+                }
+            }
+            (LeaderRequest::Watch, Ok(KvReply::Changes(news))) => {
+                self.watch.fresh_at = self.watch.fresh_at.max(sent);
+                self.watch.revision = Some(news.revision);
+                for change in news.changes {
+                    match change {
+                        Change { set: Some(path), v: Some(v), version, .. } => {
+                            self.apply_job_record(ctx, &path, v, version)
+                        }
+                        Change { drop: Some(path), version, .. } => {
+                            let id = path[keys::JOBS.len().min(path.len())..].to_string();
+                            self.store.parts_being_read.retain(|job, read| **job != *id || *read > version);
+                            if self.jobs.get(id.as_str()).is_some_and(|j| j.version < version) {
+                                self.apply_job_removal(ctx, &id);
+                            }
+                        }
+                        _ => {}
+                    }
+                }
+                self.watch.ended_jobs.retain(|_, end| *end > news.revision);
+                self.watch(ctx);
+            }
+            (LeaderRequest::Watch, Ok(KvReply::Compacted)) => self.down = Some(StepDown::ChangesMissed),
+            (LeaderRequest::Watch, _) => {
+                self.watch.retry_at = Some(ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 20)
+            }
+            (LeaderRequest::Refresh(id), Ok(KvReply::Found(pair))) if self.jobs.contains_key(&id) => {
+                self.apply_job_record(ctx, &pair.path, pair.v, pair.version)
+            }
+            // The answer is late. A job that has ended meanwhile never comes back.
+            (LeaderRequest::Refresh(_), Ok(KvReply::Found(_))) => {}
+            (LeaderRequest::Refresh(id), Ok(KvReply::Missing)) => self.apply_job_removal(ctx, &id),
+            (LeaderRequest::Refresh(id), _) => self.refresh(ctx, id),
+            (LeaderRequest::Parts(got), result) => {
+                let (rec, version, pairs) = *got;
+                self.handle_parts(ctx, rec, version, pairs, result);
+            }
+            (LeaderRequest::End(id), result) => self.handle_final_record(ctx, id, result),
+            (LeaderRequest::Commit, result) => self.handle_commit_reply(ctx, result),
+            (LeaderRequest::Settle, result) => self.handle_settle_read(ctx, result),
+            (LeaderRequest::Settled(version), result) => self.handle_settle_comparison(ctx, version, result),
+            (LeaderRequest::ForeignWrite(write), result) => {
+                let found = match result {
+                    Ok(KvReply::Found(pair)) => Some(pair.version),
+                    Ok(KvReply::Missing) => Some(Revision::ABSENT),
+                    _ => None,
+                };
+                self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
+            }
+            _ => {}
+        }
+    }
+
+    /// Reads a job's record again, after a condition on it failed.
+    pub(crate) fn refresh(&mut self, ctx: &mut Context, id: Id) {
+        let key = format!("{}{id}", keys::JOBS);
+        let wait = self.wait(LeaderRequest::Refresh(id));
+        ctx.send_kv(KvRequest::Get { key }, wait);
+    }
+
+    /// What is due by time or by what the batch brought.
+    pub(crate) fn run_due(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic_ms;
+        if self.renew_at <= now && !self.renewing {
+            let life = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
+            self.renew_at = now + (life / 4.0) as u64;
+            self.renewing = true;
+            let wait = self.wait(LeaderRequest::Renew);
+            ctx.send_kv(KvRequest::RenewLease { pass: self.pass }, wait);
+        }
+        while let Some(i) = self.recovery.scan_retries.iter().position(|(.., at)| now >= *at) {
+            let (prefix, after, _) = self.recovery.scan_retries.swap_remove(i);
+            self.scan(ctx, prefix, after);
+        }
+        if !self.active {
+            return;
+        }
+        if self.watch.retry_at.is_some_and(|t| now >= t) {
+            self.watch(ctx);
+        }
+        if now >= self.fleet.next_reachability_check {
+            self.fleet.next_reachability_check = now + ctx.settings.heartbeat_interval_ms() / 8;
+            self.expire_silent_machines(ctx);
+            self.probe_overdue(ctx);
+        }
+        if now >= self.told_at {
+            self.told_at = now + ctx.settings.heartbeat_interval_ms();
+            self.emit_statistics(ctx);
+        }
+        self.read_final_records(ctx);
+        while let Some(i) = self.store.part_read_retries.iter().position(|(at, ..)| now >= *at) {
+            let (_, rec, version) = self.store.part_read_retries.swap_remove(i);
+            if self.store.parts_being_read.get(rec.job()) == Some(&version) {
+                self.read_parts(ctx, rec, version, Vec::new());
+            }
+        }
+        self.run_autoscaler(ctx);
+        if self.scheduler.pass_wanted && now >= self.scheduler.next_pass_at {
+            self.scheduler.pass_wanted = false;
+            self.detect_zone_partitions(ctx);
+            // The shorter of processor time, the longer between passes: leases and answers come first.
+            let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
+            self.scheduler.next_pass_at =
+                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            self.schedule(ctx);
+        }
+        self.commit(ctx);
+        self.send_due_commands(ctx);
+    }
+
+    /// An event for operators: how much there is to do, and what holds it up.
+    fn emit_statistics(&mut self, ctx: &mut Context) {
+        debug_assert!(self.fleet.machines.consistent(), "machines by free CPUs");
+        let waiting: u32 = self.jobs.values().filter(|j| !j.cancelled).map(Job::waiting).sum();
+        let used =
+            self.fleet.machines.values().filter(|m| m.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
+        let written = std::mem::take(&mut self.store.write_counts);
+        ctx.emit(Event::LeaderStatus(Box::new(LeaderFigures {
+            jobs: self.jobs.len(),
+            tasks_waiting: waiting,
+            machines_usable: used,
+            machines: self.fleet.machines.len(),
+            transactions: written.transactions,
+            writes_ends: written.ends,
+            writes_pages: written.pages,
+            writes_blocks: written.blocks,
+            writes_other: written.others,
+            write_budget: self.store.write_tokens,
+            ends_pending: self.store.job_ends.len(),
+            jobs_pending: self.store.urgent_writes.len(),
+            jobs_deferred: self.store.deferred_writes.len(),
+            pages: self.store.pages.len(),
+            transaction_in_flight: self.store.in_flight.is_some(),
+        })));
+    }
+
+    /// Whether workers' leases may be renewed: no withdrawal can have been missed for too long.
+    pub(crate) fn may_renew_leases(&self, ctx: &Context) -> bool {
+        ctx.now.monotonic_ms.saturating_sub(self.watch.fresh_at) < ctx.settings.lease_renewal_window_ms()
+    }
+
+    /// A new attempt number, never used before in any epoch.
+    pub(crate) fn next_attempt(&mut self) -> Attempt {
+        self.last_attempt += 1;
+        Attempt::new(self.epoch, self.last_attempt)
+    }
+
+    /// A new number for a placement inside this process.
+    pub(crate) fn next_placement_id(&mut self) -> u64 {
+        self.last_placement_id += 1;
+        self.last_placement_id
+    }
+
+    /// Token for a machine.
+    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
+        FencingToken::new(self.epoch, m.token_counter)
+    }
+
+    pub(crate) fn new_machine(
+        &self,
+        ctx: &Context,
+        id: &Id,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        owned: bool,
+    ) -> Machine {
+        let resources =
+            ctx.catalog.as_ref().and_then(|c| c.machine_type(machine_type)).map(|f| f.resources()).unwrap_or_default();
+        let (machine_type, zone) = (machine_type.to_string(), zone.to_string());
+        Machine { machine_type, zone, spot, owned, resources, ..Machine::new(id.clone(), ctx.now) }
+    }
+
+    /// Puts a placement on a machine and counts it everywhere.
+    pub(crate) fn add_placement(&mut self, machine: &Id, p: Placement) {
+        if !self.fleet.machines.contains_key(machine) {
+            return;
+        }
+        let Some(job) = self.jobs.get_mut(&p.job) else { return };
+        self.fleet.machines.take_room(machine, &p.need);
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        let list = job.live.entry(p.task).or_default();
+        if list.is_empty() && !job.done.get(p.task) {
+            job.placed += 1;
+        }
+        list.push(TaskPlacement {
+            machine: machine.clone(),
+            placement_id: p.placement_id,
+            attempt: p.attempt,
+            agent_epoch: p.agent_epoch,
+            planned: p.stage == PlacementState::Planned,
+        });
+        *job.zones.entry(m.zone.clone()).or_default() += 1;
+        self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
+        let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
+        usage_by_class.all += 1;
+        usage_by_class.owned += i64::from(m.owned);
+        m.placements.push(p);
+    }
+
+    /// Takes a placement off a machine; the caller has the proof that it is gone.
+    pub(crate) fn release_placement(
+        &mut self,
+        now: u64,
+        machine: &Id,
+        placement_id: u64,
+        done: bool,
+    ) -> Option<Placement> {
+        let m = self.fleet.machines.get_mut(machine)?;
+        let at = m.placements.iter().position(|p| p.placement_id == placement_id)?;
+        let p = m.placements.remove(at);
+        if m.placements.is_empty() {
+            m.idle_since = now;
+        }
+        self.fleet.machines.give_room(machine, &p.need);
+        let m = self.fleet.machines.get(machine)?;
+        self.scheduler.pass_wanted = true;
+        if let Some(job) = self.jobs.get_mut(&p.job) {
+            if let Some(list) = job.live.get_mut(&p.task) {
+                list.retain(|l| l.placement_id != placement_id);
+                if list.is_empty() {
+                    job.live.remove(&p.task);
+                    job.first_free_hint = job.first_free_hint.min(p.task);
+                    if !job.done.get(p.task) {
+                        job.placed = job.placed.saturating_sub(1);
+                    }
+                }
+            }
+            if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
+                job.running = job.running.saturating_sub(1);
+            }
+            if let Some(n) = job.zones.get_mut(&m.zone) {
+                *n = n.saturating_sub(1);
+            }
+            if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
+                t.add(&p.need, -1);
+            }
+            if let Some(usage_by_class) = self.scheduler.usage_by_class.get_mut(&job.spec.class) {
+                usage_by_class.all -= 1;
+                usage_by_class.owned -= i64::from(m.owned);
+            }
+            let cancelled = job.cancelled;
+            if !done {
+                self.record_change(now, &p.job, p.task, false);
+            }
+            if cancelled {
+                self.queue_write(now, &p.job);
+            }
+        }
+        Some(p)
+    }
+
+    /// Stops all tasks of a cancelled job. What never left is released at once.
+    pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let live: Vec<(Id, u64)> = job.live.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        for (machine, placement_id) in live {
+            self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
+        }
+        self.queue_write(ctx.now.monotonic_ms, id);
+    }
+
+    /// Stops a task at once; one whose `run` never left is released.
+    pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
+        if p.sent {
+            p.stop_grace_s = Some(0.0);
+            self.fleet.machines_to_call.insert(machine.clone());
+        } else {
+            self.release_placement(now, machine, placement_id, false);
+        }
+    }
+
+    /// Done and running tasks of a job, for display.
+    pub(crate) fn count(&self, job: &str) -> (u32, u32) {
+        self.jobs.get(job).map_or((0, 0), |j| (j.done_count, j.running))
+    }
+
+    /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
+    /// has a version from here need not look for cancelled jobs before this one.
+    pub(crate) fn job_progress(&self) -> Vec<(String, Revision, u32, u32)> {
+        // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
+        // shown by the leader alone and read at each poll.
+        self.jobs
+            .values()
+            .filter(|j| !j.cancelled && !j.is_blocked())
+            .map(|j| (j.id.to_string(), j.version, j.done_count, j.running))
+            .take(shaleshunt_peer::MAX_FRAME / 256)
+            .collect()
+    }
+}
--- a/crates/core/src/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -1,11 +1,11 @@
 //! The order among jobs: by urgency, in it the design's queues with deadlines, then the others by age; and what
 //! yields under overload.
 
+use crate::controller::Context;
 use crate::leader::Leader;
 use crate::model::*;
-use crate::node::Ctx;
-use shaleshunt_wire::Room;
-use shaleshunt_wire::user::Urgency;
+use shaleshunt_wire::Resources;
+use shaleshunt_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
@@ -14,7 +14,7 @@
 struct Rank {
     /// Nothing of it has begun for so long that it goes before everything.
     first: Reverse<bool>,
-    urgency: Reverse<Urgency>,
+    priority: Reverse<Priority>,
     /// Nothing of it has begun for long.
     aged: Reverse<bool>,
     guaranteed: Reverse<bool>,
@@ -29,30 +29,30 @@
     /// Jobs with tasks to place, in order: by urgency, in it the stages' deadline queues shortest
     /// first, then the others by age. What can no longer meet its aim goes behind what can, but for
     /// a while only: a job of which nothing has begun for long goes first.
-    pub(crate) fn queue(&mut self, ctx: &Ctx) -> Vec<Id> {
-        let now = ctx.now.mono;
-        if self.ranks_old || now >= self.ranks_at {
-            self.ranks_old = false;
-            self.ranks_at = now + (ctx.tune.round_s * 1000.0) as u64;
-            self.pass_back(ctx);
-            self.guaranteed = self.guaranteed(ctx);
-            self.behind = self.yielding(ctx);
-            self.spot_below = self.spot_below(ctx);
+    pub(crate) fn queue(&mut self, ctx: &Context) -> Vec<Id> {
+        let now = ctx.now.monotonic_ms;
+        if self.scheduler.ranks_outdated || now >= self.scheduler.ranks_due_at {
+            self.scheduler.ranks_outdated = false;
+            self.scheduler.ranks_due_at = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
+            self.propagate_deadlines(ctx);
+            self.scheduler.guaranteed = self.guaranteed(ctx);
+            self.scheduler.deprioritized = self.yielding(ctx);
+            self.scheduler.spot_estimate_limit = self.spot_estimate_limit(ctx);
         }
-        let begin = ctx.tune.begin_s * 1000.0;
+        let begin = ctx.tuning.start_within_s * 1000.0;
         let mut list: Vec<(Rank, &Id)> = self
             .jobs
             .values()
-            .filter(|j| !j.aborted && !j.stale && j.waiting() > 0 && now >= j.not_before)
+            .filter(|j| !j.cancelled && !j.stale && j.waiting() > 0 && now >= j.not_before)
             .map(|j| {
-                let without_deadline = j.due().is_none();
-                let age = if j.begun { 0.0 } else { ctx.now.wall.saturating_sub(j.ready_at) as f64 };
+                let without_deadline = j.deadline().is_none();
+                let age = if j.started { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.ready_at) as f64 };
                 let rank = Rank {
                     first: Reverse(age > begin * 0.75 && j.placed == 0),
-                    urgency: Reverse(j.urgency),
+                    priority: Reverse(j.priority),
                     aged: Reverse(age > begin * 0.5),
-                    guaranteed: Reverse(self.guaranteed.contains(&j.id)),
-                    yields: self.behind.get(&j.id).copied().unwrap_or(0),
+                    guaranteed: Reverse(self.scheduler.guaranteed.contains(&j.id)),
+                    yields: self.scheduler.deprioritized.get(&j.id).copied().unwrap_or(0),
                     without_deadline,
                     estimate_ms: if without_deadline { 0 } else { (self.estimate(j) * 1000.0) as u64 },
                     ready_at: j.ready_at,
@@ -66,19 +66,19 @@
 
     /// The estimate below which tasks that may go to spot machines go there first: what is longer
     /// fills the machines that cannot be taken away, where a task that would lose most is safe.
-    fn spot_below(&mut self, ctx: &Ctx) -> f64 {
-        let now = ctx.now.mono;
-        if now >= self.safe_cores.0 {
-            let safe = self.machines.values().filter(|m| !m.spot && m.answers(now, &ctx.set));
-            let cores = safe.map(|m| m.room.cores).sum();
-            ctx.work.examined(self.machines.len());
-            self.safe_cores = (now + (ctx.tune.round_s * 1000.0) as u64, cores);
+    fn spot_estimate_limit(&mut self, ctx: &Context) -> f64 {
+        let now = ctx.now.monotonic_ms;
+        if now >= self.scheduler.non_spot_cores.0 {
+            let safe = self.fleet.machines.values().filter(|m| !m.spot && m.answers(now, &ctx.settings));
+            let cores = safe.map(|m| m.resources.cores).sum();
+            ctx.work.examined(self.fleet.machines.len());
+            self.scheduler.non_spot_cores = (now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64, cores);
         }
-        let mut left = self.safe_cores.1;
+        let mut left = self.scheduler.non_spot_cores.1;
         let mut may_move = Vec::new();
-        for j in self.jobs.values().filter(|j| !j.aborted && !j.awaits()) {
+        for j in self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()) {
             let cores = j.need.cores * i64::from(j.spec.tasks - j.done_count.min(j.spec.tasks));
-            if j.spec.spot && !j.sent_out {
+            if j.spec.spot && !j.offloaded {
                 may_move.push((self.estimate(j), cores));
             } else if !j.spec.spot {
                 left -= cores;
@@ -95,28 +95,28 @@
     }
 
     /// For each stage of jobs without deadlines, which of them yield.
-    fn yielding(&self, ctx: &Ctx) -> BTreeMap<Id, u8> {
-        let now = ctx.now.mono;
+    fn yielding(&self, ctx: &Context) -> BTreeMap<Id, u8> {
+        let now = ctx.now.monotonic_ms;
         let mut stages: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
-        let open = |j: &&Job| !j.aborted && !j.stale && now >= j.not_before && j.waiting() > 0;
-        for j in self.jobs.values().filter(open).filter(|j| !j.is_service() && j.due().is_none()) {
+        let open = |j: &&Job| !j.cancelled && !j.stale && now >= j.not_before && j.waiting() > 0;
+        for j in self.jobs.values().filter(open).filter(|j| !j.is_service() && j.deadline().is_none()) {
             stages.entry(&j.spec.class).or_default().push(j);
         }
-        let mut behind: BTreeMap<&Id, u8> = BTreeMap::new();
+        let mut deprioritized: BTreeMap<&Id, u8> = BTreeMap::new();
         for (stage, jobs) in stages {
-            self.yields(ctx, stage, jobs, &mut behind);
+            self.yields(ctx, stage, jobs, &mut deprioritized);
         }
-        behind.into_iter().map(|(id, level)| (id.clone(), level)).collect()
+        deprioritized.into_iter().map(|(id, level)| (id.clone(), level)).collect()
     }
 
     /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
-    fn guaranteed(&self, ctx: &Ctx) -> BTreeSet<Id> {
-        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.aborted && !j.awaits()).collect();
+    fn guaranteed(&self, ctx: &Context) -> BTreeSet<Id> {
+        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()).collect();
         by_age.sort_by_key(|j| (j.ready_at, &j.id));
-        let mut sums: BTreeMap<&str, Room> = BTreeMap::new();
+        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut fits = BTreeSet::new();
         for j in by_age {
-            let Some(team) = ctx.set.teams.get(&j.spec.team) else { continue };
+            let Some(team) = ctx.settings.teams.get(&j.spec.team) else { continue };
             let sum = sums.entry(&j.spec.team).or_default();
             sum.add(&j.need, i64::from(j.spec.tasks));
             if team.guarantees(sum) {
@@ -130,8 +130,8 @@
     /// be done, whenever the work so far does not fit before that, the job with the most work goes
     /// behind (Moore's rule, which leaves the fewest jobs late). What yields counts with its next
     /// aim. With room for all nothing yields, and the order is the design's.
-    fn yields<'a>(&'a self, ctx: &Ctx, stage: &str, jobs: Vec<&'a Job>, behind: &mut BTreeMap<&'a Id, u8>) {
-        let Some(aim) = ctx.set.aims.get(stage) else { return };
+    fn yields<'a>(&'a self, ctx: &Context, stage: &str, jobs: Vec<&'a Job>, deprioritized: &mut BTreeMap<&'a Id, u8>) {
+        let Some(aim) = ctx.settings.objectives.get(stage) else { return };
         let Some(first) = jobs.first() else { return };
         let slots = self.all_slots(ctx, stage, first).max(1) as f64;
         let mut left = jobs;
@@ -145,11 +145,12 @@
                     list.sort_by(f64::total_cmp);
                     list.get(usize::from(level)).copied()
                 };
-                let age = (ctx.now.wall as f64 - j.ready_at as f64) / 1000.0;
+                let age = (ctx.now.wall_ms as f64 - j.ready_at as f64) / 1000.0;
                 let estimate = self.estimate(j);
                 // An aim on starts leaves the last task's own run time on top. One that is shorter
                 // than a fetch or a round says nothing about the order.
-                let start = nth(&aim.start_s).filter(|s| *s > ctx.set.report_s * 3.0).map(|s| s + estimate);
+                let start =
+                    nth(&aim.start_s).filter(|s| *s > ctx.settings.heartbeat_interval_s * 3.0).map(|s| s + estimate);
                 start.map(|t| t - age)
             };
             let mut order: Vec<(f64, &Job)> = left.iter().filter_map(|j| time(j).map(|t| (t, *j))).collect();
@@ -179,7 +180,7 @@
                 }
             }
             for j in &late {
-                behind.insert(&j.id, level + 1);
+                deprioritized.insert(&j.id, level + 1);
             }
             before = total;
             left = late;
@@ -187,14 +188,18 @@
     }
 
     /// A stage's slots on all machines that its jobs may use.
-    fn all_slots(&self, ctx: &Ctx, stage: &str, job: &Job) -> i64 {
-        ctx.work.examined(self.machines.count_with_cores(job.need.cores));
+    fn all_slots(&self, ctx: &Context, stage: &str, job: &Job) -> i64 {
+        ctx.work.examined(self.fleet.machines.count_with_cores(job.need.cores));
         let free: i64 = self
+            .fleet
             .machines
             .with_cores(job.need.cores)
-            .filter(|m| m.usable(ctx.now.mono, &ctx.set) && Self::allows(job, &m.frame, &m.zone, m.spot))
+            .filter(|m| {
+                m.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)
+                    && Self::allows(job, &m.machine_type, &m.zone, m.spot)
+            })
             .map(|m| m.free().times(&job.need, 100_000))
             .sum();
-        free + self.held.get(stage).map_or(0, |h| h.all)
+        free + self.scheduler.usage_by_class.get(stage).map_or(0, |h| h.all)
     }
 }
--- a/crates/core/src/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -7,13 +7,13 @@
 //! a reader that finds both knows that only the newer can be. A page that nothing refers to any
 //! more is removed; what little is left on an old one is written anew first.
 
-use crate::commit::Flight;
+use crate::controller::Context;
 use crate::leader::Leader;
+use crate::leader::store::InFlightTransaction;
 use crate::model::*;
-use crate::node::Ctx;
 use serde::{Deserialize, Serialize};
 use serde_json::json;
-use shaleshunt_wire::state::Pair;
+use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -29,12 +29,12 @@
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(crate) struct PageRecord {
     /// Facts, oldest first.
-    pub e: Vec<Fact>,
+    pub e: Vec<TaskFact>,
 }
 
 /// What holds for some tasks of a job: done, placed, or (neither given) free.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct Fact {
+pub(crate) struct TaskFact {
     /// Job.
     pub j: String,
     /// Machine, its session, and the attempt.
@@ -47,9 +47,9 @@
     pub n: Vec<(u32, u32)>,
 }
 
-impl Fact {
-    fn new(job: &Id) -> Fact {
-        Fact { j: job.to_string(), m: None, d: false, n: Vec::new() }
+impl TaskFact {
+    fn new(job: &Id) -> TaskFact {
+        TaskFact { j: job.to_string(), m: None, d: false, n: Vec::new() }
     }
     fn push(&mut self, task: u32) {
         match self.n.last_mut() {
@@ -83,13 +83,13 @@
 pub(crate) struct Pages {
     all: BTreeMap<u32, Page>,
     newest: u32,
-    facts: Vec<Fact>,
+    facts: Vec<TaskFact>,
     bytes: usize,
     /// The page that is being written anew.
     draining: Option<u32>,
 }
 
-impl Draft {
+impl PageDraft {
     pub(crate) fn bytes(&self) -> usize {
         self.bytes
     }
@@ -103,35 +103,35 @@
 
 /// A page as a transaction would leave it.
 #[derive(Debug, Clone, Default)]
-pub(crate) struct Draft {
+pub(crate) struct PageDraft {
     number: u32,
-    facts: Vec<Fact>,
+    facts: Vec<TaskFact>,
     bytes: usize,
 }
 
 /// A task's fact in a transaction: job, task, how new it was, and the page it is on.
 #[derive(Debug)]
-pub(crate) struct Noted {
+pub(crate) struct RecordedFacts {
     pub job: Id,
     pub tasks: Vec<(u32, u64)>,
     pub page: u32,
 }
 
 /// What is to be written of a job: facts, the plans among them, and the tasks with how new that is.
-struct Told {
-    facts: Vec<Fact>,
+struct PendingFacts {
+    facts: Vec<TaskFact>,
     plans: Vec<(Id, u64)>,
     taken: BTreeMap<u32, u64>,
 }
 
-impl Told {
+impl PendingFacts {
     /// Of the first of a job's tasks of which something is to be written.
-    fn new(job: &Job, tasks: usize) -> Told {
+    fn new(job: &Job, tasks: usize) -> PendingFacts {
         let taken: BTreeMap<u32, u64> = job.pending.iter().take(tasks).map(|(p, n)| (*p, *n)).collect();
-        let mut done = Fact::new(&job.id);
+        let mut done = TaskFact::new(&job.id);
         done.d = true;
-        let mut free = Fact::new(&job.id);
-        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), Fact> = BTreeMap::new();
+        let mut free = TaskFact::new(&job.id);
+        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
         let mut plans = Vec::new();
         for task in taken.keys() {
             if job.done.get(*task) {
@@ -141,38 +141,38 @@
             match job.live.get(task) {
                 Some(list) => {
                     for l in list {
-                        let key = (&l.machine, l.session, l.attempt);
-                        placed.entry(key).or_insert_with(|| Fact::new(&job.id)).push(*task);
+                        let key = (&l.machine, l.agent_epoch, l.attempt);
+                        placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
                         if l.planned {
-                            plans.push((l.machine.clone(), l.slot));
+                            plans.push((l.machine.clone(), l.placement_id));
                         }
                     }
                 }
                 None => free.push(*task),
             }
         }
-        let mut facts: Vec<Fact> = [done, free].into_iter().filter(|f| !f.n.is_empty()).collect();
-        facts.extend(placed.into_iter().map(|((machine, session, attempt), mut fact)| {
-            fact.m = Some((machine.to_string(), session, attempt));
+        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|f| !f.n.is_empty()).collect();
+        facts.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut fact)| {
+            fact.m = Some((machine.to_string(), agent_epoch, attempt));
             fact
         }));
-        Told { facts, plans, taken }
+        PendingFacts { facts, plans, taken }
     }
 }
 
 fn key(number: u32) -> String {
     // In the order of the keys the pages are in the order of their numbers.
-    format!("{}{number:010}", keys::PAGES)
+    format!("{}{number:010}", keys::TASK_PAGES)
 }
 
 impl Leader {
     /// Something about a task is to be written: at once for a plan, else soon.
-    pub(crate) fn touch(&mut self, now: u64, id: &Id, task: u32, urgent: bool) {
-        self.touches += 1;
-        let touches = self.touches;
+    pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgent_writes: bool) {
+        self.store.change_counter += 1;
+        let change_counter = self.store.change_counter;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.pending.insert(task, touches);
-            job.urgent |= urgent;
+            job.pending.insert(task, change_counter);
+            job.urgent_writes |= urgent_writes;
             self.queue_write(now, id);
         }
     }
@@ -180,21 +180,21 @@
     /// Queues what a job has to write, its end included.
     pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.over() {
-            let since = *job.over_at.get_or_insert(now);
+        if job.has_ended() {
+            let since = *job.ended_at.get_or_insert(now);
             // What is cancelled with another is known to be so from that one's record meanwhile.
-            self.ends.insert((job.aborted && !job.cancel_key, since, id.clone()));
-        } else if job.urgent {
-            self.urgent.insert((Reverse(job.urgency), job.at, id.clone()));
+            self.store.job_ends.insert((job.cancelled && !job.has_cancellation_key, since, id.clone()));
+        } else if job.urgent_writes {
+            self.store.urgent_writes.insert((Reverse(job.priority), job.at, id.clone()));
         }
-        if !job.pending.is_empty() && !job.waits_to_write {
-            job.waits_to_write = true;
-            self.lazy.insert((now, id.clone()));
+        if !job.pending.is_empty() && !job.deferred_write_queued {
+            job.deferred_write_queued = true;
+            self.store.deferred_writes.insert((now, id.clone()));
         }
     }
 
     /// Puts facts of a job into the transaction; false if not all fit.
-    pub(crate) fn gather_facts(&mut self, ctx: &Ctx, f: &mut Flight, id: &Id) -> bool {
+    pub(crate) fn collect_facts(&mut self, ctx: &Context, f: &mut InFlightTransaction, id: &Id) -> bool {
         let most = ctx.limits.page_bytes();
         // All that is pending, or as much as finds room.
         let mut tasks = MOST_TASKS.min((most / RUN_BYTES).max(1));
@@ -203,12 +203,12 @@
             if job.pending.is_empty() {
                 return true;
             }
-            let Told { facts, plans, taken } = Told::new(job, tasks);
-            let bytes: usize = facts.iter().map(Fact::bytes).sum();
+            let PendingFacts { facts, plans, taken } = PendingFacts::new(job, tasks);
+            let bytes: usize = facts.iter().map(TaskFact::bytes).sum();
             let more = self.pages_needed(f, most, &facts);
-            if f.takes(more, 1 + more, bytes + f.drafted()) {
+            if f.has_space_for(more, 1 + more, bytes + f.drafted()) {
                 if !plans.is_empty() {
-                    f.expect_job(job);
+                    f.require_job_version(job);
                 }
                 let all = taken.len() == job.pending.len();
                 self.draft(f, most, id, facts, &taken);
@@ -224,19 +224,21 @@
 
     /// Where the next facts go: the page being put together, else the newest one if the first of
     /// them fits there. It may be larger than what may be written by now; then it stays as it is.
-    fn first_page(&self, f: &Flight, most: usize, first: usize) -> (bool, usize) {
+    fn first_page(&self, f: &InFlightTransaction, most: usize, first: usize) -> (bool, usize) {
         match f.drafts.last() {
             Some(d) => (true, d.bytes),
-            None if self.pages.facts.is_empty() || self.pages.bytes + first <= most => (false, self.pages.bytes),
+            None if self.store.pages.facts.is_empty() || self.store.pages.bytes + first <= most => {
+                (false, self.store.pages.bytes)
+            }
             None => (false, 0),
         }
     }
 
     /// How many pages more a transaction writes with these facts.
-    fn pages_needed(&self, f: &Flight, most: usize, facts: &[Fact]) -> usize {
-        let (begun, mut used) = self.first_page(f, most, facts.first().map_or(0, Fact::bytes));
-        let mut more = usize::from(!begun);
-        for size in facts.iter().map(Fact::bytes) {
+    fn pages_needed(&self, f: &InFlightTransaction, most: usize, facts: &[TaskFact]) -> usize {
+        let (started, mut used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::bytes));
+        let mut more = usize::from(!started);
+        for size in facts.iter().map(TaskFact::bytes) {
             if used + size > most && used > 0 {
                 (more, used) = (more + 1, 0);
             }
@@ -246,15 +248,22 @@
     }
 
     /// Puts facts on the pages of a transaction.
-    fn draft(&self, f: &mut Flight, most: usize, id: &Id, facts: Vec<Fact>, taken: &BTreeMap<u32, u64>) {
+    fn draft(
+        &self,
+        f: &mut InFlightTransaction,
+        most: usize,
+        id: &Id,
+        facts: Vec<TaskFact>,
+        taken: &BTreeMap<u32, u64>,
+    ) {
         if f.drafts.is_empty() {
-            let p = &self.pages;
+            let p = &self.store.pages;
             let number = p.newest.max(1);
-            let (_, used) = self.first_page(f, most, facts.first().map_or(0, Fact::bytes));
+            let (_, used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::bytes));
             f.drafts.push(if used == p.bytes {
-                Draft { number, facts: p.facts.clone(), bytes: p.bytes }
+                PageDraft { number, facts: p.facts.clone(), bytes: p.bytes }
             } else {
-                Draft { number: number + 1, ..Draft::default() }
+                PageDraft { number: number + 1, ..PageDraft::default() }
             });
         }
         for fact in facts {
@@ -262,21 +271,21 @@
             let Some(last) = f.drafts.last() else { return };
             if last.bytes + size > most && !last.facts.is_empty() {
                 let number = last.number + 1;
-                f.drafts.push(Draft { number, ..Draft::default() });
+                f.drafts.push(PageDraft { number, ..PageDraft::default() });
             }
             let Some(last) = f.drafts.last_mut() else { return };
             let all = fact.n.iter().flat_map(|(from, len)| *from..from + len);
             let tasks = all.filter_map(|p| taken.get(&p).map(|n| (p, *n))).collect();
-            f.noted.push(Noted { job: id.clone(), tasks, page: last.number });
+            f.noted.push(RecordedFacts { job: id.clone(), tasks, page: last.number });
             last.bytes += size;
             last.facts.push(fact);
         }
     }
 
     /// Writes the drafted pages into the transaction.
-    pub(crate) fn gather_pages(&mut self, f: &mut Flight) {
+    pub(crate) fn collect_pages(&mut self, f: &mut InFlightTransaction) {
         for d in std::mem::take(&mut f.drafts) {
-            let version = self.pages.all.get(&d.number).map_or(Revision::ABSENT, |p| p.version);
+            let version = self.store.pages.all.get(&d.number).map_or(Revision::ABSENT, |p| p.version);
             let v = json!(PageRecord { e: d.facts.clone() });
             f.set(key(d.number), version, v, d.bytes);
             f.pages.push(d);
@@ -284,10 +293,10 @@
     }
 
     /// Room for removing pages: those that nothing refers to.
-    pub(crate) fn gather_dead_pages(&mut self, f: &mut Flight) {
-        let newest = self.pages.newest;
-        for (n, p) in &self.pages.all {
-            if *n < newest && p.live == 0 && p.version > Revision::ABSENT && f.takes(1, 1, 100) {
+    pub(crate) fn collect_unreferenced_pages(&mut self, f: &mut InFlightTransaction) {
+        let newest = self.store.pages.newest;
+        for (n, p) in &self.store.pages.all {
+            if *n < newest && p.live == 0 && p.version > Revision::ABSENT && f.has_space_for(1, 1, 100) {
                 f.drop_key(key(*n), p.version);
                 f.dead_pages.push(*n);
             }
@@ -295,38 +304,45 @@
     }
 
     /// An old page of which little still counts: that is to be written anew.
-    pub(crate) fn drain_page(&mut self, now: u64) {
-        if let Some(n) = self.pages.draining {
-            if self.pages.all.get(&n).is_some_and(|p| p.live > 0) {
+    pub(crate) fn compact_page(&mut self, now: u64) {
+        if let Some(n) = self.store.pages.draining {
+            if self.store.pages.all.get(&n).is_some_and(|p| p.live > 0) {
                 return;
             }
-            self.pages.draining = None;
+            self.store.pages.draining = None;
         }
-        let newest = self.pages.newest;
+        let newest = self.store.pages.newest;
         let stale = |p: &Page| p.live > 0 && f64::from(p.live) < f64::from(p.total) * STALE_SHARE;
-        let found = self.pages.all.iter().find(|(n, p)| **n < newest && stale(p)).map(|(n, _)| *n);
+        let found = self.store.pages.all.iter().find(|(n, p)| **n < newest && stale(p)).map(|(n, _)| *n);
         let Some(n) = found else { return };
-        self.pages.draining = Some(n);
-        let jobs: Vec<Id> = self.pages.all.get(&n).map(|p| p.jobs.keys().cloned().collect()).unwrap_or_default();
+        self.store.pages.draining = Some(n);
+        let jobs: Vec<Id> = self.store.pages.all.get(&n).map(|p| p.jobs.keys().cloned().collect()).unwrap_or_default();
         for id in jobs {
             let tasks: Vec<u32> = match self.jobs.get(&id) {
                 Some(j) => (0..).zip(&j.facts).filter(|(_, at)| **at == n).map(|(task, _)| task).collect(),
                 None => continue,
             };
             for task in tasks {
-                self.touch(now, &id, task, false);
+                self.record_change(now, &id, task, false);
             }
         }
     }
 
     /// The pages of a transaction are stored.
-    pub(crate) fn pages_stored(&mut self, pages: Vec<Draft>, noted: Vec<Noted>, dead: Vec<u32>, ledger: Revision) {
+    pub(crate) fn apply_stored_pages(
+        &mut self,
+        pages: Vec<PageDraft>,
+        noted: Vec<RecordedFacts>,
+        dead: Vec<u32>,
+        revision: Revision,
+    ) {
         for d in pages {
             let total = d.facts.iter().flat_map(|f| &f.n).map(|(_, len)| *len).sum();
-            let page = self.pages.all.entry(d.number).or_default();
-            (page.version, page.total) = (ledger, total);
-            if d.number >= self.pages.newest {
-                (self.pages.newest, self.pages.facts, self.pages.bytes) = (d.number, d.facts, d.bytes);
+            let page = self.store.pages.all.entry(d.number).or_default();
+            (page.version, page.total) = (revision, total);
+            if d.number >= self.store.pages.newest {
+                (self.store.pages.newest, self.store.pages.facts, self.store.pages.bytes) =
+                    (d.number, d.facts, d.bytes);
             }
         }
         for n in noted {
@@ -340,20 +356,20 @@
                 }
                 let Some(at) = job.facts.get_mut(task as usize) else { continue };
                 let old = std::mem::replace(at, n.page);
-                self.pages.count(old, &n.job, -1);
-                self.pages.count(n.page, &n.job, 1);
+                self.store.pages.count(old, &n.job, -1);
+                self.store.pages.count(n.page, &n.job, 1);
             }
         }
         for n in dead {
-            self.pages.all.remove(&n);
+            self.store.pages.all.remove(&n);
         }
     }
 
     /// A job is over: what pages say of it counts no more.
-    pub(crate) fn forget_facts(&mut self, job: &Job) {
+    pub(crate) fn drop_facts(&mut self, job: &Job) {
         let on: BTreeSet<u32> = job.facts.iter().copied().filter(|p| *p > 0).collect();
         for n in on {
-            if let Some(p) = self.pages.all.get_mut(&n)
+            if let Some(p) = self.store.pages.all.get_mut(&n)
                 && let Some(count) = p.jobs.remove(&job.id)
             {
                 p.live = p.live.saturating_sub(count);
@@ -362,18 +378,19 @@
     }
 
     /// Takes in the pages that earlier leaders wrote, in order.
-    pub(crate) fn pages_read(&mut self, ctx: &Ctx, pairs: Vec<Pair>) {
+    pub(crate) fn restore_pages(&mut self, ctx: &Context, pairs: Vec<KeyValue>) {
         let mut last: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
         for pair in pairs {
-            let Ok(number) = pair.path[keys::PAGES.len()..].parse::<u32>() else { continue };
+            let Ok(number) = pair.path[keys::TASK_PAGES.len()..].parse::<u32>() else { continue };
             let rec: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
             let total = rec.e.iter().flat_map(|f| &f.n).map(|(_, len)| *len).sum();
-            self.pages.all.insert(number, Page { version: pair.version, total, ..Page::default() });
+            self.store.pages.all.insert(number, Page { version: pair.version, total, ..Page::default() });
             // What it holds is not written again: a new page follows.
-            self.pages.newest = self.pages.newest.max(number + 1);
+            self.store.pages.newest = self.store.pages.newest.max(number + 1);
             for fact in rec.e {
                 let Some(job) = self.jobs.get_mut(fact.j.as_str()) else { continue };
-                let place = fact.m.map(|(machine, session, attempt)| (Id::from(machine.as_str()), session, attempt));
+                let place =
+                    fact.m.map(|(machine, agent_epoch, attempt)| (Id::from(machine.as_str()), agent_epoch, attempt));
                 let facts = last.entry(job.id.clone()).or_default();
                 for (from, len) in fact.n {
                     for task in from..from.saturating_add(len).min(job.spec.tasks) {
@@ -388,16 +405,16 @@
         for (id, facts) in last {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.done_count = job.done.count();
-                job.begun = true;
+                job.started = true;
                 job.facts = vec![0; job.spec.tasks as usize];
                 for (task, (number, _)) in &facts {
                     job.facts[*task as usize] = *number;
                 }
             }
             for (task, (number, place)) in facts {
-                self.pages.count(number, &id, 1);
-                if let Some((machine, session, attempt)) = place {
-                    self.placed_before(ctx, &id, &machine, session, attempt, task);
+                self.store.pages.count(number, &id, 1);
+                if let Some((machine, agent_epoch, attempt)) = place {
+                    self.restore_placement(ctx, &id, &machine, agent_epoch, attempt, task);
                 }
             }
         }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,7 +1,7 @@
 //! The scheduler itself, as one deterministic owner of all state: commands go in, effects come
 //! out. It does no I/O and reads no clock; whoever runs it hands over the time with every batch.
 //!
-//! - [`node::Node`] is what a process runs: users' requests, leadership and, while it leads, the
+//! - [`node::Controller`] is what a process runs: users' requests, leadership and, while it leads, the
 //!   scheduler.
 //! - `awaits` lets jobs wait for others; `parts` keeps submissions that take more than a value; `limits` follows what the state service grants.
 //! - `leader` keeps what only the leader knows; `commit` writes it to the state service, the facts
@@ -11,33 +11,19 @@
 //!   `event` names what is logged.
 
 pub mod capacity;
+pub mod controller;
 pub mod event;
 pub mod io;
 pub mod model;
-pub mod node;
 pub mod settings;
-pub mod work;
+pub mod work_counters;
 
-mod awaits;
-mod commit;
-mod failing;
-mod fleet;
-mod front;
+mod api;
 mod leader;
-mod limits;
-mod orders;
-mod pages;
-mod parts;
-mod place;
-mod preemption;
-mod queue;
-mod rent;
-mod reports;
-mod send_out;
-mod silence;
-mod step_down;
+mod store_limits;
+mod submission_parts;
 
+pub use controller::Controller;
 pub use event::Event;
-pub use io::{Batch, Command, Effect, IoError, Now, Severity, StateReply, StateRequest};
-pub use node::Node;
+pub use io::{Batch, Command, Effect, KvReply, KvRequest, RequestError, Severity, Timestamp};
 pub use settings::{Settings, Tuning};
--- a/crates/core/src/model/tests.rs
+++ b/crates/core/src/model/tests.rs
@@ -2,11 +2,11 @@
 
 #[test]
 fn bits_survive_their_text_in_chunks() {
-    let mut all = Bits::new(100_000);
+    let mut all = TaskSet::new(100_000);
     for i in (0..100_000).filter(|i| i % 7 == 0 || i % 11 == 3) {
         all.insert(i);
     }
-    let mut back = Bits::new(100_000);
+    let mut back = TaskSet::new(100_000);
     for from in (0..100_000).step_by(32_768) {
         let text = all.encode(from, 32_768);
         assert!(serde_json::to_string(&text).unwrap().len() < 6000);
--- a/crates/core/src/limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -23,7 +23,7 @@
 
 /// Limits in force, as far as this process knows.
 #[derive(Debug, Clone)]
-pub(crate) struct Granted {
+pub(crate) struct StoreLimits {
     now: Limits,
     /// Half of a value as it is today: a page is written again and again until it is full.
     half_value: usize,
@@ -36,15 +36,15 @@
     risen_at: u64,
 }
 
-impl Granted {
-    pub fn new(set: &Settings) -> Granted {
+impl StoreLimits {
+    pub fn new(set: &Settings) -> StoreLimits {
         let (today, next) = (&set.state, set.state_next.as_ref());
         let now = Limits {
             value_kb: next.map_or(today.value_kb, |n| n.value_kb.min(today.value_kb)),
             txn_ops: next.map_or(today.txn_ops, |n| n.txn_ops.min(today.txn_ops)),
             write_rps: today.write_rps,
         };
-        Granted {
+        StoreLimits {
             half_value: today.value_bytes() / 2,
             next_rate: next.map(|n| n.write_rps).filter(|r| *r < today.write_rps),
             ceiling: now.write_rps,
@@ -94,8 +94,8 @@
     }
     /// The leader's changes were refused as too many, though it keeps to its share. True if the rate is
     /// taken to have fallen.
-    pub fn refused(&mut self, now: u64, report_ms: u64) -> bool {
-        if self.fell_at > 0 && now.saturating_sub(self.fell_at) < report_ms {
+    pub fn refused(&mut self, now: u64, heartbeat_interval_ms: u64) -> bool {
+        if self.fell_at > 0 && now.saturating_sub(self.fell_at) < heartbeat_interval_ms {
             return false;
         }
         self.refusals += 1;
@@ -114,8 +114,8 @@
         self.now.write_rps < before
     }
     /// Time passes: a rate that fell without notice is tried again, little by little.
-    pub fn turn(&mut self, now: u64, report_ms: u64) {
-        if now.saturating_sub(self.risen_at) >= report_ms {
+    pub fn run_due(&mut self, now: u64, heartbeat_interval_ms: u64) {
+        if now.saturating_sub(self.risen_at) >= heartbeat_interval_ms {
             self.risen_at = now;
             self.now.write_rps = (self.now.write_rps * RISE).min(self.ceiling);
         }
--- a/crates/core/src/parts.rs
+++ b/crates/core/src/submission_parts.rs
@@ -3,23 +3,23 @@
 //! first part. What no record refers to is removed, the first part before the others, so that a
 //! record which still comes finds it missing and fails.
 
-use crate::commit::Flight;
+use crate::api::{Api, ApiRequest, PendingSubmission};
+use crate::controller::{BatchTime, Context, PendingRequest};
 use crate::event::Event;
-use crate::front::{Front, FrontWait, Pending};
 use crate::io::*;
-use crate::leader::{LeadWait, Leader};
+use crate::leader::store::InFlightTransaction;
+use crate::leader::{Leader, LeaderRequest};
 use crate::model::*;
-use crate::node::{Ctx, Moment, Wait};
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
-use shaleshunt_wire::state::{Condition, Pair, Txn, Write};
+use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::BTreeMap;
 
 /// Record of an unfinished job whose submission is in parts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct LargeRecord {
+pub(crate) struct SplitJobRecord {
     /// Prefix of the parts.
     pub p: String,
     /// Number of its tasks.
@@ -32,37 +32,37 @@
     pub k: bool,
 }
 
-impl LargeRecord {
+impl SplitJobRecord {
     /// Its job, by the prefix of the parts.
     pub fn job(&self) -> &str {
-        self.p.get(keys::PARTS.len()..).and_then(|rest| rest.split('/').next()).unwrap_or_default()
+        self.p.get(keys::SUBMISSION_PARTS.len()..).and_then(|rest| rest.split('/').next()).unwrap_or_default()
     }
 }
 
 /// What a key of an unfinished job holds.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
-pub(crate) enum Stored {
+pub(crate) enum StoredJob {
     Whole(Box<JobRecord>),
-    Large(LargeRecord),
+    SplitSubmission(SplitJobRecord),
 }
 
-impl Stored {
-    pub fn read(v: Value) -> Option<Stored> {
+impl StoredJob {
+    pub fn read(v: Value) -> Option<StoredJob> {
         serde_json::from_value(v).ok()
     }
     /// Whether it is cancelled, and how many tasks it has.
     pub fn cancelled(&self) -> (bool, u32) {
         match self {
-            Stored::Whole(r) => (r.x, r.s.tasks),
-            Stored::Large(r) => (r.x, r.n),
+            StoredJob::Whole(r) => (r.x, r.s.tasks),
+            StoredJob::SplitSubmission(r) => (r.x, r.n),
         }
     }
     /// The record when its user cancels it.
     pub fn into_cancelled(self) -> Value {
         match self {
-            Stored::Whole(r) => json!(r.into_cancelled()),
-            Stored::Large(r) => json!(LargeRecord { x: true, k: true, ..r }),
+            StoredJob::Whole(r) => json!(r.into_cancelled()),
+            StoredJob::SplitSubmission(r) => json!(SplitJobRecord { x: true, k: true, ..r }),
         }
     }
 }
@@ -71,7 +71,7 @@
 pub(crate) type Parts = Vec<(String, Revision)>;
 
 /// The submission that a large record's parts make up.
-pub(crate) fn join(rec: &LargeRecord, pairs: &[Pair]) -> Option<JobRecord> {
+pub(crate) fn join(rec: &SplitJobRecord, pairs: &[KeyValue]) -> Option<JobRecord> {
     let text: String = pairs.iter().filter_map(|p| p.v.as_str()).collect();
     let s: Submission = serde_json::from_str(&text).ok()?;
     Some(JobRecord { s, at: rec.at, x: rec.x, k: rec.k })
@@ -101,8 +101,8 @@
 
 /// A large submission on its way.
 #[derive(Debug)]
-pub(crate) struct Large {
-    pub p: Pending,
+pub(crate) struct SplitSubmission {
+    pub p: PendingSubmission,
     prefix: String,
     parts: Vec<String>,
     /// Parts written, and the first one's version.
@@ -114,19 +114,26 @@
     pub told: bool,
 }
 
-impl Large {
-    pub fn new(ctx: &Ctx, p: Pending) -> Large {
+impl SplitSubmission {
+    pub fn new(ctx: &Context, p: PendingSubmission) -> SplitSubmission {
         let text = serde_json::to_string(&p.spec).unwrap_or_default();
-        let prefix = format!("{}{}/{}-{}-{}/", keys::PARTS, p.spec.id, ctx.set.label, ctx.process, p.order);
+        let prefix = format!(
+            "{}{}/{}-{}-{}/",
+            keys::SUBMISSION_PARTS,
+            p.spec.id,
+            ctx.settings.node_name,
+            ctx.process_id,
+            p.order
+        );
         let parts = cut(&text, ctx.limits.value_bytes());
-        Large { p, prefix, parts, written: 0, first: Revision::ABSENT, sending: 0, told: false }
+        SplitSubmission { p, prefix, parts, written: 0, first: Revision::ABSENT, sending: 0, told: false }
     }
     fn key(&self, n: usize) -> String {
         format!("{}{n:04}", self.prefix)
     }
     /// The next transaction: some parts, or the record.
-    fn txn(&mut self, ctx: &Ctx) -> Txn {
-        let mut txn = Txn { conditions: Vec::new(), writes: Vec::new() };
+    fn transaction(&mut self, ctx: &Context) -> Transaction {
+        let mut transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
         let mut bytes = 0;
         self.sending = 0;
         for (n, part) in self.parts.iter().enumerate().skip(self.written).take(ctx.limits.ops()) {
@@ -134,50 +141,53 @@
             if bytes > MAX_BODY && self.sending > 0 {
                 break;
             }
-            txn.conditions.push(Condition { path: self.key(n), version: Revision::ABSENT });
-            txn.writes.push(Write::set(self.key(n), json!(part)));
+            transaction.conditions.push(Condition { path: self.key(n), version: Revision::ABSENT });
+            transaction.writes.push(Write::set(self.key(n), json!(part)));
             self.sending += 1;
         }
         if self.sending == 0 {
             let key = format!("{}{}", keys::JOBS, self.p.spec.id);
-            let rec = LargeRecord { p: self.prefix.clone(), n: self.p.spec.tasks, at: self.p.wall, x: false, k: false };
-            txn.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
-            txn.conditions
-                .push(Condition { path: format!("{}{}", keys::FINALS, self.p.spec.id), version: Revision::ABSENT });
-            txn.conditions.push(Condition { path: self.key(0), version: self.first });
-            txn.writes.push(Write::set(key, json!(rec)));
+            let rec =
+                SplitJobRecord { p: self.prefix.clone(), n: self.p.spec.tasks, at: self.p.wall_ms, x: false, k: false };
+            transaction.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
+            transaction.conditions.push(Condition {
+                path: format!("{}{}", keys::FINAL_RECORDS, self.p.spec.id),
+                version: Revision::ABSENT,
+            });
+            transaction.conditions.push(Condition { path: self.key(0), version: self.first });
+            transaction.writes.push(Write::set(key, json!(rec)));
         }
-        txn
+        transaction
     }
 }
 
-impl Front {
-    pub(crate) fn send_large(&mut self, ctx: &mut Ctx, mut large: Box<Large>) {
-        let txn = large.txn(ctx);
-        ctx.state(StateRequest::Txn(txn), Wait::Front(FrontWait::Large(large)));
+impl Api {
+    pub(crate) fn send_split_submission(&mut self, ctx: &mut Context, mut large: Box<SplitSubmission>) {
+        let transaction = large.transaction(ctx);
+        ctx.send_kv(KvRequest::Transaction(transaction), PendingRequest::Api(ApiRequest::SplitSubmission(large)));
     }
 
     /// Some parts of a large submission, or its record, were written or not.
-    pub(crate) fn large_sent(
+    pub(crate) fn handle_split_submission_reply(
         &mut self,
-        ctx: &mut Ctx,
-        mut large: Box<Large>,
-        sent: Moment,
-        result: Result<StateReply, IoError>,
+        ctx: &mut Context,
+        mut large: Box<SplitSubmission>,
+        sent: BatchTime,
+        result: Result<KvReply, RequestError>,
     ) {
         match result {
-            Ok(StateReply::Committed(ledger)) if large.sending > 0 => {
+            Ok(KvReply::Committed(revision)) if large.sending > 0 => {
                 if large.written == 0 {
-                    large.first = ledger;
+                    large.first = revision;
                 }
                 large.written += large.sending;
                 self.large.push_back(large);
             }
-            Err(IoError::Throttled) => {
+            Err(RequestError::Throttled) => {
                 self.large.push_back(large);
             }
-            Err(IoError::Rejected(_)) if ctx.limits.too_large() => {
-                let anew = Large::new(ctx, large.p);
+            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
+                let anew = SplitSubmission::new(ctx, large.p);
                 self.large.push_back(Box::new(anew));
             }
             result => {
@@ -195,83 +205,98 @@
 
 impl Leader {
     /// Reads the parts of a job that has come.
-    pub(crate) fn read_parts(&mut self, ctx: &mut Ctx, rec: LargeRecord, version: Revision, got: Vec<Pair>) {
-        self.reading_parts.insert(rec.job().into(), version);
+    pub(crate) fn read_parts(&mut self, ctx: &mut Context, rec: SplitJobRecord, version: Revision, got: Vec<KeyValue>) {
+        self.store.parts_being_read.insert(rec.job().into(), version);
         let after = got.last().map(|p| p.path.clone()).unwrap_or_default();
         let prefix = rec.p.clone();
-        let wait = self.wait(LeadWait::Parts(Box::new((rec, version, got))));
-        ctx.state(StateRequest::Scan { prefix, after }, wait);
+        let wait = self.wait(LeaderRequest::Parts(Box::new((rec, version, got))));
+        ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
     }
 
     /// Parts were read, or not: then once more.
-    pub(crate) fn parts_read(
+    pub(crate) fn handle_parts(
         &mut self,
-        ctx: &mut Ctx,
-        rec: LargeRecord,
+        ctx: &mut Context,
+        rec: SplitJobRecord,
         version: Revision,
-        mut got: Vec<Pair>,
-        result: Result<StateReply, IoError>,
+        mut got: Vec<KeyValue>,
+        result: Result<KvReply, RequestError>,
     ) {
         // The record has changed or is gone since: this answer is late.
-        if self.reading_parts.get(rec.job()) != Some(&version) {
+        if self.store.parts_being_read.get(rec.job()) != Some(&version) {
             return;
         }
         match result {
-            Ok(StateReply::Page(page)) => {
+            Ok(KvReply::Page(page)) => {
                 got.extend(page.pairs);
                 if page.truncated {
                     self.read_parts(ctx, rec, version, got);
                 } else {
-                    self.reading_parts.remove(rec.job());
-                    self.large_set(ctx, &rec, version, got);
+                    self.store.parts_being_read.remove(rec.job());
+                    self.add_split_job(ctx, &rec, version, got);
                 }
             }
-            _ => self.parts_later.push((ctx.now.mono + ctx.set.report_ms() / 12, rec, version)),
+            _ => self.store.part_read_retries.push((
+                ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 12,
+                rec,
+                version,
+            )),
         }
     }
 
     /// A job whose submission is in parts is known.
-    pub(crate) fn large_set(&mut self, ctx: &mut Ctx, rec: &LargeRecord, version: Revision, got: Vec<Pair>) {
+    pub(crate) fn add_split_job(
+        &mut self,
+        ctx: &mut Context,
+        rec: &SplitJobRecord,
+        version: Revision,
+        got: Vec<KeyValue>,
+    ) {
         let Some(whole) = join(rec, &got) else {
             ctx.emit(Event::SubmissionPartsUnreadable { prefix: rec.p.clone() });
             return;
         };
         let id: Id = whole.s.id.as_str().into();
-        self.parts.insert(id, got.into_iter().map(|p| (p.path, p.version)).collect());
-        self.record_set(ctx, whole, version);
+        self.store.submission_parts.insert(id, got.into_iter().map(|p| (p.path, p.version)).collect());
+        self.add_job(ctx, whole, version);
     }
 
     /// Sorts what was read of parts at a takeover: jobs', and what no record refers to.
-    pub(crate) fn parts_loaded(&mut self, ctx: &mut Ctx, pairs: Vec<Pair>, records: Vec<(LargeRecord, Revision)>) {
-        let mut by_prefix: BTreeMap<String, Vec<Pair>> = BTreeMap::new();
+    pub(crate) fn restore_split_submissions(
+        &mut self,
+        ctx: &mut Context,
+        pairs: Vec<KeyValue>,
+        records: Vec<(SplitJobRecord, Revision)>,
+    ) {
+        let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
         for p in pairs {
             let prefix = p.path.rfind('/').map(|at| p.path[..=at].to_string()).unwrap_or_default();
             by_prefix.entry(prefix).or_default().push(p);
         }
         for (rec, version) in records {
             match by_prefix.remove(&rec.p) {
-                Some(got) => self.large_set(ctx, &rec, version, got),
+                Some(got) => self.add_split_job(ctx, &rec, version, got),
                 None => self.read_parts(ctx, rec, version, Vec::new()),
             }
         }
-        let keys = |got: Vec<Pair>| got.into_iter().map(|p| (p.path, p.version)).collect();
-        self.dead_parts.extend(by_prefix.into_values().map(keys));
+        let keys = |got: Vec<KeyValue>| got.into_iter().map(|p| (p.path, p.version)).collect();
+        self.store.unreferenced_parts.extend(by_prefix.into_values().map(keys));
     }
 
     /// Removes the first part of what no record refers to; the others follow alone.
-    pub(crate) fn gather_parts(&mut self, f: &mut Flight) {
-        while let Some(parts) = self.dead_parts.last()
+    pub(crate) fn collect_unreferenced_parts(&mut self, f: &mut InFlightTransaction) {
+        while let Some(parts) = self.store.unreferenced_parts.last()
             && let Some((key, version)) = parts.first()
         {
-            let job = key[keys::PARTS.len()..].split('/').next().unwrap_or_default();
-            if !f.takes(1, 2, 400) {
+            let job = key[keys::SUBMISSION_PARTS.len()..].split('/').next().unwrap_or_default();
+            if !f.has_space_for(1, 2, 400) {
                 return;
             }
             f.drop_key(key.clone(), *version);
             if !self.jobs.contains_key(job) {
-                f.expect_absent(format!("{}{job}", keys::JOBS));
+                f.require_absent(format!("{}{job}", keys::JOBS));
             }
-            f.parts.extend(self.dead_parts.pop());
+            f.parts.extend(self.store.unreferenced_parts.pop());
         }
     }
 }
--- a/crates/loopback/src/controllers.rs
+++ b/crates/loopback/src/controllers.rs
@@ -10,7 +10,7 @@
 /// A controller's process.
 pub struct Controller {
     /// Label in its settings.
-    pub label: String,
+    pub node_name: String,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -32,12 +32,12 @@
 
 impl Controller {
     /// Starts a controller with these settings; its log goes to a file beside them.
-    pub fn start(program: &Path, folder: &Path, label: &str, settings: &str) -> std::io::Result<Controller> {
-        let file = folder.join(format!("{label}.toml"));
+    pub fn start(program: &Path, folder: &Path, node_name: &str, settings: &str) -> std::io::Result<Controller> {
+        let file = folder.join(format!("{node_name}.toml"));
         std::fs::write(&file, settings)?;
-        let log = folder.join(format!("{label}.log"));
+        let log = folder.join(format!("{node_name}.log"));
         let process = spawn(program, &file, &log)?;
-        Ok(Controller { label: label.into(), program: program.into(), settings: file, log, process })
+        Ok(Controller { node_name: node_name.into(), program: program.into(), settings: file, log, process })
     }
 
     /// Ends the process at once and starts it again.
--- a/crates/loopback/src/machines.rs
+++ b/crates/loopback/src/machines.rs
@@ -4,13 +4,13 @@
 use bytes::Bytes;
 use hyper::Method;
 use rand::Rng;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use shaleshunt_net::client::Client;
 use shaleshunt_net::sockets::Sockets;
 use shaleshunt_testkit::worker::Worker;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::worker::{Elsewhere, Orders, ReportReply};
+use shaleshunt_wire::worker::{DirectCommands, HeartbeatReply, Redirect};
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
@@ -102,9 +102,12 @@
     serve(listener, move |received: Received| {
         let (fleet, worker, endpoint) = (fleet.clone(), worker.clone(), endpoint.clone());
         async move {
-            let Ok(orders) = serde_json::from_slice::<Orders>(&received.body) else { return (400, Vec::new()) };
+            let Ok(commands) = serde_json::from_slice::<DirectCommands>(&received.body) else {
+                return (400, Vec::new());
+            };
             fleet.counts.borrow_mut().calls += 1;
-            let (executed, mut report) = worker.borrow_mut().orders(fleet.now(), orders, &fleet.jobs.borrow());
+            let (executed, mut report) =
+                worker.borrow_mut().direct_commands(fleet.now(), commands, &fleet.jobs.borrow());
             report.endpoint = endpoint;
             json(if executed { 200 } else { 409 }, &report)
         }
@@ -120,18 +123,18 @@
         let interval = fleet.report.mul_f64(rand::rng().random_range(0.75..1.25)).as_millis() as u64;
         let due = {
             let mut worker = worker.borrow_mut();
-            let session = worker.session;
+            let agent_epoch = worker.agent_epoch;
             worker.turn(now, &fleet.jobs.borrow(), &fleet.completed.borrow(), &BTreeSet::new());
-            fleet.counts.borrow_mut().leases_lost += worker.session.0 - session.0;
+            fleet.counts.borrow_mut().leases_lost += worker.agent_epoch.0 - agent_epoch.0;
             worker.events.clear();
             worker.begin_report(now, interval)
         };
         let Some(mut report) = due else { continue };
         report.endpoint = endpoint.clone();
-        let sent = (now, report.session, report.tick);
+        let sent = (now, report.agent_epoch, report.sequence);
         let body = serde_json::to_vec(&report).map(Bytes::from).unwrap_or_default();
         let address = &fleet.controllers[node].1;
-        let answer = client.send(call(address, Method::POST, paths::CHECKIN, body, PATIENCE)).await;
+        let answer = client.send(call(address, Method::POST, paths::HEARTBEAT, body, PATIENCE)).await;
         match outcome(&fleet, node, answer) {
             Outcome::Answered(reply) => {
                 fleet.counts.borrow_mut().reports += 1;
@@ -153,18 +156,18 @@
 
 /// What the answer to a report means.
 enum Outcome {
-    Answered(ReportReply),
+    Answered(HeartbeatReply),
     Move { to: usize, pause: Duration },
 }
 
-fn outcome(fleet: &Fleet, node: usize, answer: Result<(u16, Bytes), IoError>) -> Outcome {
+fn outcome(fleet: &Fleet, node: usize, answer: Result<(u16, Bytes), RequestError>) -> Outcome {
     let next = Outcome::Move { to: (node + 1) % fleet.controllers.len(), pause: RETRY };
     let Ok((status, body)) = answer else { return next };
     match status {
         200 => serde_json::from_slice(&body).map_or(next, Outcome::Answered),
         421 => {
-            let named = serde_json::from_slice::<Elsewhere>(&body).ok().and_then(|elsewhere| elsewhere.foreman);
-            match fleet.controllers.iter().position(|(label, _)| Some(label) == named.as_ref()) {
+            let named = serde_json::from_slice::<Redirect>(&body).ok().and_then(|elsewhere| elsewhere.known_leader);
+            match fleet.controllers.iter().position(|(node_name, _)| Some(node_name) == named.as_ref()) {
                 Some(to) if to != node => Outcome::Move { to, pause: Duration::ZERO },
                 _ => next,
             }
--- a/crates/loopback/src/main.rs
+++ b/crates/loopback/src/main.rs
@@ -14,8 +14,8 @@
 use shaleshunt_testkit::cloud::Cloud;
 use shaleshunt_testkit::state::StateService;
 use shaleshunt_testkit::worker::Worker;
-use shaleshunt_wire::Room;
-use shaleshunt_wire::cloud::{Catalog, Frame};
+use shaleshunt_wire::Resources;
+use shaleshunt_wire::cloud::{Catalog, MachineType};
 use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -42,7 +42,7 @@
     machines: u32,
     /// Reporting interval of a machine, in seconds.
     #[arg(long, default_value_t = 5.0)]
-    report_s: f64,
+    heartbeat_interval_s: f64,
     /// Lease of a machine, in seconds.
     #[arg(long, default_value_t = 27.0)]
     lease_s: f64,
@@ -89,9 +89,9 @@
     services::serve_cloud(cloud_listener, cloud.clone(), began);
     let (nodes, reserved) = reserve_addresses().await?;
     let fleet = Rc::new(Fleet {
-        controllers: nodes.iter().map(|node| (node.label.clone(), node.front.clone())).collect(),
+        controllers: nodes.iter().map(|node| (node.node_name.clone(), node.front.clone())).collect(),
         jobs: RefCell::default(),
-        report: Duration::from_secs_f64(arguments.report_s),
+        report: Duration::from_secs_f64(arguments.heartbeat_interval_s),
         began,
         counts: RefCell::default(),
         completed: RefCell::default(),
@@ -102,7 +102,7 @@
     let mut controllers = Vec::new();
     for node in &nodes {
         let settings = settings(node, &nodes, &arguments, &state_address, &cloud_address);
-        controllers.push(Controller::start(&arguments.program, &arguments.folder, &node.label, &settings)?);
+        controllers.push(Controller::start(&arguments.program, &arguments.folder, &node.node_name, &settings)?);
     }
     let jobs = Rc::new(users::Jobs::default());
     let team = "team".to_string();
@@ -141,7 +141,11 @@
             if let Some(controller) = busiest.and_then(|i| controllers.get_mut(i)) {
                 controller.restart()?;
                 fleet.expect_all();
-                println!("{elapsed:5.0} s: {} ended and started again, process {}", controller.label, controller.id());
+                println!(
+                    "{elapsed:5.0} s: {} ended and started again, process {}",
+                    controller.node_name,
+                    controller.id()
+                );
             }
         }
         if ends_of_all.last().is_some_and(|at| elapsed >= *at) {
@@ -163,7 +167,7 @@
     let of = |(controller, (before, after)): (&Controller, (&Usage, &Usage))| {
         format!(
             "{} {:.1}+{:.1} ms/s {:.0} MiB {} sockets",
-            controller.label,
+            controller.node_name,
             per_second(before.user_s, after.user_s) * 1000.0,
             per_second(before.system_s, after.system_s) * 1000.0,
             after.resident_mib,
@@ -190,7 +194,7 @@
 
 /// Label, zone and addresses of a controller.
 struct Node {
-    label: String,
+    node_name: String,
     zone: String,
     front: String,
     back: String,
@@ -204,7 +208,7 @@
         let (front, front_listener) = listen().await?;
         let (back, back_listener) = listen().await?;
         reserved.extend([front_listener, back_listener]);
-        nodes.push(Node { label: format!("node-{number}"), zone: zone(number), front, back });
+        nodes.push(Node { node_name: format!("node-{number}"), zone: zone(number), front, back });
     }
     Ok((nodes, reserved))
 }
@@ -213,16 +217,16 @@
     format!("zone-{number}")
 }
 
-fn machine_type() -> Frame {
-    Frame {
+fn machine_type() -> MachineType {
+    MachineType {
         name: "type".into(),
         cores: 32.0,
-        cards: 0.0,
-        ram_gb: 64.0,
+        accelerators: 0.0,
+        memory_gb: 64.0,
         local_gb: 80.0,
         fetch_gb_per_s: 0.5,
         price: 2.0,
-        market_price: 0.5,
+        spot_price: 0.5,
         boot_s: 25.0,
         zones: (0..CONTROLLERS).map(zone).collect(),
     }
@@ -231,7 +235,7 @@
 /// A cloud that has the fleet's type and nothing more to rent.
 fn cloud() -> Cloud {
     let mut cloud = Cloud::default();
-    cloud.catalog = Catalog { frames: vec![machine_type()] };
+    cloud.catalog = Catalog { machine_types: vec![machine_type()] };
     cloud
 }
 
@@ -247,7 +251,7 @@
             &machine_type.name,
             &zone,
             false,
-            machine_type.room(),
+            machine_type.resources(),
             machine_type.fetch_gb_per_s,
             lease_ms,
             0,
@@ -260,21 +264,21 @@
 fn settings(node: &Node, nodes: &[Node], arguments: &Arguments, state: &str, cloud: &str) -> String {
     let seeds: String = nodes
         .iter()
-        .filter(|other| other.label != node.label)
+        .filter(|other| other.node_name != node.node_name)
         .map(|other| {
             format!(
                 "[[seeds]]\nlabel = \"{}\"\nlocation = \"{}\"\naddress = \"{}\"\n",
-                other.label, other.zone, other.back
+                other.node_name, other.zone, other.back
             )
         })
         .collect();
     let zones: Vec<String> = (0..CONTROLLERS).map(zone).collect();
-    let room = Room::new(machine_type().cores, 0.0, 0.0).cores / 1000 * i64::from(arguments.machines);
+    let resources = Resources::new(machine_type().cores, 0.0, 0.0).cores / 1000 * i64::from(arguments.machines);
     format!(
-        "label = \"{label}\"\nlocation = \"{zone}\"\nfront = \"{front}\"\nback = \"{back}\"\n{seeds}\
+        "label = \"{node_name}\"\nlocation = \"{zone}\"\nfront = \"{front}\"\nback = \"{back}\"\n{seeds}\
          [endpoints]\ncloud = \"{cloud}\"\nstate = \"{state}\"\n\
          [params]\ninitial_size = 3\nzones = {zones:?}\nskew_ms = 5.0\n\
-         [[params.teams]]\nname = \"team\"\ncpus = {room}.0\ncpus_max = {room}.0\n\
+         [[params.teams]]\nname = \"team\"\ncpus = {resources}.0\ncpus_max = {resources}.0\n\
          [[params.objectives]]\nkind = \"wait\"\nclass = \"urgent\"\nwithin_s = 5.0\nshare = 0.9\n\
          [params.workers]\nreport_s = {report:?}\nlease_s = {lease:?}\ncancel_s = {cancel:?}\n\
          [params.state]\nrps = 200.0\nwrite_rps = 80.0\nvalue_kb = 16.0\ntxn_ops = 24\n\
@@ -282,11 +286,11 @@
          [params.resources]\ncore_share = 0.06\nmem_mb = {mem_mb:?}\nfd_limit = {sockets}\n",
         mem_mb = arguments.mem_mb,
         sockets = arguments.sockets,
-        label = node.label,
+        node_name = node.node_name,
         zone = node.zone,
         front = node.front,
         back = node.back,
-        report = arguments.report_s,
+        report = arguments.heartbeat_interval_s,
         lease = arguments.lease_s,
         cancel = arguments.lease_s * 2.0,
     )
