--- a/crates/loopback/src/services.rs
+++ b/crates/loopback/src/services.rs
@@ -3,13 +3,13 @@
 use crate::http::{Received, Reply, json, serve};
 use hyper::Method;
 use shaleshunt_core::io::{CloudReply, CloudRequest};
-use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
 use shaleshunt_testkit::cloud::Cloud;
 use shaleshunt_testkit::state::StateService;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::MachineNames;
+use shaleshunt_wire::kv::{LeaseGrant, LeaseRequest, TransactionReply};
 use shaleshunt_wire::paths;
-use shaleshunt_wire::state::{Hold, NewHold, TxnReply};
 use shaleshunt_wire::user::Problem;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,7 +23,7 @@
 const STEP: Duration = Duration::from_millis(5);
 
 /// Open watches by number.
-type Watches = Rc<RefCell<HashMap<u64, oneshot::Sender<StateReply>>>>;
+type Watches = Rc<RefCell<HashMap<u64, oneshot::Sender<KvReply>>>>;
 
 /// Serves the state service.
 pub fn serve_state(listener: TcpListener, state: StateService, began: Instant) {
@@ -49,7 +49,7 @@
                 None => {
                     let (sender, receiver) = oneshot::channel();
                     watches.borrow_mut().insert(number, sender);
-                    state_reply(receiver.await.map_err(|_| IoError::Refused))
+                    state_reply(receiver.await.map_err(|_| RequestError::Unavailable))
                 }
             }
         }
@@ -71,46 +71,50 @@
     });
 }
 
-fn state_request(received: &Received) -> Option<StateRequest> {
+fn state_request(received: &Received) -> Option<KvRequest> {
     let path = received.path.as_str();
     let prefix = || received.parameter("prefix");
     if path == paths::KV {
-        return Some(StateRequest::Scan { prefix: prefix()?, after: received.parameter("after").unwrap_or_default() });
+        return Some(KvRequest::Scan { prefix: prefix()?, after: received.parameter("after").unwrap_or_default() });
     }
     if path == paths::WATCH {
         let number = |name| received.parameter(name).and_then(|text| text.parse().ok());
-        return Some(StateRequest::Watch {
+        return Some(KvRequest::Watch {
             prefix: prefix()?,
             after: Revision(number("after")?),
             hold_ms: number("holdMs")?,
         });
     }
     if path == paths::TXN {
-        return serde_json::from_slice(&received.body).ok().map(StateRequest::Txn);
+        return serde_json::from_slice(&received.body).ok().map(KvRequest::Transaction);
     }
-    if path == paths::HOLDS {
-        let hold: NewHold = serde_json::from_slice(&received.body).ok()?;
-        return Some(StateRequest::NewHold { life_ms: hold.life_ms });
+    if path == paths::LEASES {
+        let hold: LeaseRequest = serde_json::from_slice(&received.body).ok()?;
+        return Some(KvRequest::GrantLease { ttl_ms: hold.ttl_ms });
     }
     if let Some(key) = path.strip_prefix(paths::KV).and_then(|rest| rest.strip_prefix('/')) {
-        return Some(StateRequest::Get { key: key.into() });
+        return Some(KvRequest::Get { key: key.into() });
     }
-    let lease = path.strip_prefix(paths::HOLDS)?.strip_prefix('/')?;
+    let lease = path.strip_prefix(paths::LEASES)?.strip_prefix('/')?;
     let pass = lease.split('/').next()?.parse().ok()?;
-    Some(if received.method == Method::DELETE { StateRequest::EndHold { pass } } else { StateRequest::Renew { pass } })
+    Some(if received.method == Method::DELETE {
+        KvRequest::RevokeLease { pass }
+    } else {
+        KvRequest::RenewLease { pass }
+    })
 }
 
-fn state_reply(result: Result<StateReply, IoError>) -> Reply {
+fn state_reply(result: Result<KvReply, RequestError>) -> Reply {
     match result {
-        Ok(StateReply::Found(pair)) => json(200, &pair),
-        Ok(StateReply::Missing) => json(404, &serde_json::json!({})),
-        Ok(StateReply::Page(page)) => json(200, &page),
-        Ok(StateReply::Committed(ledger)) => json(200, &TxnReply { failed: Vec::new(), ledger }),
-        Ok(StateReply::Conflict(failed)) => json(409, &TxnReply { failed, ledger: Revision::ABSENT }),
-        Ok(StateReply::Hold(pass)) => json(200, &Hold { pass }),
-        Ok(StateReply::Fine) => json(200, &serde_json::json!({})),
-        Ok(StateReply::News(news)) => json(200, &news),
-        Ok(StateReply::TooOld) => json(410, &serde_json::json!({})),
+        Ok(KvReply::Found(pair)) => json(200, &pair),
+        Ok(KvReply::Missing) => json(404, &serde_json::json!({})),
+        Ok(KvReply::Page(page)) => json(200, &page),
+        Ok(KvReply::Committed(revision)) => json(200, &TransactionReply { failed: Vec::new(), revision }),
+        Ok(KvReply::Conflict(failed)) => json(409, &TransactionReply { failed, revision: Revision::ABSENT }),
+        Ok(KvReply::LeaseGranted(pass)) => json(200, &LeaseGrant { pass }),
+        Ok(KvReply::Done) => json(200, &serde_json::json!({})),
+        Ok(KvReply::Changes(news)) => json(200, &news),
+        Ok(KvReply::Compacted) => json(410, &serde_json::json!({})),
         Err(error) => failure(error),
     }
 }
@@ -128,10 +132,10 @@
             cloud.turn(now);
             match cloud.handle(now, request).0 {
                 Ok(CloudReply::Catalog(catalog)) => json(200, &catalog),
-                Ok(CloudReply::Hired(machines)) => json(200, &MachineNames { machines }),
+                Ok(CloudReply::ScaledOut(machines)) => json(200, &MachineNames { machines }),
                 Ok(CloudReply::NoCapacity) => json(503, &Problem { error: "no capacity".into() }),
-                Ok(CloudReply::Returned) => json(200, &serde_json::json!({})),
-                Ok(CloudReply::Page(page)) => json(200, &page),
+                Ok(CloudReply::ScaledIn) => json(200, &serde_json::json!({})),
+                Ok(CloudReply::MachineList(page)) => json(200, &page),
                 Err(error) => failure(error),
             }
         }
@@ -144,19 +148,19 @@
         (Method::GET, paths::MACHINES) => {
             Some(CloudRequest::List { after: received.parameter("after").unwrap_or_default() })
         }
-        (Method::POST, paths::MACHINES) => serde_json::from_slice(&received.body).ok().map(CloudRequest::Hire),
+        (Method::POST, paths::MACHINES) => serde_json::from_slice(&received.body).ok().map(CloudRequest::ScaleOut),
         (Method::POST, paths::RETURN) => {
             let names: MachineNames = serde_json::from_slice(&received.body).ok()?;
-            Some(CloudRequest::Return(names.machines))
+            Some(CloudRequest::ScaleIn(names.machines))
         }
         _ => None,
     }
 }
 
-fn failure(error: IoError) -> Reply {
+fn failure(error: RequestError) -> Reply {
     let status = match error {
-        IoError::Throttled => 429,
-        IoError::Rejected(_) => 400,
+        RequestError::Throttled => 429,
+        RequestError::Rejected(_) => 400,
         _ => 503,
     };
     json(status, &Problem { error: error.to_string() })
--- a/crates/loopback/src/users.rs
+++ b/crates/loopback/src/users.rs
@@ -8,7 +8,7 @@
 use shaleshunt_net::client::Client;
 use shaleshunt_net::sockets::Sockets;
 use shaleshunt_wire::paths;
-use shaleshunt_wire::user::{JobStatus, JobView, Shape, Submission, Urgency};
+use shaleshunt_wire::user::{JobKind, JobStatus, JobView, Priority, Submission};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -45,30 +45,30 @@
 }
 
 /// Every other job is urgent and has a deadline; the others are ordinary work.
-fn submission(number: u64, team: &str, expect_s: f64) -> Submission {
-    let urgent = number.is_multiple_of(2);
+fn submission(number: u64, team: &str, estimated_run_s: f64) -> Submission {
+    let urgent_writes = number.is_multiple_of(2);
     Submission {
         id: format!("wk-{number:06}"),
-        class: if urgent { "urgent" } else { "batch" }.into(),
+        class: if urgent_writes { "urgent" } else { "batch" }.into(),
         team: team.into(),
-        shape: Shape::Array,
-        urgency: if urgent { Urgency::High } else { Urgency::Normal },
+        kind: JobKind::Array,
+        priority: if urgent_writes { Priority::High } else { Priority::Normal },
         tasks: TASKS,
         cores: rand::rng().random_range(10..50) as f64 / 10.0,
-        cards: 0.0,
-        ram_gb: 2.0,
+        accelerators: 0.0,
+        memory_gb: 2.0,
         image: format!("image-{}", number % 12),
         image_gb: 0.5,
-        frames: None,
+        machine_types: None,
         zone: None,
-        one_zone: false,
-        scatter: false,
+        single_zone: false,
+        spread_zones: false,
         spot: true,
-        expect_s,
-        mark_every_s: 0.0,
-        mark_takes_s: 0.0,
-        due_s: urgent.then_some(expect_s * 3.0 + 60.0),
-        awaits: Vec::new(),
+        estimated_run_s,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: urgent_writes.then_some(estimated_run_s * 3.0 + 60.0),
+        dependencies: Vec::new(),
     }
 }
 
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -8,7 +8,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::{Method, Request};
 use hyper_util::rt::TokioIo;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -57,10 +57,10 @@
     }
 
     /// Sends a request; the answer's status and body.
-    pub async fn send(&self, call: Call<'_>) -> Result<(u16, Bytes), IoError> {
+    pub async fn send(&self, call: Call<'_>) -> Result<(u16, Bytes), RequestError> {
         let Call { address, method, path, body, patience, urgency } = call;
         let Ok(_permit) = tokio::time::timeout(patience, self.permits.acquire(urgency)).await else {
-            return Err(IoError::Busy);
+            return Err(RequestError::LocalOverload);
         };
         let mut sender = self.connection(address).await?;
         let request = Request::builder()
@@ -69,21 +69,21 @@
             .header("host", address)
             .header("content-type", "application/json")
             .body(Full::new(body))
-            .map_err(|_| IoError::NotSent)?;
+            .map_err(|_| RequestError::NotSent)?;
         let exchange = async {
             let answer = sender.send_request(request).await.map_err(|e| {
                 // Never written: the connection had been closed before.
-                if e.is_canceled() { IoError::NotSent } else { IoError::Unknown }
+                if e.is_canceled() { RequestError::NotSent } else { RequestError::OutcomeUnknown }
             })?;
             let status = answer.status().as_u16();
             let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
             let body = body.map_err(|e| match e.downcast_ref::<LengthLimitError>() {
-                Some(_) => IoError::TooLong,
-                None => IoError::Unknown,
+                Some(_) => RequestError::TooLong,
+                None => RequestError::OutcomeUnknown,
             })?;
             Ok((status, body.to_bytes()))
         };
-        let answer = tokio::time::timeout(patience, exchange).await.map_err(|_| IoError::Unknown)??;
+        let answer = tokio::time::timeout(patience, exchange).await.map_err(|_| RequestError::OutcomeUnknown)??;
         if !sender.is_closed() && self.sockets.roomy() {
             self.idle.borrow_mut().entry(address.to_string()).or_default().push((Instant::now(), sender));
         }
@@ -112,7 +112,7 @@
         }
     }
 
-    async fn connection(&self, addr: &str) -> Result<Sender, IoError> {
+    async fn connection(&self, addr: &str) -> Result<Sender, RequestError> {
         loop {
             let kept = self.idle.borrow_mut().get_mut(addr).and_then(Vec::pop);
             let Some((_, mut sender)) = kept else { break };
@@ -123,11 +123,11 @@
         }
         let open = self.sockets.open();
         let stream = tokio::time::timeout(self.connect, TcpStream::connect(addr)).await;
-        let stream = stream.map_err(|_| IoError::NotSent)?.map_err(|_| IoError::NotSent)?;
+        let stream = stream.map_err(|_| RequestError::NotSent)?.map_err(|_| RequestError::NotSent)?;
         let _ = stream.set_nodelay(true);
         let shake =
             hyper::client::conn::http1::Builder::new().max_buf_size(1024 * 1024).handshake(TokioIo::new(stream));
-        let (sender, connection) = shake.await.map_err(|_| IoError::NotSent)?;
+        let (sender, connection) = shake.await.map_err(|_| RequestError::NotSent)?;
         tokio::task::spawn_local(async move {
             let _open = open;
             let _ = connection.await;
--- a/crates/net/src/idle_times.rs
+++ b/crates/net/src/idle_times.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
     /// A machine's report, answered without commands.
-    Report,
+    Heartbeat,
     /// A machine's report, answered with commands: it reports again when they have been carried out.
     ReportWithOrders,
     /// A machine's report that this node did not take: it goes to another one.
@@ -54,7 +54,7 @@
     /// Whether the next request after one of this kind is expected no earlier than after a report or a
     /// user's request, whichever is later. Among equals users keep their connections.
     pub fn expected_last(&self, kind: RequestKind) -> bool {
-        let report = self.mean(RequestKind::Report).get();
+        let report = self.mean(RequestKind::Heartbeat).get();
         let user = self.mean(RequestKind::User).get();
         match kind {
             RequestKind::User => user > report,
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -17,7 +17,7 @@
 use permits::Urgency;
 use server::Ask;
 use shaleshunt_core::io::{Answer, Command, Effect, RequestId};
-use shaleshunt_core::{IoError, Node, Now, Settings, Severity, StateReply, StateRequest, Tuning};
+use shaleshunt_core::{Controller, KvReply, KvRequest, RequestError, Settings, Severity, Timestamp, Tuning};
 use shaleshunt_peer::Frame;
 use sockets::Sockets;
 use std::cell::RefCell;
@@ -85,8 +85,8 @@
 pub async fn run(settings: Settings, tuning: Tuning, wiring: Wiring) -> std::io::Result<()> {
     let front = TcpListener::bind(&wiring.front).await?;
     let back = TcpListener::bind(&wiring.back).await?;
-    tracing::info!(node = %settings.label, event = %"listening", front = %wiring.front, back = %wiring.back);
-    let report = Duration::from_secs_f64(settings.report_s);
+    tracing::info!(node = %settings.node_name, event = %"listening", front = %wiring.front, back = %wiring.back);
+    let report = Duration::from_secs_f64(settings.heartbeat_interval_s);
     let patience = report.mul_f64(0.4);
     let by_memory = (settings.mem_mb * 1024.0 / 2.0 / CONNECTION_KIB) as usize;
     let sockets = Sockets::new(wiring.sockets);
@@ -95,8 +95,8 @@
         reserved: sockets.reserved(),
         report,
         idle: report.mul_f64(IDLE_REPORTS),
-        patience: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_PATIENCE_S),
-        answer: Duration::from_secs_f64(shaleshunt_wire::REPORT_PATIENCE_S),
+        patience: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_TIMEOUT_S),
+        answer: Duration::from_secs_f64(shaleshunt_wire::HEARTBEAT_TIMEOUT_S),
     };
     // A connection has one request under way, so there is room for all.
     let (asks, mut asked) = mpsc::channel(limits.connections + limits.reserved);
@@ -105,14 +105,16 @@
     tokio::task::spawn_local(server::serve(front, asks, limits, sockets.clone()));
     tokio::task::spawn_local(peers::listen(back, hear, sockets.clone()));
     // Requests that are passed on come at the rate of the state service; they leave with each batch.
-    let frames = (settings.state_rps as usize).max(LEAST_FRAMES);
+    let frames = (settings.kv_rps as usize).max(LEAST_FRAMES);
     let links = wiring
         .peers
         .iter()
-        .map(|(label, address)| (label.clone(), peers::dial(settings.label.clone(), address.clone(), patience, frames)))
+        .map(|(node_name, address)| {
+            (node_name.clone(), peers::dial(settings.node_name.clone(), address.clone(), patience, frames))
+        })
         .collect();
     let began = Instant::now();
-    let mut node = Node::new(settings.clone(), tuning, now(began), rand::random());
+    let mut node = Controller::new(settings.clone(), tuning, now(began), rand::random());
     let mut hands = Hands {
         state: Client::new(&sockets, sockets.state(), patience),
         cloud: Client::new(&sockets, sockets.cloud(), patience),
@@ -132,7 +134,7 @@
     let mut tidied = Instant::now();
     let mut meter = meter::Meter::new();
     let mut asks_taken: RequestId = 1 << 63;
-    let mut tick = tokio::time::interval(Duration::from_millis(hands.me.tick_ms().max(1)));
+    let mut tick = tokio::time::interval(Duration::from_millis(hands.me.max_batch_interval_ms().max(1)));
     tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         let mut batch = Vec::new();
@@ -162,9 +164,9 @@
             batch.push(match ask {
                 Ask::Submit(s) => Command::Submit(asks_taken, s),
                 Ask::Status(job) => Command::Status(asks_taken, job),
-                Ask::Withdraw(job) => Command::Withdraw(asks_taken, job),
-                Ask::Up => Command::Up(asks_taken),
-                Ask::Checkin(r) => Command::Checkin(asks_taken, r),
+                Ask::Withdraw(job) => Command::Cancel(asks_taken, job),
+                Ask::Up => Command::HealthCheck(asks_taken),
+                Ask::Checkin(r) => Command::Heartbeat(asks_taken, r),
             });
         }
         node.begin(now(began));
@@ -175,7 +177,7 @@
             meter.time(meter::effect(&effect), || hands.carry_out(effect));
         }
         if let Some(line) = meter.line(report) {
-            tracing::debug!(node = %hands.me.label, event = %"owner_loop", message = %line);
+            tracing::debug!(node = %hands.me.node_name, event = %"owner_loop", message = %line);
         }
         if tidied.elapsed() > report / 10 {
             tidied = Instant::now();
@@ -186,22 +188,22 @@
     }
 }
 
-fn now(began: Instant) -> Now {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
+fn now(began: Instant) -> Timestamp {
+    let wall_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
     // Never 0, so that 0 can stand for "never".
-    Now { mono: began.elapsed().as_millis() as u64 + 1, wall }
+    Timestamp { monotonic_ms: began.elapsed().as_millis() as u64 + 1, wall_ms }
 }
 
 impl Hands {
     /// What came from a peer: requests to pass on are the clients' business, not the owner's.
     fn hear(&mut self, heard: Heard) -> Option<Command> {
         match heard {
-            Heard::Lost(from) => Some(Command::PeerLost(from)),
+            Heard::Lost(from) => Some(Command::PeerDisconnected(from)),
             Heard::Frame(from, Frame::Relay { id, body }) => {
                 let (state, link) = (self.state.clone(), self.links.get(&from).cloned());
                 let (address, patience) = (self.wiring.state.clone(), self.patience);
                 tokio::task::spawn_local(async move {
-                    let Ok(request) = serde_json::from_slice::<StateRequest>(&body) else { return };
+                    let Ok(request) = serde_json::from_slice::<KvRequest>(&body) else { return };
                     let (method, path, body) = outside::state_request(&request);
                     let patience = patience + hold(&request);
                     let call =
@@ -209,10 +211,10 @@
                     let (status, body) = match state.send(call).await {
                         // What no frame holds is no answer; of a watch it means to read anew.
                         Ok((_, body)) if body.len() > MAX_RELAYED => {
-                            (if matches!(request, StateRequest::Watch { .. }) { 410 } else { 0 }, Bytes::new())
+                            (if matches!(request, KvRequest::Watch { .. }) { 410 } else { 0 }, Bytes::new())
                         }
                         Ok(answer) => answer,
-                        Err(IoError::NotSent | IoError::Busy) => (503, Bytes::new()),
+                        Err(RequestError::NotSent | RequestError::LocalOverload) => (503, Bytes::new()),
                         Err(_) => (0, Bytes::new()),
                     };
                     if let Some(link) = link {
@@ -239,7 +241,7 @@
                 }
             }
             Effect::Log(event) => {
-                let (node, name, details) = (self.me.label.as_str(), event.name(), event.details());
+                let (node, name, details) = (self.me.node_name.as_str(), event.name(), event.details());
                 // `message` is written without a key, so the event's fields follow as they are.
                 match event.severity() {
                     Severity::Error => tracing::error!(%node, event = %name, message = %details),
@@ -247,10 +249,10 @@
                     Severity::Debug => tracing::debug!(%node, event = %name, message = %details),
                 }
             }
-            Effect::Peer(label, frame) => {
-                self.tell_peer(label, frame);
+            Effect::Peer(node_name, frame) => {
+                self.tell_peer(node_name, frame);
             }
-            Effect::State(id, request, via) => self.ask_state(id, request, via),
+            Effect::Kv(id, request, via) => self.ask_state(id, request, via),
             Effect::Cloud(id, request) => {
                 let affordable = self.cloud_budget.take();
                 let (cloud, address, done) = (self.cloud.clone(), self.wiring.cloud.clone(), self.done.clone());
@@ -263,44 +265,44 @@
                         let answer = cloud.send(call).await;
                         answer.and_then(|(status, body)| outside::cloud_reply(&request, status, &body))
                     } else {
-                        Err(IoError::Throttled)
+                        Err(RequestError::Throttled)
                     };
                     let _ = done.send(Command::Cloud(id, result)).await;
                 });
             }
-            Effect::Orders(id, address, orders) => {
+            Effect::DirectCommands(id, address, commands) => {
                 let (workers, done, patience) = (self.workers.clone(), self.done.clone(), self.patience);
-                let urgency = outside::orders_urgency(&orders);
+                let urgency = outside::orders_urgency(&commands);
                 tokio::task::spawn_local(async move {
-                    let body = serde_json::to_vec(&orders).map(Bytes::from).unwrap_or_default();
-                    let path = shaleshunt_wire::paths::ORDERS;
+                    let body = serde_json::to_vec(&commands).map(Bytes::from).unwrap_or_default();
+                    let path = shaleshunt_wire::paths::COMMANDS;
                     let method = hyper::Method::POST;
                     let call = Call { address: &address, method, path, body, patience, urgency };
                     let answer = workers.send(call).await;
                     let result = answer.and_then(|(status, body)| outside::orders_reply(status, &body));
-                    let _ = done.send(Command::Orders(id, result)).await;
+                    let _ = done.send(Command::DirectCommands(id, result)).await;
                 });
             }
         }
     }
 
     /// Hands a frame to a peer's link. What a link does not take is dropped, as a network would.
-    fn tell_peer(&mut self, label: String, frame: Frame) {
-        let Some(link) = self.links.get(&label) else { return };
+    fn tell_peer(&mut self, node_name: String, frame: Frame) {
+        let Some(link) = self.links.get(&node_name) else { return };
         if link.try_send(frame).is_ok() {
-            if let Some(frames) = self.dropped.remove(&label) {
-                tracing::info!(node = %self.me.label, event = %"peer_frames_dropped", peer = %label, frames);
+            if let Some(frames) = self.dropped.remove(&node_name) {
+                tracing::info!(node = %self.me.node_name, event = %"peer_frames_dropped", peer = %node_name, frames);
             }
             return;
         }
-        let frames = self.dropped.entry(label.clone()).or_default();
+        let frames = self.dropped.entry(node_name.clone()).or_default();
         *frames += 1;
         if *frames == 1 {
-            tracing::info!(node = %self.me.label, event = %"peer_link_full", peer = %label);
+            tracing::info!(node = %self.me.node_name, event = %"peer_link_full", peer = %node_name);
         }
     }
 
-    fn ask_state(&mut self, id: RequestId, request: StateRequest, via: Option<String>) {
+    fn ask_state(&mut self, id: RequestId, request: KvRequest, via: Option<String>) {
         let done = self.done.clone();
         let patience = self.patience + hold(&request);
         let link = via.and_then(|peer| self.links.get(&peer).cloned());
@@ -312,15 +314,15 @@
                 relays.borrow_mut().insert(number, tell);
                 let body = serde_json::to_vec(&request).map(Bytes::from).unwrap_or_default();
                 let result = if link.try_send(Frame::Relay { id: number, body }).is_err() {
-                    Err(IoError::NotSent)
+                    Err(RequestError::NotSent)
                 } else {
                     match tokio::time::timeout(patience, told).await {
                         Ok(Ok((status, body))) => outside::state_reply(&request, status, &body),
-                        _ => Err(IoError::Unknown),
+                        _ => Err(RequestError::OutcomeUnknown),
                     }
                 };
                 relays.borrow_mut().remove(&number);
-                let _ = done.send(Command::State(id, result)).await;
+                let _ = done.send(Command::Kv(id, result)).await;
             });
             return;
         }
@@ -332,18 +334,18 @@
             let answer = state.send(call).await;
             let result = match answer {
                 // More changes than are taken at once: to be read anew.
-                Err(IoError::TooLong) if matches!(request, StateRequest::Watch { .. }) => Ok(StateReply::TooOld),
+                Err(RequestError::TooLong) if matches!(request, KvRequest::Watch { .. }) => Ok(KvReply::Compacted),
                 answer => answer.and_then(|(status, body)| outside::state_reply(&request, status, &body)),
             };
-            let _ = done.send(Command::State(id, result)).await;
+            let _ = done.send(Command::Kv(id, result)).await;
         });
     }
 }
 
 /// Time that a request waits at the state service by itself.
-fn hold(request: &StateRequest) -> Duration {
+fn hold(request: &KvRequest) -> Duration {
     match request {
-        StateRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
+        KvRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
         _ => Duration::ZERO,
     }
 }
--- a/crates/net/src/meter.rs
+++ b/crates/net/src/meter.rs
@@ -62,13 +62,13 @@
     match c {
         Command::Submit(..) => "submissions",
         Command::Status(..) => "polls",
-        Command::Withdraw(..) => "withdrawals",
-        Command::Up(..) => "health_checks",
-        Command::Checkin(..) => "reports",
-        Command::State(..) => "state_answers",
+        Command::Cancel(..) => "withdrawals",
+        Command::HealthCheck(..) => "health_checks",
+        Command::Heartbeat(..) => "reports",
+        Command::Kv(..) => "state_answers",
         Command::Cloud(..) => "cloud_answers",
-        Command::Orders(..) => "calls_answered",
-        Command::Peer(..) | Command::PeerLost(..) => "peers",
+        Command::DirectCommands(..) => "calls_answered",
+        Command::Peer(..) | Command::PeerDisconnected(..) => "peers",
         Command::Tick => "ticks",
     }
 }
@@ -76,9 +76,9 @@
 /// The kind of an effect.
 pub fn effect(e: &Effect) -> &'static str {
     match e {
-        Effect::State(..) => "state_requests",
+        Effect::Kv(..) => "state_requests",
         Effect::Cloud(..) => "cloud_requests",
-        Effect::Orders(..) => "calls",
+        Effect::DirectCommands(..) => "calls",
         Effect::Answer(..) => "answers",
         Effect::Peer(..) => "to_peers",
         Effect::Log(..) => "log",
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -11,7 +11,7 @@
 use hyper_util::rt::TokioIo;
 use shaleshunt_core::io::Answer;
 use shaleshunt_wire::user::{Problem, Submission};
-use shaleshunt_wire::worker::{Elsewhere, Report};
+use shaleshunt_wire::worker::{Heartbeat, Redirect};
 use shaleshunt_wire::{MAX_BODY, paths};
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
@@ -29,7 +29,7 @@
     /// A health check.
     Up,
     /// A worker's report.
-    Checkin(Box<Report>),
+    Checkin(Box<Heartbeat>),
 }
 
 /// Where requests go.
@@ -170,16 +170,16 @@
     match ask {
         Ask::Submit(_) | Ask::Status(_) | Ask::Withdraw(_) => RequestKind::User,
         Ask::Up => RequestKind::HealthCheck,
-        Ask::Checkin(_) => RequestKind::Report,
+        Ask::Checkin(_) => RequestKind::Heartbeat,
     }
 }
 
 /// The kind of a request now that its answer is known.
 fn answered_kind(asked: RequestKind, answer: &Answer) -> RequestKind {
     match (asked, answer) {
-        (RequestKind::Report, Answer::Report(reply)) if reply.orders.is_empty() => RequestKind::Report,
-        (RequestKind::Report, Answer::Report(_)) => RequestKind::ReportWithOrders,
-        (RequestKind::Report, _) => RequestKind::ReportElsewhere,
+        (RequestKind::Heartbeat, Answer::Heartbeat(reply)) if reply.commands.is_empty() => RequestKind::Heartbeat,
+        (RequestKind::Heartbeat, Answer::Heartbeat(_)) => RequestKind::ReportWithOrders,
+        (RequestKind::Heartbeat, _) => RequestKind::ReportElsewhere,
         (other, _) => other,
     }
 }
@@ -213,18 +213,18 @@
                 Err(e) => return Err(problem(400, &e.to_string(), None)),
             }
         }
-        (None, paths::UP) => {
+        (None, paths::HEALTH) => {
             if method != Method::GET {
                 return Err(problem(405, "GET only", None));
             }
             Ask::Up
         }
-        (None, paths::CHECKIN) => {
+        (None, paths::HEARTBEAT) => {
             if method != Method::POST {
                 return Err(problem(405, "POST only", None));
             }
             let body = read_body(request, limits.patience).await?;
-            match Report::parse(&body) {
+            match Heartbeat::parse(&body) {
                 Some(r) => Ask::Checkin(Box::new(r)),
                 None => return Err(problem(400, "not a report", None)),
             }
@@ -236,8 +236,8 @@
             };
             match last {
                 None if method != Method::GET => return Err(problem(405, "GET only", None)),
-                Some(paths::WITHDRAW) if method != Method::POST => return Err(problem(405, "POST only", None)),
-                None | Some(paths::WITHDRAW) => {}
+                Some(paths::CANCEL) if method != Method::POST => return Err(problem(405, "POST only", None)),
+                None | Some(paths::CANCEL) => {}
                 Some(_) => return Err(problem(404, "no such path", None)),
             }
             if !shaleshunt_wire::user::valid_id(id) {
@@ -261,8 +261,8 @@
     match answer {
         Answer::Job(status, view) => body(status, &view),
         Answer::Problem { status, error, retry_after } => problem(status, error, retry_after),
-        Answer::Report(reply) => body(200, &reply),
-        Answer::Elsewhere(foreman) => body(421, &Elsewhere { foreman }),
+        Answer::Heartbeat(reply) => body(200, &reply),
+        Answer::Redirect(known_leader) => body(421, &Redirect { known_leader }),
         Answer::Healthy => plain(200, b"{}".to_vec()),
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -23,7 +23,7 @@
         node: String,
     },
     /// Sent a few times a second.
-    Pulse {
+    Heartbeat {
         /// Highest epoch that the speaker knows.
         epoch: Epoch,
         /// Leader of that epoch, empty if not known.
@@ -46,7 +46,7 @@
     },
     /// From the leader: counts of running and done tasks per job, for display only, and the version
     /// of the job's record, by which polls are compared.
-    Counts {
+    JobProgress {
         /// The leader's epoch.
         epoch: Epoch,
         /// Job, version of its record, done, running.
@@ -150,7 +150,7 @@
                 b.put_u8(1);
                 put_text(&mut b, node);
             }
-            Frame::Pulse { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
+            Frame::Heartbeat { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
                 b.put_u8(2);
                 b.put_u64(epoch.0);
                 put_text(&mut b, leader);
@@ -163,7 +163,7 @@
                 b.put_u32(*kept_ms);
                 b.put_u32(*waiting);
             }
-            Frame::Counts { epoch, jobs } => {
+            Frame::JobProgress { epoch, jobs } => {
                 b.put_u8(3);
                 b.put_u64(epoch.0);
                 b.put_u32(jobs.len() as u32);
@@ -210,7 +210,7 @@
         }
         let frame = match r.u8()? {
             1 => Frame::Hello { node: r.text()? },
-            2 => Frame::Pulse {
+            2 => Frame::Heartbeat {
                 epoch: Epoch(r.u64()?),
                 leader: r.text()?,
                 leads: r.u8()? != 0,
@@ -228,7 +228,7 @@
                 for _ in 0..n {
                     jobs.push((r.text()?, Revision(r.u64()?), r.u32()?, r.u32()?));
                 }
-                Frame::Counts { epoch, jobs }
+                Frame::JobProgress { epoch, jobs }
             }
             4 => Frame::Relay { id: r.u64()?, body: r.blob()? },
             5 => Frame::Relayed { id: r.u64()?, status: r.u16()?, body: r.blob()? },
--- a/crates/peer/src/tests.rs
+++ b/crates/peer/src/tests.rs
@@ -3,7 +3,7 @@
 fn samples() -> Vec<Frame> {
     vec![
         Frame::Hello { node: "n-0".into() },
-        Frame::Pulse {
+        Frame::Heartbeat {
             epoch: Epoch(7),
             leader: "n-1".into(),
             leads: true,
@@ -14,7 +14,7 @@
             kept_ms: 31,
             waiting: 5,
         },
-        Frame::Counts {
+        Frame::JobProgress {
             epoch: Epoch(7),
             jobs: vec![("wk-1".into(), Revision(412), 3, 4), ("wk-2".into(), Revision(9), 0, 1)],
         },
--- a/crates/wire/src/cloud.rs
+++ b/crates/wire/src/cloud.rs
@@ -1,21 +1,22 @@
 //! The cloud's interface: types, hires, lists and returns.
 
-use crate::Room;
+use crate::Resources;
 use serde::{Deserialize, Serialize};
 
 /// A machine type.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Frame {
+pub struct MachineType {
     /// Name.
     pub name: String,
     /// CPUs.
     pub cores: f64,
     /// Cards.
-    #[serde(default)]
-    pub cards: f64,
+    #[serde(rename = "cards", default)]
+    pub accelerators: f64,
     /// Memory.
-    pub ram_gb: f64,
+    #[serde(rename = "ramGb")]
+    pub memory_gb: f64,
     /// Space for images.
     #[serde(default)]
     pub local_gb: f64,
@@ -26,8 +27,8 @@
     #[serde(default)]
     pub price: f64,
     /// Price per hour when it may be taken back.
-    #[serde(default)]
-    pub market_price: f64,
+    #[serde(rename = "marketPrice", default)]
+    pub spot_price: f64,
     /// Usual boot time.
     #[serde(default)]
     pub boot_s: f64,
@@ -36,11 +37,11 @@
     pub zones: Vec<String>,
 }
 
-impl Frame {
+impl MachineType {
     /// Room of an empty machine, rounded down so that nothing is promised that is not there.
-    pub fn room(&self) -> Room {
+    pub fn resources(&self) -> Resources {
         let floor = |x: f64| (x * 1000.0 + 1e-6).floor().clamp(0.0, 9e15) as i64;
-        Room { cores: floor(self.cores), cards: floor(self.cards), ram: floor(self.ram_gb) }
+        Resources { cores: floor(self.cores), accelerators: floor(self.accelerators), memory: floor(self.memory_gb) }
     }
 }
 
@@ -48,23 +49,26 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize, Default)]
 pub struct Catalog {
     /// Machine types.
-    pub frames: Vec<Frame>,
+    #[serde(rename = "frames")]
+    pub machine_types: Vec<MachineType>,
 }
 
 impl Catalog {
     /// The type with this name.
-    pub fn frame(&self, name: &str) -> Option<&Frame> {
-        self.frames.iter().find(|f| f.name == name)
+    pub fn machine_type(&self, name: &str) -> Option<&MachineType> {
+        self.machine_types.iter().find(|f| f.name == name)
     }
 }
 
 /// A request for machines.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Hire {
+pub struct ScaleOutRequest {
     /// Name of the request, never used twice.
-    pub hire: String,
+    #[serde(rename = "hire")]
+    pub request: String,
     /// Type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -86,7 +90,7 @@
 /// State of a listed machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ListedStatus {
+pub enum ListedMachineStatus {
     /// Not up yet.
     Booting,
     /// Up.
@@ -101,7 +105,7 @@
 /// A machine in the cloud's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct Listed {
+pub struct ListedMachine {
     /// Name.
     #[serde(rename = "ref")]
     pub id: String,
@@ -109,7 +113,8 @@
     #[serde(default)]
     pub endpoint: String,
     /// Type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -117,7 +122,7 @@
     #[serde(rename = "borrowed")]
     pub spot: bool,
     /// State.
-    pub status: ListedStatus,
+    pub status: ListedMachineStatus,
     /// Age since the hire.
     #[serde(default)]
     pub age_s: f64,
@@ -128,7 +133,7 @@
 pub struct ListPage {
     /// Machines in order of their names.
     #[serde(rename = "looms")]
-    pub machines: Vec<Listed>,
+    pub machines: Vec<ListedMachine>,
     /// Whether there is more.
     #[serde(default)]
     pub truncated: bool,
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/kv.rs
@@ -6,7 +6,7 @@
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// Key.
     pub path: String,
     /// Value.
@@ -23,12 +23,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
     /// Keys in order.
-    pub pairs: Vec<Pair>,
+    pub pairs: Vec<KeyValue>,
     /// Whether there is more.
     #[serde(default)]
     pub truncated: bool,
     /// Revision that the page shows.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
 /// A condition on a key's version; [`Revision::ABSENT`] means that it does not exist.
@@ -75,7 +76,7 @@
 
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// What must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
@@ -85,25 +86,27 @@
 
 /// Answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TxnReply {
+pub struct TransactionReply {
     /// Keys whose conditions failed; empty on success.
     #[serde(default)]
     pub failed: Vec<String>,
     /// Revision.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
 /// Asks for a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct NewHold {
+pub struct LeaseRequest {
     /// Life without renewal.
-    pub life_ms: u64,
+    #[serde(rename = "lifeMs")]
+    pub ttl_ms: u64,
 }
 
 /// A new lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hold {
+pub struct LeaseGrant {
     /// Its number.
     pub pass: u64,
 }
@@ -127,10 +130,11 @@
 
 /// Answer to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchReply {
     /// Revision up to which the changes go.
-    pub ledger: Revision,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
     /// Changes.
-    #[serde(default)]
-    pub news: Vec<Change>,
+    #[serde(rename = "news", default)]
+    pub changes: Vec<Change>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -22,7 +22,7 @@
 
 pub mod cloud;
 mod ids;
-pub mod state;
+pub mod kv;
 pub mod user;
 pub mod worker;
 
@@ -33,32 +33,32 @@
 /// Most tasks that one job may have.
 pub const MAX_TASKS: u32 = 100_000;
 /// Most machines that one hire may ask for.
-pub const MAX_HIRE: u32 = 50;
+pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
 /// Most machines that one return may name.
-pub const MAX_RETURN: usize = 100;
+pub const MAX_MACHINES_PER_SCALE_IN: usize = 100;
 /// Most machines on one page of the cloud's list.
-pub const MAX_LIST: u32 = 500;
+pub const MAX_MACHINES_PER_PAGE: u32 = 500;
 /// Conditions allowed in a transaction for each write allowed.
 pub const CONDITIONS_PER_WRITE: usize = 4;
 /// Longest time that a user waits for the answer to a submission, in seconds.
-pub const SUBMIT_PATIENCE_S: f64 = 5.0;
+pub const SUBMIT_TIMEOUT_S: f64 = 5.0;
 /// Longest time that a user waits for the answer to a poll, in seconds.
-pub const POLL_PATIENCE_S: f64 = 2.0;
+pub const STATUS_TIMEOUT_S: f64 = 2.0;
 /// Longest time that a worker waits for the answer to a report, in seconds.
-pub const REPORT_PATIENCE_S: f64 = 4.0;
+pub const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
 
 /// Paths of all interfaces.
 pub mod paths {
     /// Submit; status and withdrawal are below it.
     pub const SUBMISSIONS: &str = "/submissions";
     /// Last part of a withdrawal's path.
-    pub const WITHDRAW: &str = "withdraw";
+    pub const CANCEL: &str = "withdraw";
     /// Health check.
-    pub const UP: &str = "/up";
+    pub const HEALTH: &str = "/up";
     /// Workers' reports.
-    pub const CHECKIN: &str = "/checkin";
+    pub const HEARTBEAT: &str = "/checkin";
     /// Direct commands, on a worker.
-    pub const ORDERS: &str = "/orders";
+    pub const COMMANDS: &str = "/orders";
     /// A worker's report on request.
     pub const STATUS: &str = "/status";
     /// The cloud's machine types.
@@ -72,7 +72,7 @@
     /// Transactions of the state service.
     pub const TXN: &str = "/txn";
     /// Leases of the state service.
-    pub const HOLDS: &str = "/holds";
+    pub const LEASES: &str = "/holds";
     /// Last part of a renewal's path.
     pub const RENEW: &str = "renew";
     /// Changes of the state service.
@@ -89,33 +89,36 @@
 
 /// Resources that a task takes or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
-pub struct Room {
+pub struct Resources {
     /// CPUs, in thousandths.
     pub cores: Milli,
     /// Accelerator cards, in thousandths.
-    pub cards: Milli,
+    pub accelerators: Milli,
     /// Memory in GB, in thousandths.
-    pub ram: Milli,
+    pub memory: Milli,
 }
 
-impl Room {
+impl Resources {
     /// Room from decimal amounts; rounding is up, as for a task's need.
-    pub fn new(cores: f64, cards: f64, ram_gb: f64) -> Room {
-        Room { cores: to_milli(cores), cards: to_milli(cards), ram: to_milli(ram_gb) }
+    pub fn new(cores: f64, accelerators: f64, memory_gb: f64) -> Resources {
+        Resources { cores: to_milli(cores), accelerators: to_milli(accelerators), memory: to_milli(memory_gb) }
     }
     /// Whether `need` fits in this room.
-    pub fn fits(&self, need: &Room) -> bool {
-        need.cores <= self.cores && need.cards <= self.cards && need.ram <= self.ram
+    pub fn fits(&self, need: &Resources) -> bool {
+        need.cores <= self.cores && need.accelerators <= self.accelerators && need.memory <= self.memory
     }
     /// How many times `need` fits in this room, at most `cap`.
-    pub fn times(&self, need: &Room, cap: i64) -> i64 {
+    pub fn times(&self, need: &Resources, cap: i64) -> i64 {
         let part = |have: Milli, want: Milli| if want > 0 { (have / want).max(0) } else { cap };
-        part(self.cores, need.cores).min(part(self.cards, need.cards)).min(part(self.ram, need.ram)).min(cap)
+        part(self.cores, need.cores)
+            .min(part(self.accelerators, need.accelerators))
+            .min(part(self.memory, need.memory))
+            .min(cap)
     }
     /// Adds `n` times `other`.
-    pub fn add(&mut self, other: &Room, n: i64) {
+    pub fn add(&mut self, other: &Resources, n: i64) {
         self.cores += other.cores * n;
-        self.cards += other.cards * n;
-        self.ram += other.ram * n;
+        self.accelerators += other.accelerators * n;
+        self.memory += other.memory * n;
     }
 }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -1,24 +1,26 @@
 //! Users' interface: submissions and their states.
 
-use crate::{MAX_TASKS, Room};
+use crate::{MAX_TASKS, Resources};
 use serde::{Deserialize, Serialize};
 
 /// What kind of job it is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Shape {
+pub enum JobKind {
     /// Independent tasks, each runs to completion.
     Array,
     /// Replicas that run until the job is cancelled.
-    Daemon,
+    #[serde(rename = "daemon")]
+    Service,
     /// A gang: tasks that run together or not at all.
-    Ensemble,
+    #[serde(rename = "ensemble")]
+    Gang,
 }
 
 /// Priority, lowest first so that the order of the variants is the order of priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Urgency {
+pub enum Priority {
     /// Runs in what nobody else wants.
     BestEffort,
     /// Ordinary work.
@@ -26,7 +28,8 @@
     /// Urgent work.
     High,
     /// Services that people wait for.
-    Prod,
+    #[serde(rename = "prod")]
+    Production,
 }
 
 /// A submission as its user sends it.
@@ -43,48 +46,57 @@
     #[serde(rename = "crew")]
     pub team: String,
     /// Kind of job.
-    pub shape: Shape,
+    #[serde(rename = "shape")]
+    pub kind: JobKind,
     /// Priority.
-    pub urgency: Urgency,
+    #[serde(rename = "urgency")]
+    pub priority: Priority,
     /// Number of tasks.
     #[serde(rename = "pieces")]
     pub tasks: u32,
     /// CPUs of a task.
     pub cores: f64,
     /// Cards of a task.
-    pub cards: f64,
+    #[serde(rename = "cards")]
+    pub accelerators: f64,
     /// Memory of a task in GB.
-    pub ram_gb: f64,
+    #[serde(rename = "ramGb")]
+    pub memory_gb: f64,
     /// Image that a machine must have.
     #[serde(rename = "bundle")]
     pub image: String,
     /// Its size in GB.
     pub image_gb: f64,
     /// Allowed machine types; none means any.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub frames: Option<Vec<String>>,
+    #[serde(rename = "frames", default, skip_serializing_if = "Option::is_none")]
+    pub machine_types: Option<Vec<String>>,
     /// The only allowed zone.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
     /// All tasks in one zone.
-    pub one_zone: bool,
+    #[serde(rename = "oneZone")]
+    pub single_zone: bool,
     /// At most half of the tasks, rounded up, in one zone.
-    pub scatter: bool,
+    #[serde(rename = "scatter")]
+    pub spread_zones: bool,
     /// May use spot machines.
     #[serde(rename = "borrowed")]
     pub spot: bool,
     /// The owner's estimate of a task's run time.
-    pub expect_s: f64,
+    #[serde(rename = "expectS")]
+    pub estimated_run_s: f64,
     /// Interval between checkpoints, 0 for none.
-    pub mark_every_s: f64,
+    #[serde(rename = "markEveryS")]
+    pub checkpoint_interval_s: f64,
     /// Time that saving takes when stopped.
-    pub mark_takes_s: f64,
+    #[serde(rename = "markTakesS")]
+    pub checkpoint_duration_s: f64,
     /// Deadline, from the submission.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub due_s: Option<f64>,
+    #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
+    pub deadline_s: Option<f64>,
     /// Jobs that have to be done before any task of this one starts.
-    #[serde(default, deserialize_with = "null_is_none", skip_serializing_if = "Vec::is_empty")]
-    pub awaits: Vec<String>,
+    #[serde(rename = "awaits", default, deserialize_with = "null_is_none", skip_serializing_if = "Vec::is_empty")]
+    pub dependencies: Vec<String>,
 }
 
 /// A list that may also be null.
@@ -120,27 +132,28 @@
         check(name(&s.team), "crew")?;
         check((1..=MAX_TASKS).contains(&s.tasks), "pieces")?;
         check(amount(s.cores), "cores")?;
-        check(amount(s.cards), "cards")?;
-        check(amount(s.ram_gb), "ramGb")?;
+        check(amount(s.accelerators), "cards")?;
+        check(amount(s.memory_gb), "ramGb")?;
         check(s.image.len() <= LONG_NAME, "bundle")?;
         check(amount(s.image_gb), "imageGb")?;
-        let frames_fine = s.frames.as_ref().is_none_or(|f| f.len() <= LONG_NAME / 4 && f.iter().all(|n| name(n)));
+        let frames_fine =
+            s.machine_types.as_ref().is_none_or(|f| f.len() <= LONG_NAME / 4 && f.iter().all(|n| name(n)));
         check(frames_fine, "frames")?;
         check(s.zone.as_ref().is_none_or(|h| name(h)), "hall")?;
-        check(amount(s.expect_s), "expectS")?;
-        check(amount(s.mark_every_s), "markEveryS")?;
-        check(amount(s.mark_takes_s), "markTakesS")?;
-        check(s.due_s.is_none_or(amount), "dueS")?;
-        check(s.awaits.iter().all(|id| valid_id(id)), "awaits")?;
+        check(amount(s.estimated_run_s), "expectS")?;
+        check(amount(s.checkpoint_interval_s), "markEveryS")?;
+        check(amount(s.checkpoint_duration_s), "markTakesS")?;
+        check(s.deadline_s.is_none_or(amount), "dueS")?;
+        check(s.dependencies.iter().all(|id| valid_id(id)), "awaits")?;
         // Named twice counts once.
         let mut seen = std::collections::BTreeSet::new();
-        s.awaits.retain(|id| seen.insert(id.clone()));
+        s.dependencies.retain(|id| seen.insert(id.clone()));
         Ok(s)
     }
 
     /// What one task takes.
-    pub fn need(&self) -> Room {
-        Room::new(self.cores, self.cards, self.ram_gb)
+    pub fn need(&self) -> Resources {
+        Resources::new(self.cores, self.accelerators, self.memory_gb)
     }
 }
 
@@ -162,7 +175,8 @@
     /// All tasks are done.
     Done,
     /// Cancelled.
-    Aborted,
+    #[serde(rename = "aborted")]
+    Cancelled,
 }
 
 /// Answer to a submission, poll or withdrawal.
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -10,11 +10,13 @@
     /// Waiting for its image.
     Fetching,
     /// A gang's task that waits for its mates.
-    Gathering,
+    #[serde(rename = "gathering")]
+    WaitingForGang,
     /// Running.
     Running,
     /// Told to stop, saving.
-    Flushing,
+    #[serde(rename = "flushing")]
+    Checkpointing,
     /// Ended.
     Exited,
     /// A state that this version does not know: on the machine, not ended.
@@ -25,7 +27,7 @@
 /// Why a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Cause {
+pub enum ExitCause {
     /// Completed.
     Done,
     /// Stopped by command.
@@ -33,15 +35,20 @@
     /// Failed.
     Error,
     /// Refused: not enough room.
-    NoRoom,
+    #[serde(rename = "no_room")]
+    InsufficientResources,
     /// Refused: another attempt is here.
-    InUse,
+    #[serde(rename = "in_use")]
+    AttemptConflict,
     /// A gang's task whose mates did not come.
-    Alone,
+    #[serde(rename = "alone")]
+    GangIncomplete,
     /// A gang's task whose mates are gone.
-    MatesGone,
+    #[serde(rename = "mates_gone")]
+    GangLost,
     /// Refused: no such job or task.
-    NoSuch,
+    #[serde(rename = "no_such")]
+    UnknownTask,
     /// A cause that this version does not know.
     #[serde(other)]
     Unknown,
@@ -60,22 +67,23 @@
     pub status: TaskStatus,
     /// Why it ended.
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub cause: Option<Cause>,
+    pub cause: Option<ExitCause>,
     /// Whether its progress was saved.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub stored: Option<bool>,
+    #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
+    pub checkpointed: Option<bool>,
 }
 
 /// A worker's report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct Heartbeat {
     /// Machine.
     #[serde(rename = "loom")]
     pub machine: String,
     /// Address for direct commands.
     pub endpoint: String,
     /// Machine type.
-    pub frame: String,
+    #[serde(rename = "frame")]
+    pub machine_type: String,
     /// Zone.
     #[serde(rename = "hall")]
     pub zone: String,
@@ -84,24 +92,25 @@
     pub spot: bool,
     /// Session.
     #[serde(rename = "shift")]
-    pub session: AgentEpoch,
+    pub agent_epoch: AgentEpoch,
     /// Order among the reports of a session.
-    pub tick: u64,
+    #[serde(rename = "tick")]
+    pub sequence: u64,
     /// Highest token seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
     /// Seconds until the cloud takes the machine.
     #[serde(default, rename = "warnS")]
-    pub warn_s: Option<f64>,
+    pub preemption_notice_s: Option<f64>,
     /// All tasks on the machine.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
 
-impl Report {
+impl Heartbeat {
     /// Reads a report and checks what the scheduler relies on.
-    pub fn parse(body: &[u8]) -> Option<Report> {
-        let r: Report = serde_json::from_slice(body).ok()?;
+    pub fn parse(body: &[u8]) -> Option<Heartbeat> {
+        let r: Heartbeat = serde_json::from_slice(body).ok()?;
         let key_safe =
             |n: &str| !n.is_empty() && n.len() <= 100 && n.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
         (key_safe(&r.machine) && r.endpoint.len() <= 100).then_some(r)
@@ -111,7 +120,7 @@
 /// A command to a worker.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
-pub enum Order {
+pub enum TaskCommand {
     /// Start a task.
     Run {
         /// Task.
@@ -122,7 +131,8 @@
         attempt: Attempt,
     },
     /// Stop a task.
-    Halt {
+    #[serde(rename = "halt")]
+    Stop {
         /// Task.
         #[serde(rename = "piece")]
         task: String,
@@ -131,7 +141,7 @@
         attempt: Attempt,
         /// Time to save.
         #[serde(rename = "windDownS")]
-        wind_down_s: f64,
+        grace_period_s: f64,
     },
     /// Remove an exited task from the reports.
     Forget {
@@ -146,33 +156,35 @@
 
 /// Answer to a report.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct ReportReply {
+pub struct HeartbeatReply {
     /// Token.
     #[serde(rename = "baton")]
     pub token: FencingToken,
     /// Commands, executed in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<TaskCommand>,
 }
 
 /// Direct commands.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Orders {
+pub struct DirectCommands {
     /// Token.
     #[serde(rename = "baton")]
     pub token: FencingToken,
     /// Session that they are meant for.
     #[serde(rename = "shift")]
-    pub session: AgentEpoch,
+    pub agent_epoch: AgentEpoch,
     /// Commands, executed in order.
-    pub orders: Vec<Order>,
+    #[serde(rename = "orders")]
+    pub commands: Vec<TaskCommand>,
 }
 
 /// Answer that sends a worker to another node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Elsewhere {
+pub struct Redirect {
     /// The node to report to.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub foreman: Option<String>,
+    #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
+    pub known_leader: Option<String>,
 }
 
 /// Splits a task name into job and number.
