--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -6,7 +6,8 @@
 use crate::io::*;
 use crate::leader::Leader;
 use crate::model::{FinalRecord, JobRecord, keys};
-use crate::submission_parts::{SplitJobRecord, SplitSubmission, StoredJob, join};
+use crate::records::{SplitJobRecord, StoredJob};
+use crate::submission_parts::{SplitSubmission, join};
 use serde_json::json;
 use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
 use shaleshunt_wire::user::{JobKind, JobStatus, JobView, Submission};
@@ -600,9 +601,9 @@
                     continue;
                 }
                 let v = if p.cancelled_by_dependency {
-                    json!(FinalRecord { x: true, n: p.spec.tasks, t: p.wall_ms })
+                    json!(FinalRecord { cancelled: true, tasks: p.spec.tasks, ended_at_ms: p.wall_ms })
                 } else {
-                    json!(JobRecord { s: p.spec.clone(), at: p.wall_ms, x: false, k: false })
+                    json!(JobRecord::new(p.spec.clone(), p.wall_ms))
                 };
                 let size = v.to_string().len();
                 if size > ctx.limits.value_bytes() {
@@ -664,8 +665,11 @@
                         self.read_parts(ctx, asked, got);
                     } else if let Some(rec) = join(&got.0, &got.2) {
                         // Its own record was read before; who awaits it looks again.
-                        let known =
-                            OpenJob { version: got.1, dependencies: rec.s.dependencies, open_at: BatchTime::default() };
+                        let known = OpenJob {
+                            version: got.1,
+                            dependencies: rec.submission.dependencies,
+                            open_at: BatchTime::default(),
+                        };
                         self.open.insert(&asked.job, known, Self::cap(ctx));
                         self.open_job(ctx, asked, sent, counts, leader);
                     } else {
@@ -719,7 +723,7 @@
                         self.reply(ctx, &asked, unavailable("record not understood"));
                         return;
                     };
-                    let (cancelled, tasks) = rec.cancelled();
+                    let (cancelled, tasks) = (rec.is_cancelled(), rec.tasks());
                     if cancelled {
                         self.remember(ctx, &asked.job, JobStatus::Cancelled, tasks);
                         let view = final_view(&asked.job, JobStatus::Cancelled, tasks);
@@ -741,8 +745,11 @@
                     } else {
                         match rec {
                             StoredJob::Whole(rec) => {
-                                let known =
-                                    OpenJob { version: pair.version, dependencies: rec.s.dependencies, open_at: sent };
+                                let known = OpenJob {
+                                    version: pair.version,
+                                    dependencies: rec.submission.dependencies,
+                                    open_at: sent,
+                                };
                                 self.open.insert(&asked.job, known, Self::cap(ctx));
                                 self.open_job(ctx, asked, sent, counts, leader);
                             }
@@ -763,9 +770,9 @@
             ApiRequest::Final(mut asked) => match result {
                 Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
                     Ok(rec) => {
-                        let status = if rec.x { JobStatus::Cancelled } else { JobStatus::Done };
-                        self.remember(ctx, &asked.job, status, rec.n);
-                        let view = final_view(&asked.job, status, rec.n);
+                        let status = if rec.cancelled { JobStatus::Cancelled } else { JobStatus::Done };
+                        self.remember(ctx, &asked.job, status, rec.tasks);
+                        let view = final_view(&asked.job, status, rec.tasks);
                         self.reply(ctx, &asked, Answer::Job(200, view));
                     }
                     Err(_) => self.reply(ctx, &asked, unavailable("record not understood")),
@@ -808,7 +815,7 @@
     }
 
     fn read_parts(&mut self, ctx: &mut Context, asked: JobQuery, got: Box<(SplitJobRecord, Revision, Vec<KeyValue>)>) {
-        let prefix = got.0.p.clone();
+        let prefix = got.0.parts_prefix.clone();
         let after = got.2.last().map(|p| p.path.clone()).unwrap_or_default();
         ctx.send_kv(KvRequest::Scan { prefix, after }, PendingRequest::Api(ApiRequest::Parts(asked, got)));
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -20,7 +20,7 @@
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
 use crate::model::*;
-use crate::submission_parts::{SplitJobRecord, StoredJob};
+use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
@@ -254,22 +254,22 @@
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
+        let Some(n) = keys::machine_block_number(&pair.path) else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
-        let images: Vec<(u32, f64)> = rec.i.iter().map(|(name, gb)| (self.image(name), *gb)).collect();
+        let images: Vec<(u32, f64)> = rec.images.iter().map(|image| (self.image(&image.name), image.gb)).collect();
         let mut block =
-            Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
-        for (name, r) in rec.m {
+            Block { zone: rec.zone.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
+        for (name, r) in rec.machines {
             let id: Id = name.as_str().into();
             // In two blocks only if its move between them was not finished: either will do.
             if self.fleet.machines.contains_key(&id) {
                 continue;
             }
-            let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
-            (m.endpoint, m.agent_epoch, m.rented_at) = (r.e, r.s, r.t);
-            m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
+            let mut m = self.new_machine(ctx, &id, &r.machine_type, &rec.zone, r.spot, r.owned);
+            (m.endpoint, m.agent_epoch, m.rented_at) = (r.endpoint, r.agent_epoch, r.rented_at_ms);
+            m.images = r.images.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
             (m.block, m.recorded) = (Some(n), true);
-            block.owned = r.o;
+            block.owned = r.owned;
             block.machines.insert(id.clone());
             self.fleet.machines.insert(m);
         }
@@ -349,15 +349,15 @@
             self.store.v0_1_keys.insert(pair.path, pair.version);
             let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
             if !self.fleet.machines.contains_key(&name) {
-                let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
-                (m.endpoint, m.agent_epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                let mut m = self.new_machine(ctx, &name, &rec.machine_type, &rec.zone, rec.spot, rec.owned);
+                (m.endpoint, m.agent_epoch, m.rented_at) = (rec.endpoint, rec.agent_epoch, rec.rented_at_ms);
                 self.fleet.machines.insert(m);
                 self.join_block(ctx, &name);
             }
-            for (job, task, attempt) in rec.p {
+            for V01PlacementRecord { job, task, attempt } in rec.placements {
                 let unknown = |j: &&Job| j.facts.get(task as usize).is_none_or(|at| *at == 0);
                 if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
-                    self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
+                    self.restore_placement(ctx, &id, &name, rec.agent_epoch, attempt, task);
                     touched.push((id, task));
                 }
             }
@@ -413,15 +413,12 @@
             ctx.emit(Event::RecordUnreadable { key: path.into() });
             return;
         };
-        let (cancelled, _) = rec.cancelled();
+        let cancelled = rec.is_cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
             self.scheduler.pass_wanted = true;
             job.version = version;
             job.stale = false;
-            job.has_cancellation_key = match &rec {
-                StoredJob::Whole(r) => r.k,
-                StoredJob::SplitSubmission(r) => r.k,
-            };
+            job.has_cancellation_key = rec.has_cancellation_key();
             let id = job.id.clone();
             if cancelled && !job.cancelled {
                 job.cancelled = true;
@@ -440,7 +437,7 @@
 
     /// A job that was not known has come.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
-        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.version >= version) {
+        if self.jobs.get(rec.submission.id.as_str()).is_some_and(|j| j.version >= version) {
             return;
         }
         self.scheduler.pass_wanted = true;
@@ -463,7 +460,7 @@
     /// A job that may run has come: as much may come again.
     pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
         let Some(j) = self.jobs.get(id) else { return };
-        let rec = JobRecord { s: j.spec.clone(), at: j.at, x: false, k: false };
+        let rec = JobRecord::new(j.spec.clone(), j.at);
         self.autoscaler.arrivals.push_back((now, Job::new(rec, j.version)));
         if self.autoscaler.arrivals.len() > ARRIVALS {
             self.autoscaler.arrivals.pop_front();
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -72,14 +72,14 @@
     /// A job's committed end is known: those that await it are released or cancelled.
     pub(crate) fn dependency_ended(&mut self, ctx: &mut Context, id: &str, end: &FinalRecord) {
         let Some(waiting) = self.scheduler.dependencies.after.remove(id) else { return };
-        if end.x {
+        if end.cancelled {
             self.cancel_dependents(ctx, waiting.into_iter().collect());
             return;
         }
         for w in waiting {
             let Some(job) = self.jobs.get_mut(&w) else { continue };
             job.open_dependencies.remove(id);
-            job.ready_at = job.ready_at.max(end.t);
+            job.ready_at = job.ready_at.max(end.ended_at_ms);
             if job.cancelled || job.is_blocked() {
                 continue;
             }
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -18,7 +18,8 @@
 use crate::leader::store::pages::{PageDraft, Pages, RecordedFacts};
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::*;
-use crate::submission_parts::{Parts, SplitJobRecord};
+use crate::records::{BlockRecord, ImageRecord, MachineRecord, SplitJobRecord};
+use crate::submission_parts::Parts;
 use serde_json::json;
 use shaleshunt_wire::kv::{Condition, Transaction, Write};
 use shaleshunt_wire::user::Priority;
@@ -444,7 +445,7 @@
 
     fn block_record(&self, n: u32, most: usize) -> Option<(serde_json::Value, usize, Vec<Id>)> {
         let b = self.store.blocks.get(&n)?;
-        let mut rec = BlockRecord { z: b.zone.clone(), ..BlockRecord::default() };
+        let mut rec = BlockRecord { zone: b.zone.clone(), ..BlockRecord::default() };
         let mut index: std::collections::BTreeMap<u32, u32> = std::collections::BTreeMap::new();
         let mut members = Vec::new();
         for id in &b.machines {
@@ -453,29 +454,29 @@
             for (image, gb) in &m.images {
                 let at = *index.entry(*image).or_insert_with(|| {
                     let name = self.fleet.image_names.get(*image as usize).cloned().unwrap_or_default();
-                    rec.i.push((name, *gb));
-                    rec.i.len() as u32 - 1
+                    rec.images.push(ImageRecord { name, gb: *gb });
+                    rec.images.len() as u32 - 1
                 });
                 images.push(at);
             }
             let one = MachineRecord {
-                f: m.machine_type.clone(),
-                b: m.spot,
-                o: m.owned,
-                e: m.endpoint.clone(),
-                s: m.agent_epoch,
-                t: m.rented_at,
-                i: images,
+                machine_type: m.machine_type.clone(),
+                spot: m.spot,
+                owned: m.owned,
+                endpoint: m.endpoint.clone(),
+                agent_epoch: m.agent_epoch,
+                rented_at_ms: m.rented_at,
+                images,
             };
-            rec.m.insert(id.to_string(), one);
+            rec.machines.insert(id.to_string(), one);
             members.push(id.clone());
         }
         let mut v = json!(rec);
         let mut bytes = v.to_string().len();
         if bytes > most {
             // Images are only a help.
-            rec.i.clear();
-            rec.m.values_mut().for_each(|m| m.i.clear());
+            rec.images.clear();
+            rec.machines.values_mut().for_each(|m| m.images.clear());
             v = json!(rec);
             bytes = v.to_string().len();
         }
@@ -599,7 +600,7 @@
         } else {
             f.transaction.transaction.writes.push(Write::drop_key(path));
         }
-        let rec = FinalRecord { x: job.cancelled, n: job.spec.tasks, t: ctx.now.wall_ms };
+        let rec = FinalRecord { cancelled: job.cancelled, tasks: job.spec.tasks, ended_at_ms: ctx.now.wall_ms };
         f.transaction.set(format!("{}{id}", keys::FINAL_RECORDS), Revision::ABSENT, json!(rec), 50);
         if job.has_cancellation_key {
             // Written with the job's record, so of the same revision.
@@ -771,7 +772,7 @@
                 self.store.unreferenced_parts.extend(self.store.submission_parts.remove(&id));
                 self.watch.ended_jobs.insert(id.clone(), revision);
                 self.scheduler.ranks_outdated = true;
-                let end = FinalRecord { x: job.cancelled, n: 0, t: ctx.now.wall_ms };
+                let end = FinalRecord { cancelled: job.cancelled, tasks: 0, ended_at_ms: ctx.now.wall_ms };
                 self.dependency_ended(ctx, &id, &end);
             }
         }
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -10,8 +10,8 @@
 use crate::controller::Context;
 use crate::leader::Leader;
 use crate::leader::store::InFlightTransaction;
-use crate::model::*;
-use serde::{Deserialize, Serialize};
+use crate::model::{Id, Job};
+use crate::records::{PageRecord, PlacementRecord, TaskFact, TaskRun, keys};
 use serde_json::json;
 use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
@@ -25,46 +25,6 @@
 /// An old page of which less than this share still counts is written anew.
 const STALE_SHARE: f64 = 0.5;
 
-/// A page's record.
-#[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub(crate) struct PageRecord {
-    /// Facts, oldest first.
-    pub e: Vec<TaskFact>,
-}
-
-/// What holds for some tasks of a job: done, placed, or (neither given) free.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct TaskFact {
-    /// Job.
-    pub j: String,
-    /// Machine, its session, and the attempt.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub m: Option<(String, AgentEpoch, Attempt)>,
-    /// Done.
-    #[serde(default, skip_serializing_if = "std::ops::Not::not")]
-    pub d: bool,
-    /// Runs of tasks: the first, and how many.
-    pub n: Vec<(u32, u32)>,
-}
-
-impl TaskFact {
-    fn new(job: &Id) -> TaskFact {
-        TaskFact { j: job.to_string(), m: None, d: false, n: Vec::new() }
-    }
-    fn push(&mut self, task: u32) {
-        match self.n.last_mut() {
-            Some((from, len)) if *from + *len == task => *len += 1,
-            _ => self.n.push((task, 1)),
-        }
-    }
-    /// A bound on the length of its text.
-    fn bytes(&self) -> usize {
-        let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
-        let runs: usize = self.n.iter().map(|(a, b)| digits(*a) + digits(*b) + 4).sum();
-        runs + self.j.len() + 30 + self.m.as_ref().map_or(0, |m| m.0.len() + 40)
-    }
-}
-
 /// The page with the last fact about a task, and where it is placed: machine, session, attempt.
 type LastFact = (u32, Option<(Id, AgentEpoch, Attempt)>);
 
@@ -129,7 +89,7 @@
     fn new(job: &Job, tasks: usize) -> PendingFacts {
         let taken: BTreeMap<u32, u64> = job.pending.iter().take(tasks).map(|(p, n)| (*p, *n)).collect();
         let mut done = TaskFact::new(&job.id);
-        done.d = true;
+        done.done = true;
         let mut free = TaskFact::new(&job.id);
         let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
         let mut plans = Vec::new();
@@ -151,20 +111,15 @@
                 None => free.push(*task),
             }
         }
-        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|f| !f.n.is_empty()).collect();
+        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|f| !f.runs.is_empty()).collect();
         facts.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut fact)| {
-            fact.m = Some((machine.to_string(), agent_epoch, attempt));
+            fact.placement = Some(PlacementRecord { machine: machine.to_string(), agent_epoch, attempt });
             fact
         }));
         PendingFacts { facts, plans, taken }
     }
 }
 
-fn key(number: u32) -> String {
-    // In the order of the keys the pages are in the order of their numbers.
-    format!("{}{number:010}", keys::TASK_PAGES)
-}
-
 impl Leader {
     /// Something about a task is to be written: at once for a plan, else soon.
     pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgent_writes: bool) {
@@ -204,7 +159,7 @@
                 return true;
             }
             let PendingFacts { facts, plans, taken } = PendingFacts::new(job, tasks);
-            let bytes: usize = facts.iter().map(TaskFact::bytes).sum();
+            let bytes: usize = facts.iter().map(TaskFact::max_bytes).sum();
             let more = self.pages_needed(f, most, &facts);
             if f.has_space_for(more, 1 + more, bytes + f.drafted()) {
                 if !plans.is_empty() {
@@ -236,9 +191,9 @@
 
     /// How many pages more a transaction writes with these facts.
     fn pages_needed(&self, f: &InFlightTransaction, most: usize, facts: &[TaskFact]) -> usize {
-        let (started, mut used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::bytes));
+        let (started, mut used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::max_bytes));
         let mut more = usize::from(!started);
-        for size in facts.iter().map(TaskFact::bytes) {
+        for size in facts.iter().map(TaskFact::max_bytes) {
             if used + size > most && used > 0 {
                 (more, used) = (more + 1, 0);
             }
@@ -259,7 +214,7 @@
         if f.drafts.is_empty() {
             let p = &self.store.pages;
             let number = p.newest.max(1);
-            let (_, used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::bytes));
+            let (_, used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::max_bytes));
             f.drafts.push(if used == p.bytes {
                 PageDraft { number, facts: p.facts.clone(), bytes: p.bytes }
             } else {
@@ -267,14 +222,14 @@
             });
         }
         for fact in facts {
-            let size = fact.bytes();
+            let size = fact.max_bytes();
             let Some(last) = f.drafts.last() else { return };
             if last.bytes + size > most && !last.facts.is_empty() {
                 let number = last.number + 1;
                 f.drafts.push(PageDraft { number, ..PageDraft::default() });
             }
             let Some(last) = f.drafts.last_mut() else { return };
-            let all = fact.n.iter().flat_map(|(from, len)| *from..from + len);
+            let all = fact.runs.iter().flat_map(TaskRun::tasks);
             let tasks = all.filter_map(|p| taken.get(&p).map(|n| (p, *n))).collect();
             f.noted.push(RecordedFacts { job: id.clone(), tasks, page: last.number });
             last.bytes += size;
@@ -286,8 +241,8 @@
     pub(crate) fn collect_pages(&mut self, f: &mut InFlightTransaction) {
         for d in std::mem::take(&mut f.drafts) {
             let version = self.store.pages.all.get(&d.number).map_or(Revision::ABSENT, |p| p.version);
-            let v = json!(PageRecord { e: d.facts.clone() });
-            f.set(key(d.number), version, v, d.bytes);
+            let v = json!(PageRecord { facts: d.facts.clone() });
+            f.set(keys::task_page(d.number), version, v, d.bytes);
             f.pages.push(d);
         }
     }
@@ -297,7 +252,7 @@
         let newest = self.store.pages.newest;
         for (n, p) in &self.store.pages.all {
             if *n < newest && p.live == 0 && p.version > Revision::ABSENT && f.has_space_for(1, 1, 100) {
-                f.drop_key(key(*n), p.version);
+                f.drop_key(keys::task_page(*n), p.version);
                 f.dead_pages.push(*n);
             }
         }
@@ -337,7 +292,7 @@
         revision: Revision,
     ) {
         for d in pages {
-            let total = d.facts.iter().flat_map(|f| &f.n).map(|(_, len)| *len).sum();
+            let total = d.facts.iter().map(TaskFact::task_count).sum();
             let page = self.store.pages.all.entry(d.number).or_default();
             (page.version, page.total) = (revision, total);
             if d.number >= self.store.pages.newest {
@@ -381,20 +336,19 @@
     pub(crate) fn restore_pages(&mut self, ctx: &Context, pairs: Vec<KeyValue>) {
         let mut last: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
         for pair in pairs {
-            let Ok(number) = pair.path[keys::TASK_PAGES.len()..].parse::<u32>() else { continue };
+            let Some(number) = keys::task_page_number(&pair.path) else { continue };
             let rec: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
-            let total = rec.e.iter().flat_map(|f| &f.n).map(|(_, len)| *len).sum();
+            let total = rec.facts.iter().map(TaskFact::task_count).sum();
             self.store.pages.all.insert(number, Page { version: pair.version, total, ..Page::default() });
             // What it holds is not written again: a new page follows.
             self.store.pages.newest = self.store.pages.newest.max(number + 1);
-            for fact in rec.e {
-                let Some(job) = self.jobs.get_mut(fact.j.as_str()) else { continue };
-                let place =
-                    fact.m.map(|(machine, agent_epoch, attempt)| (Id::from(machine.as_str()), agent_epoch, attempt));
+            for fact in rec.facts {
+                let Some(job) = self.jobs.get_mut(fact.job.as_str()) else { continue };
+                let place = fact.placement.map(|p| (Id::from(p.machine.as_str()), p.agent_epoch, p.attempt));
                 let facts = last.entry(job.id.clone()).or_default();
-                for (from, len) in fact.n {
-                    for task in from..from.saturating_add(len).min(job.spec.tasks) {
-                        if fact.d {
+                for run in fact.runs {
+                    for task in run.first..run.tasks().end.min(job.spec.tasks) {
+                        if fact.done {
                             job.done.insert(task);
                         }
                         facts.insert(task, (number, place.clone()));
@@ -432,6 +386,3 @@
         p.live = p.live.saturating_add_signed(change);
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -15,6 +15,7 @@
 pub mod event;
 pub mod io;
 pub mod model;
+pub mod records;
 pub mod settings;
 pub mod work_counters;
 
--- a/crates/core/src/submission_parts.rs
+++ b/crates/core/src/submission_parts.rs
@@ -9,64 +9,14 @@
 use crate::io::*;
 use crate::leader::store::InFlightTransaction;
 use crate::leader::{Leader, LeaderRequest};
-use crate::model::*;
-use serde::{Deserialize, Serialize};
-use serde_json::{Value, json};
+use crate::model::Id;
+use crate::records::{JobRecord, SplitJobRecord, keys};
+use serde_json::json;
 use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::BTreeMap;
 
-/// Record of an unfinished job whose submission is in parts.
-#[derive(Debug, Clone, Serialize, Deserialize)]
-pub(crate) struct SplitJobRecord {
-    /// Prefix of the parts.
-    pub p: String,
-    /// Number of its tasks.
-    pub n: u32,
-    /// When it was accepted, time of day.
-    pub at: u64,
-    /// Whether it has been cancelled.
-    pub x: bool,
-    /// Whether its cancellation has a key of its own.
-    pub k: bool,
-}
-
-impl SplitJobRecord {
-    /// Its job, by the prefix of the parts.
-    pub fn job(&self) -> &str {
-        self.p.get(keys::SUBMISSION_PARTS.len()..).and_then(|rest| rest.split('/').next()).unwrap_or_default()
-    }
-}
-
-/// What a key of an unfinished job holds.
-#[derive(Debug, Clone, Deserialize)]
-#[serde(untagged)]
-pub(crate) enum StoredJob {
-    Whole(Box<JobRecord>),
-    SplitSubmission(SplitJobRecord),
-}
-
-impl StoredJob {
-    pub fn read(v: Value) -> Option<StoredJob> {
-        serde_json::from_value(v).ok()
-    }
-    /// Whether it is cancelled, and how many tasks it has.
-    pub fn cancelled(&self) -> (bool, u32) {
-        match self {
-            StoredJob::Whole(r) => (r.x, r.s.tasks),
-            StoredJob::SplitSubmission(r) => (r.x, r.n),
-        }
-    }
-    /// The record when its user cancels it.
-    pub fn into_cancelled(self) -> Value {
-        match self {
-            StoredJob::Whole(r) => json!(r.into_cancelled()),
-            StoredJob::SplitSubmission(r) => json!(SplitJobRecord { x: true, k: true, ..r }),
-        }
-    }
-}
-
 /// The parts under a prefix, in order, with their versions.
 pub(crate) type Parts = Vec<(String, Revision)>;
 
@@ -74,7 +24,12 @@
 pub(crate) fn join(rec: &SplitJobRecord, pairs: &[KeyValue]) -> Option<JobRecord> {
     let text: String = pairs.iter().filter_map(|p| p.v.as_str()).collect();
     let s: Submission = serde_json::from_str(&text).ok()?;
-    Some(JobRecord { s, at: rec.at, x: rec.x, k: rec.k })
+    Some(JobRecord {
+        submission: s,
+        accepted_at_ms: rec.accepted_at_ms,
+        cancelled: rec.cancelled,
+        has_cancellation_key: rec.has_cancellation_key,
+    })
 }
 
 /// Cuts a text so that each part, as JSON, fits into a value.
@@ -147,8 +102,13 @@
         }
         if self.sending == 0 {
             let key = format!("{}{}", keys::JOBS, self.p.spec.id);
-            let rec =
-                SplitJobRecord { p: self.prefix.clone(), n: self.p.spec.tasks, at: self.p.wall_ms, x: false, k: false };
+            let rec = SplitJobRecord {
+                parts_prefix: self.prefix.clone(),
+                tasks: self.p.spec.tasks,
+                accepted_at_ms: self.p.wall_ms,
+                cancelled: false,
+                has_cancellation_key: false,
+            };
             transaction.conditions.push(Condition { path: key.clone(), version: Revision::ABSENT });
             transaction.conditions.push(Condition {
                 path: format!("{}{}", keys::FINAL_RECORDS, self.p.spec.id),
@@ -208,7 +168,7 @@
     pub(crate) fn read_parts(&mut self, ctx: &mut Context, rec: SplitJobRecord, version: Revision, got: Vec<KeyValue>) {
         self.store.parts_being_read.insert(rec.job().into(), version);
         let after = got.last().map(|p| p.path.clone()).unwrap_or_default();
-        let prefix = rec.p.clone();
+        let prefix = rec.parts_prefix.clone();
         let wait = self.wait(LeaderRequest::Parts(Box::new((rec, version, got))));
         ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
     }
@@ -253,10 +213,10 @@
         got: Vec<KeyValue>,
     ) {
         let Some(whole) = join(rec, &got) else {
-            ctx.emit(Event::SubmissionPartsUnreadable { prefix: rec.p.clone() });
+            ctx.emit(Event::SubmissionPartsUnreadable { prefix: rec.parts_prefix.clone() });
             return;
         };
-        let id: Id = whole.s.id.as_str().into();
+        let id: Id = whole.submission.id.as_str().into();
         self.store.submission_parts.insert(id, got.into_iter().map(|p| (p.path, p.version)).collect());
         self.add_job(ctx, whole, version);
     }
@@ -274,7 +234,7 @@
             by_prefix.entry(prefix).or_default().push(p);
         }
         for (rec, version) in records {
-            match by_prefix.remove(&rec.p) {
+            match by_prefix.remove(&rec.parts_prefix) {
                 Some(got) => self.add_split_job(ctx, &rec, version, got),
                 None => self.read_parts(ctx, rec, version, Vec::new()),
             }
