--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -6,5 +6,6 @@
 pub mod cloud;
 pub mod scenario;
 pub mod state;
+pub mod trace_digest;
 pub mod worker;
 pub mod world;
--- a/crates/testkit/src/world.rs
+++ b/crates/testkit/src/world.rs
@@ -3,6 +3,7 @@
 use crate::check::{Checker, Place};
 use crate::cloud::Cloud;
 use crate::state::StateService;
+use crate::trace_digest::TraceDigest;
 use crate::worker::{Event, Worker};
 use rand::rngs::StdRng;
 use rand::{Rng, SeedableRng};
@@ -299,6 +300,8 @@
     pub zones_silent: u32,
     /// Log lines, if wanted.
     pub log: Option<Vec<String>>,
+    /// Digest of all commands and effects, if wanted.
+    pub trace: Option<TraceDigest>,
 }
 
 /// What production makes of a record: it sees none of the fields that have come since, and a record in
@@ -410,6 +413,7 @@
             calls: 0,
             zones_silent: 0,
             log: None,
+            trace: None,
         };
         w.check.limits = w.settings[0].teams.iter().map(|(n, t)| (n.clone(), t.limit.0 as f64 / 1000.0)).collect();
         w.state.limits = w.settings[0].state.clone();
@@ -892,9 +896,15 @@
         let clock = self.clock(i);
         let command = if self.old[i] { as_production_reads(command) } else { command };
         let Some(node) = self.nodes[i].as_mut() else { return };
-        let effects = node.step(clock, vec![command]);
         let who = (i, self.lives[i]);
+        if let Some(trace) = &mut self.trace {
+            trace.command(self.now, who.0, who.1, &command);
+        }
+        let effects = node.step(clock, vec![command]);
         for e in effects {
+            if let Some(trace) = &mut self.trace {
+                trace.effect(self.now, who.0, who.1, &e);
+            }
             let e = if self.old[i] { as_production_writes(e) } else { e };
             self.effect(who, e);
         }
--- /dev/null
+++ b/crates/testkit/tests/trace_digest.rs
@@ -0,0 +1,213 @@
+//! The digest of all commands and effects: the same for the same, another for any difference.
+
+use shaleshunt_core::io::{Answer, CloudReply, CloudRequest, OrdersReply};
+use shaleshunt_core::{Command, Effect, IoError, Severity, StateReply, StateRequest};
+use shaleshunt_peer::Frame;
+use shaleshunt_testkit::scenario::Scenario;
+use shaleshunt_testkit::trace_digest::TraceDigest;
+use shaleshunt_wire::state::{Txn, Write};
+use shaleshunt_wire::user::{JobStatus, JobView};
+use shaleshunt_wire::worker::{Order, Orders, Report, ReportReply};
+use std::collections::BTreeSet;
+
+const SCENARIO: &str = "
+    frame f cores 16 ram 64 boot 5
+    machines f a 2
+    machines f b 2
+    job wk-a at 2 pieces 20 run 4
+    job wk-b at 4 pieces 8 run 3 withdraw 9
+    at 8 kill leader for 6
+    until 40
+";
+
+fn digests(text: &str, seeds: u64) -> Vec<(u64, String)> {
+    Scenario::parse(text).unwrap().trace_digests(Some(seeds))
+}
+
+#[test]
+fn the_same_seed_gives_the_same_digest() {
+    assert_eq!(digests(SCENARIO, 2), digests(SCENARIO, 2));
+}
+
+#[test]
+fn another_seed_gives_another_digest() {
+    let digests = digests(SCENARIO, 3);
+    assert_eq!(digests.iter().map(|(seed, _)| *seed).collect::<Vec<_>>(), [1, 2, 3]);
+    assert_eq!(digests.iter().map(|(_, digest)| digest).collect::<BTreeSet<_>>().len(), 3);
+}
+
+#[test]
+fn a_changed_setting_gives_another_digest() {
+    let base = digests(SCENARIO, 1);
+    for line in ["writes 3", "report 3.1", "team t 16 0"] {
+        assert_ne!(digests(&format!("{line}\n{SCENARIO}"), 1), base, "{line}");
+    }
+}
+
+/// The digest of one command or effect.
+fn of_command(command: &Command) -> String {
+    let mut digest = TraceDigest::default();
+    digest.command(1000, 1, 2, command);
+    digest.finish()
+}
+
+fn of_effect(effect: &Effect) -> String {
+    let mut digest = TraceDigest::default();
+    digest.effect(1000, 1, 2, effect);
+    digest.finish()
+}
+
+/// Each differs from the others in one thing.
+fn commands() -> Vec<Command> {
+    let report = |tick| Report {
+        machine: "m".into(),
+        endpoint: "m:1".into(),
+        frame: "f".into(),
+        zone: "a".into(),
+        spot: false,
+        session: 1,
+        tick,
+        token: 3,
+        warn_s: None,
+        tasks: Vec::new(),
+    };
+    let errors = [
+        IoError::NotSent,
+        IoError::Busy,
+        IoError::Unknown,
+        IoError::Refused,
+        IoError::Throttled,
+        IoError::Rejected("a".into()),
+        IoError::Rejected("b".into()),
+        IoError::TooLong,
+        IoError::Senseless,
+    ];
+    let state = [
+        StateReply::Missing,
+        StateReply::Committed(1),
+        StateReply::Committed(2),
+        StateReply::Hold(1),
+        StateReply::Conflict(vec!["a".into(), "b".into()]),
+        StateReply::Conflict(vec!["b".into(), "a".into()]),
+        StateReply::Fine,
+        StateReply::TooOld,
+    ];
+    let cloud = [
+        CloudReply::Hired(vec!["a".into()]),
+        CloudReply::Hired(vec!["b".into()]),
+        CloudReply::NoCapacity,
+        CloudReply::Returned,
+    ];
+    let mut all = vec![
+        Command::Status(1, "wk-a".into()),
+        Command::Status(2, "wk-a".into()),
+        Command::Status(1, "wk-b".into()),
+        Command::Withdraw(1, "wk-a".into()),
+        Command::Up(1),
+        Command::Checkin(1, Box::new(report(1))),
+        Command::Checkin(1, Box::new(report(2))),
+        Command::Orders(1, Ok(OrdersReply::Executed(report(1)))),
+        Command::Orders(1, Ok(OrdersReply::Outdated(report(1)))),
+        Command::Peer("n1".into(), Frame::Hello { node: "n1".into() }),
+        Command::Peer("n2".into(), Frame::Hello { node: "n1".into() }),
+        Command::Peer("n1".into(), Frame::Hello { node: "n2".into() }),
+        Command::PeerLost("n1".into()),
+        Command::Tick,
+    ];
+    all.extend(errors.iter().map(|e| Command::State(1, Err(e.clone()))));
+    all.extend(errors.iter().map(|e| Command::Cloud(1, Err(e.clone()))));
+    all.extend(errors.iter().map(|e| Command::Orders(1, Err(e.clone()))));
+    all.extend(state.map(|reply| Command::State(1, Ok(reply))));
+    all.extend(cloud.map(|reply| Command::Cloud(1, Ok(reply))));
+    all
+}
+
+/// Each differs from the others in one thing.
+fn effects() -> Vec<Effect> {
+    let orders =
+        |token, attempt| Orders { token, session: 1, orders: vec![Order::Run { task: "wk-a/0".into(), attempt }] };
+    let view = |status| JobView { id: "wk-a".into(), status, done: None, running: None };
+    let problem = |status, error, retry_after| Answer::Problem { status, error, retry_after };
+    let txn = |key: &str, v: u32| Txn { conditions: Vec::new(), writes: vec![Write::set(key, serde_json::json!(v))] };
+    let answers = [
+        Answer::Job(200, view(JobStatus::Queued)),
+        Answer::Job(201, view(JobStatus::Queued)),
+        Answer::Job(200, view(JobStatus::Running)),
+        problem(503, "a", None),
+        problem(503, "b", None),
+        problem(503, "a", Some(0)),
+        problem(503, "a", Some(1)),
+        problem(429, "a", None),
+        Answer::Report(ReportReply { token: 1, orders: Vec::new() }),
+        Answer::Report(ReportReply { token: 2, orders: Vec::new() }),
+        Answer::Elsewhere(None),
+        Answer::Elsewhere(Some("n1".into())),
+        Answer::Elsewhere(Some("n2".into())),
+        Answer::Healthy,
+    ];
+    let mut all = vec![
+        Effect::State(1, StateRequest::Txn(txn("a", 1)), None),
+        Effect::State(2, StateRequest::Txn(txn("a", 1)), None),
+        Effect::State(1, StateRequest::Txn(txn("b", 1)), None),
+        Effect::State(1, StateRequest::Txn(txn("a", 2)), None),
+        Effect::State(1, StateRequest::Txn(txn("a", 1)), Some("n1".into())),
+        Effect::State(1, StateRequest::Get { key: "a".into() }, None),
+        Effect::Cloud(1, CloudRequest::Catalog),
+        Effect::Cloud(1, CloudRequest::Return(vec!["a".into()])),
+        Effect::Cloud(1, CloudRequest::Return(vec!["b".into()])),
+        Effect::Cloud(1, CloudRequest::List { after: "a".into() }),
+        Effect::Orders(1, "m:1".into(), orders(1, 1)),
+        Effect::Orders(1, "m:2".into(), orders(1, 1)),
+        Effect::Orders(1, "m:1".into(), orders(2, 1)),
+        Effect::Orders(1, "m:1".into(), orders(1, 2)),
+        Effect::Peer("n1".into(), Frame::Hello { node: "n1".into() }),
+    ];
+    all.extend(answers.map(|answer| Effect::Answer(1, answer)));
+    all
+}
+
+#[test]
+fn every_difference_shows() {
+    let (commands, effects) = (commands(), effects());
+    let mut digests: BTreeSet<String> = commands.iter().map(of_command).collect();
+    digests.extend(effects.iter().map(of_effect));
+    assert_eq!(digests.len(), commands.len() + effects.len());
+}
+
+#[test]
+fn time_node_life_and_order_show() {
+    let digest = |steps: &[(u64, usize, u32, Command)]| {
+        let mut digest = TraceDigest::default();
+        for (now, node, life, command) in steps {
+            digest.command(*now, *node, *life, command);
+        }
+        digest.finish()
+    };
+    let digests = [
+        digest(&[]),
+        digest(&[(1, 0, 1, Command::Tick)]),
+        digest(&[(2, 0, 1, Command::Tick)]),
+        digest(&[(1, 1, 1, Command::Tick)]),
+        digest(&[(1, 0, 2, Command::Tick)]),
+        digest(&[(1, 0, 1, Command::Tick), (1, 0, 1, Command::Up(1))]),
+        digest(&[(1, 0, 1, Command::Up(1)), (1, 0, 1, Command::Tick)]),
+    ];
+    assert_eq!(digests.iter().collect::<BTreeSet<_>>().len(), digests.len());
+}
+
+#[test]
+fn the_log_does_not_show() {
+    let mut digest = TraceDigest::default();
+    digest.effect(1, 0, 1, &Effect::Log(Severity::Info, "text".into()));
+    assert_eq!(digest.finish(), TraceDigest::default().finish());
+}
+
+/// Fails when the encoding changes, or a change of names gets into it: digests from before such a change
+/// say nothing about the code after it.
+#[test]
+fn the_encoding_stays() {
+    let mut digest = TraceDigest::default();
+    commands().iter().for_each(|command| digest.command(1000, 1, 2, command));
+    effects().iter().for_each(|effect| digest.effect(1000, 1, 2, effect));
+    assert_eq!(digest.finish(), "e36ffabbf83d74b610f5a5b391bef0f5");
+}
