--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -145,7 +145,7 @@
             (LeaderRequest::ScaleIn(names), _) => {
                 for id in names {
                     if let Some(m) = self.fleet.machines.get_mut(&id) {
-                        m.scale_in_requested = false;
+                        m.lifecycle.scale_in_requested = false;
                     }
                 }
             }
@@ -166,10 +166,10 @@
         }
         if let Some(m) = self.fleet.machines.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
-            self.fleet.confirmations_in_flight -= u32::from(m.call_confirms_token);
-            if let Some(b) = m.block.and_then(|n| self.store.blocks.get_mut(&n)) {
+            self.fleet.confirmations_in_flight -= u32::from(m.call.confirms_token);
+            if let Some(b) = m.record.block.and_then(|n| self.store.blocks.get_mut(&n)) {
                 b.machines.remove(id);
-                self.store.thinned_blocks.extend(m.block);
+                self.store.thinned_blocks.extend(m.record.block);
             }
         }
         self.scheduler.pass_wanted = true;
@@ -179,7 +179,7 @@
     fn set_owned(&mut self, id: &Id, owned: bool) {
         let Some(m) = self.fleet.machines.get_mut(id).filter(|m| m.owned != owned) else { return };
         m.owned = owned;
-        if let Some(n) = m.block {
+        if let Some(n) = m.record.block {
             self.store.dirty_blocks.insert(n);
         }
         for p in &m.placements {
@@ -233,12 +233,12 @@
             }
             self.set_owned(&id, owned);
             let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
-            m.listed = true;
-            if m.endpoint.is_empty() {
-                m.endpoint = x.endpoint;
+            m.lifecycle.listed = true;
+            if m.agent.endpoint.is_empty() {
+                m.agent.endpoint = x.endpoint;
             }
             if x.status == ListedMachineStatus::Failed {
-                m.scale_in_wanted = true;
+                m.lifecycle.scale_in_wanted = true;
             }
         }
     }
@@ -331,7 +331,7 @@
         boot_s: f64,
         known: &mut BTreeMap<(Resources, i64), i64>,
     ) -> bool {
-        if job.deadline().is_some() && job.offloaded {
+        if job.deadline().is_some() && job.scheduling.offloaded {
             return true;
         }
         // Room that is not there at all, or too little for tasks that run together, is not worth
@@ -341,8 +341,8 @@
             self.fleet
                 .machines
                 .values()
-                .filter(|m| !m.scale_in_wanted && Self::allows(job, &m.machine_type, &m.zone, m.spot))
-                .map(|m| m.resources.times(&job.need, together))
+                .filter(|m| !m.lifecycle.scale_in_wanted && Self::allows(job, &m.machine_type, &m.zone, m.spot))
+                .map(|m| m.capacity.total.times(&job.need, together))
                 .sum()
         };
         let free_choice = job.spec.machine_types.is_none() && job.spec.zone.is_none();
@@ -363,7 +363,7 @@
         if let Some(s) = aim.finish() {
             wait = wait.min((s - self.estimate(job)) * ctx.tuning.objective_share - boot_s);
         }
-        ctx.now.wall_ms.saturating_sub(job.ready_at) as f64 / 1000.0 >= wait
+        ctx.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 / 1000.0 >= wait
     }
 
     /// Rents the cheapest fitting machines for what is sent out and not covered by rented room
@@ -384,8 +384,9 @@
         let mut spaces: Vec<Space> = Vec::new();
         for m in self.fleet.machines.values() {
             // What boots in a zone that is cut off is of no use before that is over.
-            let coming =
-                m.last_heard.is_none() && !m.scale_in_wanted && !self.fleet.partitioned_zones.contains(&m.zone);
+            let coming = m.agent.last_heard.is_none()
+                && !m.lifecycle.scale_in_wanted
+                && !self.fleet.partitioned_zones.contains(&m.zone);
             let free = m.free();
             if free.cores > 0 && free.memory > 0 && (coming || m.is_schedulable(now, &ctx.settings)) {
                 let (machine_type, zone) = (m.machine_type.clone(), m.zone.clone());
@@ -416,7 +417,7 @@
         let window = boot_s * ctx.tuning.reserve_boot_times * 1000.0;
         self.autoscaler.arrivals.retain(|(at, _)| now.saturating_sub(*at) as f64 <= window);
         let mut room_for: BTreeMap<(Resources, i64), i64> = BTreeMap::new();
-        let real = self.jobs.values().filter(|j| !j.cancelled && j.not_before <= now && j.waiting() > 0);
+        let real = self.jobs.values().filter(|j| !j.cancelled && j.scheduling.not_before <= now && j.waiting() > 0);
         let real = real.filter(|j| self.wants_scale_out(ctx, j, boot_s, &mut room_for)).collect::<Vec<_>>();
         let ghosts = self.autoscaler.arrivals.iter().map(|(_, j)| j);
         let demand: Vec<&Job> = real.into_iter().chain(ghosts).collect();
@@ -488,7 +489,7 @@
         }
         for id in needed {
             if let Some(m) = self.fleet.machines.get_mut(&id) {
-                m.needed_at = now;
+                m.lifecycle.needed_at = now;
             }
         }
         for (mut request, _) in wanted {
@@ -543,23 +544,24 @@
         let silence = (set.heartbeat_interval_s * ctx.tuning.missed_heartbeats * 1000.0) as u64;
         let mut names: Vec<Id> = Vec::new();
         for m in self.fleet.machines.values_mut() {
-            if m.scale_in_requested {
+            if m.lifecycle.scale_in_requested {
                 continue;
             }
             let boot_s =
                 ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type)).map_or(set.lease_s, |f| f.boot_s);
             let age = ctx.now.wall_ms.saturating_sub(m.rented_at) as f64 / 1000.0;
             let here = now.saturating_sub(self.elected_at);
-            match m.last_heard {
+            match m.agent.last_heard {
                 None if m.owned => {}
-                None if m.agent_epoch > AgentEpoch::NONE => m.scale_in_wanted |= here > silence * 2,
+                None if m.agent.epoch > AgentEpoch::NONE => m.lifecycle.scale_in_wanted |= here > silence * 2,
                 None => {
-                    m.scale_in_wanted |= age > boot_s * NEVER_BOOTS + set.heartbeat_interval_s && here > silence * 2
+                    m.lifecycle.scale_in_wanted |=
+                        age > boot_s * NEVER_BOOTS + set.heartbeat_interval_s && here > silence * 2
                 }
                 Some(h) if !m.owned => {
                     let quiet = now.saturating_sub(h);
-                    let kept = m.partitioned && ctx.peer_lease_reports.values().any(|k| k.zone == m.zone);
-                    m.scale_in_wanted |= if kept {
+                    let kept = m.agent.partitioned && ctx.peer_lease_reports.values().any(|k| k.zone == m.zone);
+                    m.lifecycle.scale_in_wanted |= if kept {
                         // The controller there keeps its leases for a term: what it runs goes on,
                         // and is better waited for unless it has a deadline.
                         let hurry =
@@ -571,18 +573,18 @@
                                 set.lease_renewal_window_ms() + set.lease_expiry_ms()
                             }
                     } else {
-                        let asked = m.unacknowledged_commands > 0 && self.fleet.few_overdue;
+                        let asked = m.agent.unacknowledged_commands > 0 && self.fleet.few_overdue;
                         quiet > if asked { silence / 2 } else { silence }
                     };
-                    m.scale_in_wanted |= m.placements.is_empty()
-                        && (m.preempted_at.is_some()
-                            || now.saturating_sub(m.idle_since.max(m.needed_at)) as f64
+                    m.lifecycle.scale_in_wanted |= m.placements.is_empty()
+                        && (m.lifecycle.preempted_at.is_some()
+                            || now.saturating_sub(m.lifecycle.idle_since.max(m.lifecycle.needed_at)) as f64
                                 > ctx.tuning.idle_before_scale_in_s * 1000.0);
                 }
                 Some(_) => {}
             }
-            if m.scale_in_wanted && names.len() < MAX_MACHINES_PER_SCALE_IN {
-                m.scale_in_requested = true;
+            if m.lifecycle.scale_in_wanted && names.len() < MAX_MACHINES_PER_SCALE_IN {
+                m.lifecycle.scale_in_requested = true;
                 names.push(m.id.clone());
             }
         }
--- a/crates/core/src/leader/fleet/commands.rs
+++ b/crates/core/src/leader/fleet/commands.rs
@@ -39,7 +39,7 @@
                 (None, PlacementState::Committed) if p.sent && !answering => {}
                 (None, PlacementState::Committed) => {
                     if answering {
-                        m.first_starts_in_call.retain(|placement_id| *placement_id != p.placement_id);
+                        m.call.first_starts.retain(|placement_id| *placement_id != p.placement_id);
                     } else if !p.sent {
                         first.push(p.placement_id);
                     }
@@ -50,18 +50,18 @@
             }
         }
         if !answering {
-            m.first_starts_in_call = first;
+            m.call.first_starts = first;
         }
-        let settled = answering && m.call.is_none();
-        for (task, attempt, cause) in &m.unexpected_tasks {
-            let (task, attempt) = (task.clone(), *attempt);
-            match cause {
-                None if m.token_confirmed => halts.push(TaskCommand::Stop { task, attempt, grace_period_s: 0.0 }),
+        let settled = answering && m.call.in_flight.is_none();
+        for unexpected in &m.agent.unexpected_tasks {
+            let (task, attempt) = (unexpected.task.clone(), unexpected.attempt);
+            match unexpected.exit {
+                None if m.agent.token_confirmed => halts.push(TaskCommand::Stop { task, attempt, grace_period_s: 0.0 }),
                 None => {}
                 Some(_) if settled => {
                     // Only after its outcome is committed.
                     let open = split_task_name(&task)
-                        .is_some_and(|(job, n)| self.jobs.get(job).is_some_and(|j| j.pending.contains_key(&n)));
+                        .is_some_and(|(job, n)| self.jobs.get(job).is_some_and(|j| j.writes.tasks.contains_key(&n)));
                     if !open {
                         runs.push(TaskCommand::Forget { task, attempt });
                     }
@@ -87,14 +87,14 @@
         }
         for id in std::mem::take(&mut self.fleet.machines_to_call) {
             let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
-            if m.partitioned && m.call.is_none() {
+            if m.agent.partitioned && m.call.in_flight.is_none() {
                 // What has not left would only wait there.
                 self.release_unsent(now, &id);
-            } else if m.call.is_some() {
-                m.push = true;
-            } else if now < m.no_call_before {
-                self.fleet.calls_later.insert((m.no_call_before, id));
-            } else if !m.endpoint.is_empty() && m.agent_epoch > AgentEpoch::NONE {
+            } else if m.call.in_flight.is_some() {
+                m.call.more_to_send = true;
+            } else if now < m.call.not_before {
+                self.fleet.calls_later.insert((m.call.not_before, id));
+            } else if !m.agent.endpoint.is_empty() && m.agent.epoch > AgentEpoch::NONE {
                 self.call(ctx, &id, false);
             }
         }
@@ -104,7 +104,10 @@
         while self.fleet.confirmations_in_flight < most {
             let Some(id) = self.fleet.unconfirmed.pop_front() else { break };
             let open = |m: &Machine| {
-                !m.token_confirmed && m.call.is_none() && !m.endpoint.is_empty() && m.agent_epoch > AgentEpoch::NONE
+                !m.agent.token_confirmed
+                    && m.call.in_flight.is_none()
+                    && !m.agent.endpoint.is_empty()
+                    && m.agent.epoch > AgentEpoch::NONE
             };
             if self.fleet.machines.get(&id).is_some_and(open) {
                 self.call(ctx, &id, true);
@@ -115,21 +118,25 @@
     pub(crate) fn call(&mut self, ctx: &mut Context, id: &Id, call_confirms_token: bool) {
         let commands = self.commands_for(id, false);
         let Some(m) = self.fleet.machines.get_mut(id) else { return };
-        m.push = false;
+        m.call.more_to_send = false;
         // With nothing to say it is asked only to confirm the token, or that it lives.
-        if commands.is_empty() && m.token_confirmed && m.unacknowledged_commands == 0 && !call_confirms_token {
+        if commands.is_empty()
+            && m.agent.token_confirmed
+            && m.agent.unacknowledged_commands == 0
+            && !call_confirms_token
+        {
             return;
         }
-        let token = FencingToken::new(self.epoch, m.token_counter);
+        let token = FencingToken::new(self.epoch, m.agent.token_counter);
         let call_has_commands = !commands.is_empty();
-        let body = DirectCommands { token, agent_epoch: m.agent_epoch, commands };
-        let to = m.endpoint.clone();
+        let body = DirectCommands { token, agent_epoch: m.agent.epoch, commands };
+        let to = m.agent.endpoint.clone();
         let wait = self.wait(LeaderRequest::DirectCommands(id.clone()));
         let call = ctx.direct_commands(to, body, wait);
         if let Some(m) = self.fleet.machines.get_mut(id) {
-            m.call = Some(call);
-            m.call_confirms_token = call_confirms_token;
-            m.call_has_commands = call_has_commands;
+            m.call.in_flight = Some(call);
+            m.call.confirms_token = call_confirms_token;
+            m.call.has_commands = call_has_commands;
             self.fleet.confirmations_in_flight += u32::from(call_confirms_token);
         }
     }
@@ -143,16 +150,16 @@
     ) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if m.call != Some(call) {
+        if m.call.in_flight != Some(call) {
             return;
         }
-        m.call = None;
-        self.fleet.confirmations_in_flight -= u32::from(std::mem::take(&mut m.call_confirms_token));
-        let mut again = std::mem::take(&mut m.push);
+        m.call.in_flight = None;
+        self.fleet.confirmations_in_flight -= u32::from(std::mem::take(&mut m.call.confirms_token));
+        let mut again = std::mem::take(&mut m.call.more_to_send);
         match result {
             Ok(DirectCommandsReply::Executed(r)) | Ok(DirectCommandsReply::Fenced(r)) => {
                 if r.machine == **machine {
-                    m.unacknowledged_commands = 0;
+                    m.agent.unacknowledged_commands = 0;
                     self.take_heartbeat(ctx, machine, r, false);
                     if let Some(m) = self.fleet.machines.get(machine) {
                         // What came up meanwhile.
@@ -162,25 +169,25 @@
             }
             Err(e) => {
                 // For want of room here nothing is known of the machine.
-                m.unacknowledged_commands =
-                    m.unacknowledged_commands.saturating_add(u32::from(e != RequestError::LocalOverload));
+                m.agent.unacknowledged_commands =
+                    m.agent.unacknowledged_commands.saturating_add(u32::from(e != RequestError::LocalOverload));
                 let pause = ctx.settings.heartbeat_interval_ms() / 3
-                    * u64::from(1u32 << m.unacknowledged_commands.saturating_sub(1).min(3));
-                m.no_call_before = now + pause;
+                    * u64::from(1u32 << m.agent.unacknowledged_commands.saturating_sub(1).min(3));
+                m.call.not_before = now + pause;
                 again = true;
                 if matches!(e, RequestError::NotSent | RequestError::LocalOverload) {
                     // What was in it never left; others can have it.
-                    let never = std::mem::take(&mut m.first_starts_in_call);
+                    let never = std::mem::take(&mut m.call.first_starts);
                     m.placements.iter_mut().filter(|p| never.contains(&p.placement_id)).for_each(|p| p.sent = false);
                     // The answer to its next report can carry them, if it is not the machine's doing.
                     if e == RequestError::NotSent {
                         self.release_unsent(now, machine);
                     }
-                } else if m.call_has_commands {
+                } else if m.call.has_commands {
                     // It may be executed minutes later. A higher token makes the machine refuse it;
                     // until a report confirms that token, nothing here is released or forgotten.
-                    m.token_counter += 1;
-                    m.token_confirmed = false;
+                    m.agent.token_counter += 1;
+                    m.agent.token_confirmed = false;
                 }
             }
         }
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -12,6 +12,9 @@
 /// A machine is slow if at least so many of its tasks overrun, and a third of them.
 const LEAST_OVERRUNS: usize = 3;
 
+/// Run times of so many ended tasks say what a job's tasks usually take.
+const LEAST_RUN_TIMES: u32 = 3;
+
 impl Leader {
     /// A task failed after it had run for `ran` ms. Tells machines that fail everything from jobs
     /// that fail everywhere: a job of which other tasks have run for longer elsewhere is fine, so it
@@ -21,8 +24,8 @@
     pub(crate) fn failed_on(&mut self, ctx: &mut Context, machine: &Id, job: &Id, runtime: u64) {
         let now = ctx.now.monotonic_ms;
         let Some(j) = self.jobs.get_mut(job) else { return };
-        j.failures += 1;
-        j.failed_on.insert(machine.clone());
+        j.failures.count += 1;
+        j.failures.machines.insert(machine.clone());
         let long = runtime + ctx.settings.heartbeat_interval_ms() / 2;
         let steady = |l: &TaskPlacement| {
             let place = self
@@ -32,7 +35,7 @@
                 .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
             l.machine != *machine && place.is_some_and(|p| p.running.is_some_and(|r| now - r > long))
         };
-        let does_well = j.done_count > 0 || j.live.values().flatten().any(steady);
+        let does_well = j.tasks.done_count > 0 || j.tasks.placements.values().flatten().any(steady);
         // Tasks that have only just begun elsewhere are no sign yet, but a job of which some run is
         // not called broken: a large one loses many tasks at once to a few machines.
         let runs = |l: &TaskPlacement| {
@@ -41,27 +44,27 @@
                 .machines
                 .get(&l.machine)
                 .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
-            !j.failed_on.contains(&l.machine) && place.is_some_and(|p| p.running.is_some())
+            !j.failures.machines.contains(&l.machine) && place.is_some_and(|p| p.running.is_some())
         };
-        let many = (j.failed_on.len() >= 3 || j.failures >= 6) && !does_well;
-        let broken = many && !j.live.values().flatten().any(runs);
+        let many = (j.failures.machines.len() >= 3 || j.failures.count >= 6) && !does_well;
+        let broken = many && !j.tasks.placements.values().flatten().any(runs);
         if many && !broken {
-            j.not_before = now + ctx.settings.heartbeat_interval_ms() / 4;
+            j.scheduling.not_before = now + ctx.settings.heartbeat_interval_ms() / 4;
         }
         if broken {
-            let wait = ctx.tuning.quarantine_s * 1000.0 / 8.0 * f64::from(1u32 << (j.failures.min(8) - 3).min(4));
-            j.not_before = now + wait as u64;
+            let wait = ctx.tuning.quarantine_s * 1000.0 / 8.0 * f64::from(1u32 << (j.failures.count.min(8) - 3).min(4));
+            j.scheduling.not_before = now + wait as u64;
             for m in self.fleet.machines.values_mut() {
-                m.failures.retain(|f| f != job);
+                m.health.failed_jobs.retain(|f| f != job);
             }
         }
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        m.failed_at = now;
+        m.health.failed_at = now;
         if !broken {
-            m.failures.push(job.clone());
+            m.health.failed_jobs.push(job.clone());
         }
-        let kinds: BTreeSet<&Id> = m.failures.iter().collect();
-        if (kinds.len() >= 2 || does_well || m.quarantine_count > 0) && !broken {
+        let kinds: BTreeSet<&Id> = m.health.failed_jobs.iter().collect();
+        if (kinds.len() >= 2 || does_well || m.health.quarantine_count > 0) && !broken {
             self.quarantine(ctx, machine);
         }
         self.scheduler.pass_wanted = true;
@@ -70,11 +73,13 @@
     /// A machine fails its tasks: it is not used for a while, longer each time.
     pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
-        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| now >= m.quarantined_until) else { return };
-        m.quarantine_count += 1;
-        let pause = ctx.tuning.quarantine_s * 1000.0 * f64::from(1u32 << (m.quarantine_count - 1).min(3));
-        m.quarantined_until = now + pause as u64;
-        m.failures.clear();
+        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| now >= m.health.quarantined_until) else {
+            return;
+        };
+        m.health.quarantine_count += 1;
+        let pause = ctx.tuning.quarantine_s * 1000.0 * f64::from(1u32 << (m.health.quarantine_count - 1).min(3));
+        m.health.quarantined_until = now + pause as u64;
+        m.health.failed_jobs.clear();
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause / 1000.0 });
     }
 
@@ -95,11 +100,7 @@
             let Some(since) = p.running.filter(|_| p.stop_grace_s.is_none()) else { continue };
             let Some(job) = self.jobs.get(&p.job).filter(|j| !j.is_service()) else { continue };
             runs += 1;
-            let usual = if job.runtime.0 >= 3 {
-                job.runtime.1 as f64 / f64::from(job.runtime.0)
-            } else {
-                self.estimate(job) * 1500.0
-            };
+            let usual = job.tasks.run_times.mean_ms(LEAST_RUN_TIMES).unwrap_or_else(|| self.estimate(job) * 1500.0);
             let elapsed = now.saturating_sub(since) as f64;
             over += usize::from(elapsed > usual * OVERRUN + ctx.settings.heartbeat_interval_s * 100.0);
         }
@@ -107,9 +108,9 @@
             return;
         }
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if now >= m.slow_until {
+        if now >= m.health.slow_until {
             ctx.emit(Event::MachineSlow { machine: machine.clone() });
         }
-        m.slow_until = now + (ctx.settings.lease_s * 500.0) as u64;
+        m.health.slow_until = now + (ctx.settings.lease_s * 500.0) as u64;
     }
 }
--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -27,7 +27,7 @@
         let token = self.fleet.machines.get(&machine).map_or(FencingToken::new(self.epoch, 0), |m| self.token(m));
         let commands = if fresh { self.commands_for(&machine, true) } else { Vec::new() };
         if let Some(m) = self.fleet.machines.get_mut(&machine) {
-            m.reply_may_start_tasks |= commands.iter().any(|o| matches!(o, TaskCommand::Run { .. }));
+            m.agent.reply_may_start_tasks |= commands.iter().any(|o| matches!(o, TaskCommand::Run { .. }));
         }
         ctx.answer(id, Answer::Heartbeat(HeartbeatReply { token, commands }));
     }
@@ -37,7 +37,7 @@
     fn adopt(&mut self, ctx: &mut Context, machine: &Id, r: &Heartbeat) {
         let owned = self.autoscaler.owned.as_ref().is_some_and(|o| o.contains(&r.machine));
         let mut m = self.new_machine(ctx, machine, &r.machine_type, &r.zone, r.spot, owned);
-        m.unacknowledged_commands = if self.autoscaler.owned.is_some() && !owned { u32::MAX / 2 } else { 0 };
+        m.agent.unacknowledged_commands = if self.autoscaler.owned.is_some() && !owned { u32::MAX / 2 } else { 0 };
         self.fleet.machines.insert(m);
         self.fleet.unconfirmed.push_back(machine.clone());
         ctx.emit(Event::MachineAdopted { machine: machine.clone() });
@@ -52,15 +52,16 @@
         let token = self.fleet.machines.get(machine).map_or(FencingToken::default(), |m| self.token(m));
         let epoch = self.epoch;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return false };
-        if m.last_heard.is_some() && (r.agent_epoch, r.sequence) <= m.last || r.agent_epoch < m.agent_epoch {
+        let order = HeartbeatOrder { agent_epoch: r.agent_epoch, sequence: r.sequence };
+        if m.agent.last_heard.is_some() && order <= m.agent.last_heartbeat || r.agent_epoch < m.agent.epoch {
             return false;
         }
-        if m.last_heard.is_none() || !m.answers(now, &ctx.settings) {
+        if m.agent.last_heard.is_none() || !m.answers(now, &ctx.settings) {
             self.scheduler.pass_wanted = true;
         }
-        m.last = (r.agent_epoch, r.sequence);
-        m.last_heard = Some(now);
-        m.partitioned = false;
+        m.agent.last_heartbeat = order;
+        m.agent.last_heard = Some(now);
+        m.agent.partitioned = false;
         match self.fleet.zone_activity.get_mut(&m.zone) {
             // Later than now while a new leader gives the zone time to be heard: one machine that
             // answers at once does not end that for the others, who only just change over.
@@ -69,21 +70,21 @@
                 self.fleet.zone_activity.insert(m.zone.clone(), (now, 1));
             }
         }
-        let mut resources = m.resources;
+        let mut resources = m.capacity.total;
         if m.zone.is_empty() {
             // Known so far only by a record of a placement.
             (m.machine_type, m.zone, m.spot) = (r.machine_type, r.zone, r.spot);
             resources = Resources::default();
             for p in &m.placements {
                 if let Some(j) = self.jobs.get_mut(&p.job) {
-                    *j.zones.entry(m.zone.clone()).or_default() += 1;
-                    let unknown = j.zones.entry(String::new()).or_default();
+                    *j.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
+                    let unknown = j.tasks.by_zone.entry(String::new()).or_default();
                     *unknown = unknown.saturating_sub(1);
                 }
             }
         }
-        if m.endpoint != r.endpoint {
-            m.endpoint = r.endpoint;
+        if m.agent.endpoint != r.endpoint {
+            m.agent.endpoint = r.endpoint;
         }
         if resources == Resources::default()
             && let Some(f) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
@@ -92,22 +93,22 @@
             self.scheduler.pass_wanted = true;
         }
         match r.preemption_notice_s {
-            Some(s) if m.preempted_at.is_none() => {
-                m.preempted_at = Some(now + (s.max(0.0) * 1000.0) as u64);
+            Some(s) if m.lifecycle.preempted_at.is_none() => {
+                m.lifecycle.preempted_at = Some(now + (s.max(0.0) * 1000.0) as u64);
                 ctx.emit(Event::MachineInterruptionNotice { machine: machine.clone(), seconds_left: s });
             }
             Some(_) => {}
-            None => m.preempted_at = None,
+            None => m.lifecycle.preempted_at = None,
         }
         // In a newer session whatever was placed in an earlier one is gone, and commands for that
         // session no longer count.
-        m.agent_epoch = r.agent_epoch;
+        m.agent.epoch = r.agent_epoch;
         let lost: Vec<u64> =
             m.placements.iter().filter(|p| p.agent_epoch < r.agent_epoch).map(|p| p.placement_id).collect();
         let current = r.token >= token;
-        if current && !m.token_confirmed {
-            m.token_confirmed = true;
-            m.unacknowledged_commands = 0;
+        if current && !m.agent.token_confirmed {
+            m.agent.token_confirmed = true;
+            m.agent.unacknowledged_commands = 0;
             self.scheduler.pass_wanted = true;
         }
         if current && r.token.epoch() > epoch {
@@ -115,15 +116,15 @@
         }
         // A direct call's report may be older than the answer to the last check-in, which may still
         // start tasks. The next check-in settles that: a worker has one under way at a time.
-        let answered = heartbeat && std::mem::take(&mut m.reply_may_start_tasks);
-        let open = m.call.is_some() || m.reply_may_start_tasks;
+        let answered = heartbeat && std::mem::take(&mut m.agent.reply_may_start_tasks);
+        let open = m.call.in_flight.is_some() || m.agent.reply_may_start_tasks;
         let local_gb = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type)).map_or(0.0, |f| f.local_gb);
         let mut seen: Vec<(&str, u32, Attempt, &TaskReport, bool)> = Vec::with_capacity(r.tasks.len());
         let mut unexpected_tasks = Vec::new();
         for p in &r.tasks {
             match split_task_name(&p.task) {
                 Some((job, n)) => seen.push((job, n, p.attempt, p, false)),
-                None => unexpected_tasks.push((p.task.clone(), p.attempt, exit_cause(p.status, p.cause))),
+                None => unexpected_tasks.push(unexpected_task(p)),
             }
         }
         seen.sort_unstable_by_key(|s| (s.0, s.1, s.2));
@@ -155,8 +156,9 @@
                     };
                     let runs = matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing);
                     if let Some(j) = self.jobs.get_mut(&p.job).filter(|_| was != runs) {
-                        j.started |= runs;
-                        j.running = if runs { j.running + 1 } else { j.running.saturating_sub(1) };
+                        j.tasks.started |= runs;
+                        j.tasks.running_count =
+                            if runs { j.tasks.running_count + 1 } else { j.tasks.running_count.saturating_sub(1) };
                         if runs && p.running.is_none() {
                             images.push((j.image, j.spec.image_gb));
                         }
@@ -180,20 +182,21 @@
             }
         }
         for (image, gb) in images {
-            m.touch_image(image, gb, local_gb);
+            m.images.touch(image, gb, local_gb);
         }
         if heard_us {
-            m.unacknowledged_commands = 0;
+            m.agent.unacknowledged_commands = 0;
         } else if unheard {
-            m.unacknowledged_commands = m.unacknowledged_commands.saturating_add(1);
+            m.agent.unacknowledged_commands = m.agent.unacknowledged_commands.saturating_add(1);
         }
         if again {
             self.fleet.machines_to_call.insert(machine.clone());
         }
         let strange = seen.iter().filter(|s| !s.4).map(|s| s.3);
-        unexpected_tasks.extend(strange.map(|p| (p.task.clone(), p.attempt, exit_cause(p.status, p.cause))));
-        m.unexpected_tasks = unexpected_tasks;
-        let (preempted_at, known, new_room) = (m.preempted_at.is_some(), m.block.is_some(), resources != m.resources);
+        unexpected_tasks.extend(strange.map(unexpected_task));
+        m.agent.unexpected_tasks = unexpected_tasks;
+        let (preempted_at, known, new_room) =
+            (m.lifecycle.preempted_at.is_some(), m.record.block.is_some(), resources != m.capacity.total);
         if new_room {
             self.fleet.machines.set_room(machine, resources);
         }
@@ -222,31 +225,31 @@
         let Some(p) = self.release_placement(now, machine, placement_id, cause == ExitCause::Done) else { return };
         let name = format!("{}/{}", p.job, p.task);
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.unexpected_tasks.push((name.clone(), p.attempt, Some(cause)));
+            m.agent.unexpected_tasks.push(UnexpectedTask { task: name.clone(), attempt: p.attempt, exit: Some(cause) });
         }
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         match cause {
             ExitCause::Done if !job.is_service() => {
                 job.mark_done(p.task);
                 // It does well after all: where it failed, that was the machine.
-                let failed_on = if job.failures > 0 { job.failed_on.clone() } else { BTreeSet::new() };
-                job.failures = 0;
+                let failed_on = if job.failures.count > 0 { job.failures.machines.clone() } else { BTreeSet::new() };
+                job.failures.count = 0;
                 let expected = job.spec.estimated_run_s;
                 if let (Some(start), true) = (p.running, expected > 0.0) {
                     let runtime = now.saturating_sub(start) as f64 / 1000.0;
-                    job.runtime = (job.runtime.0 + 1, job.runtime.1 + now.saturating_sub(start));
+                    job.tasks.run_times.add(now.saturating_sub(start));
                     let class = self.scheduler.runtimes_by_class.entry(job.spec.class.clone()).or_default();
                     class.actual += runtime;
                     class.expected += expected;
                 }
                 // A task that began before the last failure says nothing about the machine since.
-                if let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| p.since > m.failed_at) {
-                    m.failures.clear();
-                    m.quarantine_count = 0;
+                if let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| p.since > m.health.failed_at) {
+                    m.health.failed_jobs.clear();
+                    m.health.quarantine_count = 0;
                 }
                 self.record_change(now, &p.job, p.task, false);
                 for id in failed_on.iter().filter(|id| *id != machine) {
-                    if self.fleet.machines.get(id).is_some_and(|m| m.failures.contains(&p.job)) {
+                    if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&p.job)) {
                         self.quarantine(ctx, id);
                     }
                 }
@@ -257,13 +260,14 @@
                     let runtime = p.running.map_or(0, |r| now.saturating_sub(r));
                     self.failed_on(ctx, machine, &p.job, runtime);
                 } else if let Some(job) = self.jobs.get_mut(&p.job) {
-                    job.not_before = now + ctx.settings.heartbeat_interval_ms();
+                    job.scheduling.not_before = now + ctx.settings.heartbeat_interval_ms();
                 }
             }
             // Room that we did not know to be taken: a stopped task not gone yet, for example.
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => {
                 if let Some(m) = self.fleet.machines.get_mut(machine) {
-                    m.quarantined_until = m.quarantined_until.max(now + ctx.settings.heartbeat_interval_ms() / 3);
+                    m.health.quarantined_until =
+                        m.health.quarantined_until.max(now + ctx.settings.heartbeat_interval_ms() / 3);
                 }
             }
             ExitCause::Stopped | ExitCause::GangIncomplete | ExitCause::GangLost => {}
@@ -274,7 +278,7 @@
     fn drain(&mut self, ctx: &Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let Some(end) = m.preempted_at else { return };
+        let Some(end) = m.lifecycle.preempted_at else { return };
         for p in &mut m.placements {
             if p.stop_grace_s.is_some() {
                 continue;
@@ -292,7 +296,8 @@
     }
 }
 
-/// Why a task ended, if it has.
-fn exit_cause(status: TaskStatus, cause: Option<ExitCause>) -> Option<ExitCause> {
-    (status == TaskStatus::Exited).then_some(cause.unwrap_or(ExitCause::Unknown))
+/// A reported task as one without a placement.
+fn unexpected_task(report: &TaskReport) -> UnexpectedTask {
+    let exit = (report.status == TaskStatus::Exited).then_some(report.cause.unwrap_or(ExitCause::Unknown));
+    UnexpectedTask { task: report.task.clone(), attempt: report.attempt, exit }
 }
--- a/crates/core/src/leader/fleet/machines.rs
+++ b/crates/core/src/leader/fleet/machines.rs
@@ -54,17 +54,17 @@
 
     /// A task takes room on a machine.
     pub(crate) fn take_room(&mut self, id: &str, need: &Resources) {
-        self.change(id, |machine| machine.used.add(need, 1));
+        self.change(id, |machine| machine.capacity.used.add(need, 1));
     }
 
     /// A task's room on a machine is free again.
     pub(crate) fn give_room(&mut self, id: &str, need: &Resources) {
-        self.change(id, |machine| machine.used.add(need, -1));
+        self.change(id, |machine| machine.capacity.used.add(need, -1));
     }
 
     /// All the room that a machine has became known.
     pub(crate) fn set_room(&mut self, id: &str, resources: Resources) {
-        self.change(id, |machine| machine.resources = resources);
+        self.change(id, |machine| machine.capacity.total = resources);
     }
 
     /// The room of machines by their type became known.
@@ -74,7 +74,7 @@
             .values()
             .filter_map(|m| {
                 room_of(&m.machine_type)
-                    .filter(|resources| *resources != m.resources)
+                    .filter(|resources| *resources != m.capacity.total)
                     .map(|resources| (m.id.clone(), resources))
             })
             .collect();
--- a/crates/core/src/leader/fleet/machines/tests.rs
+++ b/crates/core/src/leader/fleet/machines/tests.rs
@@ -1,10 +1,11 @@
 use super::*;
 use crate::io::Timestamp;
+use crate::model::Capacity;
 
 fn machine(number: u32, cores: f64) -> Machine {
     let id = format!("vm-{number:06}").as_str().into();
     Machine {
-        resources: Resources::new(cores, 0.0, 64.0),
+        capacity: Capacity { total: Resources::new(cores, 0.0, 64.0), used: Resources::default() },
         ..Machine::new(id, Timestamp { monotonic_ms: 1, wall_ms: 1 })
     }
 }
@@ -59,7 +60,7 @@
     let mut fleet = MachineIndex::default();
     fleet.insert(machine(1, 16.0));
     if let Some(m) = fleet.get_mut("vm-000001") {
-        m.used = Resources::new(4.0, 0.0, 1.0);
+        m.capacity.used = Resources::new(4.0, 0.0, 1.0);
     }
     assert!(!fleet.consistent());
 }
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -53,11 +53,11 @@
         }
         self.fleet.partitioned_zones = silent;
         for m in self.fleet.machines.values_mut() {
-            let cut = self.fleet.partitioned_zones.contains(&m.zone) && m.last_heard.is_some();
-            if cut && !m.partitioned && m.placements.iter().any(|p| !p.sent) {
+            let cut = self.fleet.partitioned_zones.contains(&m.zone) && m.agent.last_heard.is_some();
+            if cut && !m.agent.partitioned && m.placements.iter().any(|p| !p.sent) {
                 self.fleet.machines_to_call.insert(m.id.clone());
             }
-            m.partitioned = cut;
+            m.agent.partitioned = cut;
         }
         self.scheduler.pass_wanted = true;
     }
@@ -67,8 +67,9 @@
     fn heartbeats_missing(&self, ctx: &Context, zone: Option<&str>, machines: u32) -> bool {
         let (now, interval) = (ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_ms());
         // A machine known from records has two reporting intervals after a takeover to be heard.
-        let last =
-            |m: &Machine| m.last_heard.or((m.agent_epoch > AgentEpoch::NONE).then_some(self.elected_at + interval));
+        let last = |m: &Machine| {
+            m.agent.last_heard.or((m.agent.epoch > AgentEpoch::NONE).then_some(self.elected_at + interval))
+        };
         let overdue = |m: &&Machine| last(m).is_some_and(|at| now.saturating_sub(at) > interval * LATEST_REPORT / 100);
         let here = self.fleet.machines.values().filter(|m| zone.is_none_or(|zone| m.zone == zone));
         here.filter(overdue).take(MISSED_REPORTS).count() >= MISSED_REPORTS.min(machines as usize)
@@ -81,7 +82,9 @@
         let now = ctx.now.monotonic_ms;
         let late = ctx.settings.heartbeat_interval_ms() * LATEST_REPORT / 100;
         let overdue = |m: &&Machine| {
-            m.last_heard.is_some_and(|h| now.saturating_sub(h) > late) && !m.scale_in_wanted && !m.partitioned
+            m.agent.last_heard.is_some_and(|h| now.saturating_sub(h) > late)
+                && !m.lifecycle.scale_in_wanted
+                && !m.agent.partitioned
         };
         let all: Vec<Id> = self.fleet.machines.values().filter(overdue).map(|m| m.id.clone()).collect();
         self.fleet.few_overdue = all.len() <= (self.fleet.machines.len() / 50).max(2);
@@ -89,8 +92,9 @@
             return;
         }
         for id in all {
-            let asks =
-                |m: &Machine| !m.owned && !m.placements.is_empty() && m.call.is_none() && now >= m.no_call_before;
+            let asks = |m: &Machine| {
+                !m.owned && !m.placements.is_empty() && m.call.in_flight.is_none() && now >= m.call.not_before
+            };
             if self.fleet.machines.get(&id).is_some_and(asks) {
                 self.call(ctx, &id, true);
             }
@@ -115,7 +119,8 @@
         let set = ctx.settings.clone();
         let mut silent: Vec<Id> = Vec::new();
         let mut there: BTreeMap<&str, u32> = BTreeMap::new();
-        for m in self.fleet.machines.values().filter(|m| m.last_heard.is_some_and(|h| now - h < set.lease_expiry_ms()))
+        for m in
+            self.fleet.machines.values().filter(|m| m.agent.last_heard.is_some_and(|h| now - h < set.lease_expiry_ms()))
         {
             *there.entry(&m.zone).or_default() += 1;
         }
@@ -128,8 +133,8 @@
             }
             // Until it has shown our token, an earlier leader may have answered it for as long as
             // that leader could go without news of this epoch.
-            let last_heard = m.last_heard.unwrap_or(0);
-            let last = if m.token_confirmed {
+            let last_heard = m.agent.last_heard.unwrap_or(0);
+            let last = if m.agent.token_confirmed {
                 last_heard
             } else {
                 last_heard.max(self.elected_at + set.lease_renewal_window_ms())
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -242,7 +242,7 @@
             .fleet
             .machines
             .values()
-            .filter(|m| !m.endpoint.is_empty() && m.agent_epoch > AgentEpoch::NONE)
+            .filter(|m| !m.agent.endpoint.is_empty() && m.agent.epoch > AgentEpoch::NONE)
             .map(|m| m.id.clone())
             .collect();
         ctx.emit(Event::LeaderStateLoaded {
@@ -256,7 +256,8 @@
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
         let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
-        let images: Vec<(u32, f64)> = rec.i.iter().map(|(name, gb)| (self.image(name), *gb)).collect();
+        let images: Vec<CachedImage> =
+            rec.i.iter().map(|(name, gb)| CachedImage { image: self.image(name), size_gb: *gb }).collect();
         let mut block =
             Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
         for (name, r) in rec.m {
@@ -266,9 +267,9 @@
                 continue;
             }
             let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
-            (m.endpoint, m.agent_epoch, m.rented_at) = (r.e, r.s, r.t);
+            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.e, r.s, r.t);
             m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
-            (m.block, m.recorded) = (Some(n), true);
+            (m.record.block, m.record.committed) = (Some(n), true);
             block.owned = r.o;
             block.machines.insert(id.clone());
             self.fleet.machines.insert(m);
@@ -287,9 +288,12 @@
         attempt: Attempt,
         task: u32,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.done.get(task) && task < j.spec.tasks) else { return };
-        let known =
-            job.live.get(&task).is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
+        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.done.get(task) && task < j.spec.tasks) else { return };
+        let known = job
+            .tasks
+            .placements
+            .get(&task)
+            .is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
         if known {
             return;
         }
@@ -300,10 +304,8 @@
             let m = self.new_machine(ctx, machine, "", "", false, false);
             self.fleet.machines.insert(m);
         }
-        if let Some(m) = self.fleet.machines.get_mut(machine)
-            && !m.has_image(image)
-        {
-            m.images.push((image, gb));
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
+            m.images.add_known(image, gb);
         }
         let p = Placement {
             job: id.clone(),
@@ -335,11 +337,11 @@
             let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
             let job = parts.next().and_then(|j| self.jobs.get_mut(j));
             if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
-                let before = job.done.clone();
-                job.done.decode(chunk.saturating_mul(per_chunk), text);
-                job.done_count = job.done.count();
-                job.started = true;
-                let new = |i: &u32| job.done.get(*i) && !before.get(*i);
+                let before = job.tasks.done.clone();
+                job.tasks.done.decode(chunk.saturating_mul(per_chunk), text);
+                job.tasks.done_count = job.tasks.done.count();
+                job.tasks.started = true;
+                let new = |i: &u32| job.tasks.done.get(*i) && !before.get(*i);
                 touched.extend((0..job.spec.tasks).filter(new).map(|i| (job.id.clone(), i)));
             }
             self.store.v0_1_keys.insert(pair.path, pair.version);
@@ -350,12 +352,12 @@
             let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
             if !self.fleet.machines.contains_key(&name) {
                 let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
-                (m.endpoint, m.agent_epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.e, rec.s, rec.t);
                 self.fleet.machines.insert(m);
                 self.join_block(ctx, &name);
             }
             for (job, task, attempt) in rec.p {
-                let unknown = |j: &&Job| j.facts.get(task as usize).is_none_or(|at| *at == 0);
+                let unknown = |j: &&Job| j.writes.page_of_task.get(task as usize).is_none_or(|at| *at == 0);
                 if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
                     self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
                     touched.push((id, task));
@@ -383,7 +385,7 @@
     /// proof as any other.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
-            for list in job.live.values().filter(|l| l.len() > 1) {
+            for list in job.tasks.placements.values().filter(|l| l.len() > 1) {
                 let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
                 for l in list.iter().filter(|l| l.attempt < latest) {
                     let placements = self.fleet.machines.get_mut(&l.machine).map(|m| &mut m.placements);
@@ -406,7 +408,7 @@
 
     fn apply_job_record(&mut self, ctx: &mut Context, path: &str, v: Value, version: Revision) {
         let id = &path[keys::JOBS.len().min(path.len())..];
-        if self.watch.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(|j| j.version > version) {
+        if self.watch.ended_jobs.contains_key(id) || self.jobs.get(id).is_some_and(|j| j.record.version > version) {
             return;
         }
         let Some(rec) = StoredJob::read(v) else {
@@ -416,9 +418,9 @@
         let (cancelled, _) = rec.cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
             self.scheduler.pass_wanted = true;
-            job.version = version;
-            job.stale = false;
-            job.has_cancellation_key = match &rec {
+            job.record.version = version;
+            job.record.stale = false;
+            job.record.has_cancellation_key = match &rec {
                 StoredJob::Whole(r) => r.k,
                 StoredJob::SplitSubmission(r) => r.k,
             };
@@ -440,7 +442,7 @@
 
     /// A job that was not known has come.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
-        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.version >= version) {
+        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.record.version >= version) {
             return;
         }
         self.scheduler.pass_wanted = true;
@@ -463,8 +465,8 @@
     /// A job that may run has come: as much may come again.
     pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
         let Some(j) = self.jobs.get(id) else { return };
-        let rec = JobRecord { s: j.spec.clone(), at: j.at, x: false, k: false };
-        self.autoscaler.arrivals.push_back((now, Job::new(rec, j.version)));
+        let rec = JobRecord { s: j.spec.clone(), at: j.accepted_at, x: false, k: false };
+        self.autoscaler.arrivals.push_back((now, Job::new(rec, j.record.version)));
         if self.autoscaler.arrivals.len() > ARRIVALS {
             self.autoscaler.arrivals.pop_front();
         }
@@ -475,7 +477,7 @@
     pub(crate) fn stop_cancelled_job(&mut self, ctx: &mut Context, job: &str) {
         let Some(j) = self.jobs.get_mut(job).filter(|j| !j.cancelled && !j.is_blocked()) else { return };
         // Nothing more is placed before it has been read.
-        j.stale = true;
+        j.record.stale = true;
         let id = j.id.clone();
         self.stop_job(ctx, &id);
         if self.active {
@@ -537,7 +539,7 @@
                         Change { drop: Some(path), version, .. } => {
                             let id = path[keys::JOBS.len().min(path.len())..].to_string();
                             self.store.parts_being_read.retain(|job, read| **job != *id || *read > version);
-                            if self.jobs.get(id.as_str()).is_some_and(|j| j.version < version) {
+                            if self.jobs.get(id.as_str()).is_some_and(|j| j.record.version < version) {
                                 self.apply_job_removal(ctx, &id);
                             }
                         }
@@ -680,7 +682,7 @@
 
     /// Token for a machine.
     pub(crate) fn token(&self, m: &Machine) -> FencingToken {
-        FencingToken::new(self.epoch, m.token_counter)
+        FencingToken::new(self.epoch, m.agent.token_counter)
     }
 
     pub(crate) fn new_machine(
@@ -695,7 +697,8 @@
         let resources =
             ctx.catalog.as_ref().and_then(|c| c.machine_type(machine_type)).map(|f| f.resources()).unwrap_or_default();
         let (machine_type, zone) = (machine_type.to_string(), zone.to_string());
-        Machine { machine_type, zone, spot, owned, resources, ..Machine::new(id.clone(), ctx.now) }
+        let capacity = Capacity { total: resources, used: Resources::default() };
+        Machine { machine_type, zone, spot, owned, capacity, ..Machine::new(id.clone(), ctx.now) }
     }
 
     /// Puts a placement on a machine and counts it everywhere.
@@ -706,9 +709,9 @@
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         self.fleet.machines.take_room(machine, &p.need);
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let list = job.live.entry(p.task).or_default();
-        if list.is_empty() && !job.done.get(p.task) {
-            job.placed += 1;
+        let list = job.tasks.placements.entry(p.task).or_default();
+        if list.is_empty() && !job.tasks.done.get(p.task) {
+            job.tasks.placed_count += 1;
         }
         list.push(TaskPlacement {
             machine: machine.clone(),
@@ -717,7 +720,7 @@
             agent_epoch: p.agent_epoch,
             planned: p.stage == PlacementState::Planned,
         });
-        *job.zones.entry(m.zone.clone()).or_default() += 1;
+        *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
         self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
         let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
         usage_by_class.all += 1;
@@ -737,26 +740,26 @@
         let at = m.placements.iter().position(|p| p.placement_id == placement_id)?;
         let p = m.placements.remove(at);
         if m.placements.is_empty() {
-            m.idle_since = now;
+            m.lifecycle.idle_since = now;
         }
         self.fleet.machines.give_room(machine, &p.need);
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.pass_wanted = true;
         if let Some(job) = self.jobs.get_mut(&p.job) {
-            if let Some(list) = job.live.get_mut(&p.task) {
+            if let Some(list) = job.tasks.placements.get_mut(&p.task) {
                 list.retain(|l| l.placement_id != placement_id);
                 if list.is_empty() {
-                    job.live.remove(&p.task);
-                    job.first_free_hint = job.first_free_hint.min(p.task);
-                    if !job.done.get(p.task) {
-                        job.placed = job.placed.saturating_sub(1);
+                    job.tasks.placements.remove(&p.task);
+                    job.tasks.first_free_hint = job.tasks.first_free_hint.min(p.task);
+                    if !job.tasks.done.get(p.task) {
+                        job.tasks.placed_count = job.tasks.placed_count.saturating_sub(1);
                     }
                 }
             }
             if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
-                job.running = job.running.saturating_sub(1);
+                job.tasks.running_count = job.tasks.running_count.saturating_sub(1);
             }
-            if let Some(n) = job.zones.get_mut(&m.zone) {
+            if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
                 *n = n.saturating_sub(1);
             }
             if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
@@ -780,7 +783,8 @@
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> = job.live.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        let live: Vec<(Id, u64)> =
+            job.tasks.placements.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
         for (machine, placement_id) in live {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
@@ -801,7 +805,7 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.done_count, j.running))
+        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count, j.tasks.running_count))
     }
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
@@ -812,7 +816,7 @@
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.version, j.done_count, j.running))
+            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count, j.tasks.running_count))
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -34,7 +34,7 @@
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
         // Cancelled itself, or a task of it was placed once, which its release came before.
-        if job.cancelled || job.started {
+        if job.cancelled || job.tasks.started {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.open_dependencies.clear();
             }
@@ -61,8 +61,8 @@
                 if list.is_empty() {
                     self.scheduler.dependencies.after.remove(need);
                     if let Some(before) = self.jobs.get_mut(need) {
-                        before.inherited_deadline = None;
-                        before.priority = before.spec.priority;
+                        before.scheduling.inherited_deadline = None;
+                        before.scheduling.priority = before.spec.priority;
                     }
                 }
             }
@@ -79,7 +79,7 @@
         for w in waiting {
             let Some(job) = self.jobs.get_mut(&w) else { continue };
             job.open_dependencies.remove(id);
-            job.ready_at = job.ready_at.max(end.t);
+            job.scheduling.ready_at = job.scheduling.ready_at.max(end.t);
             if job.cancelled || job.is_blocked() {
                 continue;
             }
@@ -166,8 +166,8 @@
         let mut open: BTreeMap<Id, usize> = BTreeMap::new();
         for (id, waiting) in &self.scheduler.dependencies.after {
             let Some(job) = self.jobs.get_mut(id) else { continue };
-            job.inherited_deadline = None;
-            job.priority = job.spec.priority;
+            job.scheduling.inherited_deadline = None;
+            job.scheduling.priority = job.spec.priority;
             open.insert(id.clone(), waiting.len());
         }
         let all: BTreeSet<Id> = self.scheduler.dependencies.after.values().flatten().cloned().collect();
@@ -175,11 +175,12 @@
         while let Some(id) = last.pop() {
             let Some(job) = self.jobs.get(&id) else { continue };
             let by = job.deadline().map(|due| due.saturating_sub(self.path_ms(ctx, job)));
-            let priority = job.priority;
+            let priority = job.scheduling.priority;
             for need in job.open_dependencies.clone() {
                 if let Some(before) = self.jobs.get_mut(&need) {
-                    before.inherited_deadline = before.inherited_deadline.into_iter().chain(by).min();
-                    before.priority = before.priority.max(priority);
+                    before.scheduling.inherited_deadline =
+                        before.scheduling.inherited_deadline.into_iter().chain(by).min();
+                    before.scheduling.priority = before.scheduling.priority.max(priority);
                 }
                 if let Some(n) = open.get_mut(&need) {
                     *n -= 1;
@@ -197,7 +198,7 @@
         let mut list = vec![id.clone()];
         while let Some(id) = list.pop() {
             for w in self.scheduler.dependencies.after.get(&id).into_iter().flatten() {
-                if self.jobs.get(w).is_some_and(|j| !j.offloaded) && !found.contains(w) {
+                if self.jobs.get(w).is_some_and(|j| !j.scheduling.offloaded) && !found.contains(w) {
                     found.push(w.clone());
                     list.push(w.clone());
                 }
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -53,9 +53,9 @@
         let later: Vec<Id> = sent.iter().flat_map(|id| self.dependents_of(id)).collect();
         for id in sent.into_iter().chain(later) {
             if let Some(j) = self.jobs.get_mut(&id)
-                && !j.offloaded
+                && !j.scheduling.offloaded
             {
-                j.offloaded = true;
+                j.scheduling.offloaded = true;
                 ctx.emit(Event::JobOffloaded { job: id.clone() });
             }
         }
@@ -68,7 +68,7 @@
             .fleet
             .machines
             .with_cores(need.cores)
-            .filter(|m| m.owned && m.last_heard.is_some())
+            .filter(|m| m.owned && m.agent.last_heard.is_some())
             .map(|m| m.free().times(need, 100_000))
             .sum();
         free + self.scheduler.usage_by_class.get(stage).map_or(0, |h| h.owned)
--- a/crates/core/src/leader/scheduler/placement.rs
+++ b/crates/core/src/leader/scheduler/placement.rs
@@ -109,8 +109,8 @@
     /// How many further tasks of the job may be in this zone. Those of which the zone is not known
     /// yet count everywhere.
     pub(crate) fn zone_room(job: &Job, zone: &str) -> u32 {
-        let at = |z: &str| job.zones.get(z).copied().unwrap_or(0);
-        if job.spec.single_zone && job.zones.iter().any(|(z, &n)| n > 0 && z != zone) {
+        let at = |z: &str| job.tasks.by_zone.get(z).copied().unwrap_or(0);
+        if job.spec.single_zone && job.tasks.by_zone.iter().any(|(z, &n)| n > 0 && z != zone) {
             return 0;
         }
         job.zone_cap().saturating_sub(at(zone)).saturating_sub(at(""))
@@ -142,9 +142,9 @@
             let mut most = job.waiting().min(self.team_room(ctx, job));
             // A job that has only failed is tried with one task at a time, and so is one that waited
             // for very long: others go on behind it.
-            let only_failed = job.failures >= 3 && job.done_count == 0 && !job.is_service();
+            let only_failed = job.failures.count >= 3 && job.tasks.done_count == 0 && !job.is_service();
             if only_failed {
-                most = most.min(u32::from(job.live.is_empty()));
+                most = most.min(u32::from(job.tasks.placements.is_empty()));
             }
             if most == 0 {
                 continue;
@@ -155,13 +155,13 @@
             let seats = if known_full { Vec::new() } else { self.seats(ctx, job, most, search) };
             let free_choice = !job.spec.single_zone && !job.spec.spread_zones;
             // A job that keeps off machines where it failed says nothing about those.
-            let unrestricted = free_choice && job.failed_on.is_empty();
+            let unrestricted = free_choice && job.failures.machines.is_empty();
             if !known_full && unrestricted && (seats.len() as u32) < most {
                 full.push(Demand::of(job));
             }
             let (hasty, image) = (self.hasty(ctx, job), job.image);
             let due = self.scheduler.guaranteed.contains(&id);
-            let may_stop = due || job.priority > Priority::Normal;
+            let may_stop = due || job.scheduling.priority > Priority::Normal;
             let attempt = self.next_attempt();
             let mut seats = seats.into_iter();
             let mut from = 0;
@@ -174,7 +174,7 @@
                 };
                 let mut machine = seats.find(fits);
                 // Room without the image is as good as none where starts are to be quicker than a fetch.
-                let fetches = |m: &Machine| !m.has_image(image);
+                let fetches = |m: &Machine| !m.images.contains(image);
                 let poor = hasty && machine.as_ref().and_then(|l| self.fleet.machines.get(l)).is_some_and(fetches);
                 if (machine.is_none() || poor) && stops > 0 && may_stop {
                     // Whether there is something to stop or not: looking takes its time.
@@ -201,9 +201,9 @@
     /// Puts a plan for a task on a machine; nothing leaves before it is committed.
     fn plan(&mut self, now: u64, id: &Id, task: u32, machine: &Id, attempt: Attempt) -> u64 {
         let placement_id = self.next_placement_id();
-        let Some(agent_epoch) = self.fleet.machines.get(machine).map(|m| m.agent_epoch) else { return placement_id };
+        let Some(agent_epoch) = self.fleet.machines.get(machine).map(|m| m.agent.epoch) else { return placement_id };
         if let Some(job) = self.jobs.get_mut(id) {
-            job.first_free_hint = job.first_free_hint.max(task);
+            job.tasks.first_free_hint = job.tasks.first_free_hint.max(task);
             let p = Placement {
                 job: id.clone(),
                 task,
@@ -230,7 +230,7 @@
         let now = ctx.now.monotonic_ms;
         // Its tasks share an attempt, by which they find each other; so a gang that lost a task
         // starts anew when all have ended.
-        let Some(job) = self.jobs.get(id).filter(|j| j.live.is_empty()) else { return };
+        let Some(job) = self.jobs.get(id).filter(|j| j.tasks.placements.is_empty()) else { return };
         let most = job.waiting();
         if self.team_room(ctx, job) < most {
             return;
@@ -274,10 +274,11 @@
         let cap = shaleshunt_wire::MAX_BODY / 128;
         let apart = job.is_service() || job.spec.spread_zones;
         let hasty = self.hasty(ctx, job);
-        let spot = job.spec.spot && (job.offloaded || self.estimate(job) < self.scheduler.spot_estimate_limit);
+        let spot =
+            job.spec.spot && (job.scheduling.offloaded || self.estimate(job) < self.scheduler.spot_estimate_limit);
         // What more urgent work may stop is spread out, so that such work finds room beside it on a
         // machine that holds its image.
-        let yielding = job.priority <= Priority::Normal && !hasty && !job.is_gang();
+        let yielding = job.scheduling.priority <= Priority::Normal && !hasty && !job.is_gang();
         let mut seats: Vec<Seat> = Vec::new();
         let cores = job.need.cores;
         let machines: Box<dyn Iterator<Item = &Machine>> = match (search.most_seats < usize::MAX, yielding) {
@@ -295,16 +296,16 @@
                 continue;
             }
             if !Self::allows(job, &m.machine_type, &m.zone, m.spot)
-                || job.failed_on.len() < 3 && job.failed_on.contains(&m.id)
-                || m.quarantine_count > 0 && !m.placements.is_empty()
-                || m.slow_until > now && !job.is_service()
+                || job.failures.machines.len() < 3 && job.failures.machines.contains(&m.id)
+                || m.health.quarantine_count > 0 && !m.placements.is_empty()
+                || m.health.slow_until > now && !job.is_service()
                 || zone.is_some_and(|z| z != m.zone)
                 || Self::zone_room(job, &m.zone) == 0
             {
                 continue;
             }
             let coming = || m.placements.iter().any(|p| p.running.is_none() && p.image == job.image);
-            let image = if m.has_image(job.image) {
+            let image = if m.images.contains(job.image) {
                 0
             } else if coming() {
                 1
@@ -315,12 +316,13 @@
             // those that may be taken.
             let kind = u8::from(m.spot != spot);
             let preference = if hasty { (image, kind) } else { (kind, u8::from(image > 0)) };
-            let times = if m.quarantine_count > 0 { 1 } else { m.free().times(&job.need, i64::from(most)) as u32 };
+            let times =
+                if m.health.quarantine_count > 0 { 1 } else { m.free().times(&job.need, i64::from(most)) as u32 };
             let times = times.min((cap - m.placements.len()) as u32);
             let mates = if apart { m.placements.iter().filter(|p| p.job == job.id).count() } else { 0 };
             let free = if yielding { -m.free().cores } else { m.free().cores };
             seats.push(Seat {
-                fit: Fit { sick: m.quarantine_count > 0, preference, rented: !m.owned, free },
+                fit: Fit { sick: m.health.quarantine_count > 0, preference, rented: !m.owned, free },
                 machine: m,
                 times,
                 mates,
@@ -332,12 +334,12 @@
             // Zones and machines are looked at anew for each task.
             let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
             for s in &seats {
-                let there = job.zones.get(&s.machine.zone).copied().unwrap_or(0);
+                let there = job.tasks.by_zone.get(&s.machine.zone).copied().unwrap_or(0);
                 zones.entry(&s.machine.zone).or_insert(there);
             }
             while (found.len() as u32) < most {
                 let caps = |zone: &str| {
-                    let more = zones[zone] - job.zones.get(zone).copied().unwrap_or(0);
+                    let more = zones[zone] - job.tasks.by_zone.get(zone).copied().unwrap_or(0);
                     more < Self::zone_room(job, zone)
                 };
                 let best = seats.iter_mut().filter(|s| s.times > 0 && caps(&s.machine.zone)).min_by_key(|s| {
@@ -365,7 +367,7 @@
         // cut. Where it has tasks already, else where most of it finds room.
         let mut zones: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
         for s in &seats {
-            let there = job.zones.get(&s.machine.zone).copied().unwrap_or(0);
+            let there = job.tasks.by_zone.get(&s.machine.zone).copied().unwrap_or(0);
             let resources = zones.entry(&s.machine.zone).or_insert((there, 0));
             resources.1 += s.times;
         }
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -24,8 +24,8 @@
         let yields = |other: &Id| {
             let Some(j) = self.jobs.get(other) else { return false };
             let back = due && j.spec.team != job.spec.team && !guaranteed.contains(&j.id) && borrows(&j.spec.team);
-            let back = back && j.priority <= job.priority && !j.is_service();
-            j.spec.checkpoint_interval_s <= 0.0 && (j.priority < job.priority || back)
+            let back = back && j.scheduling.priority <= job.scheduling.priority && !j.is_service();
+            j.spec.checkpoint_interval_s <= 0.0 && (j.scheduling.priority < job.scheduling.priority || back)
         };
         // A job has tasks on many of these machines.
         let mut known: HashMap<&str, bool> = HashMap::new();
@@ -40,12 +40,12 @@
             }
             last = Some(id);
             if !m.is_schedulable(now, &ctx.settings)
-                || m.slow_until > now && !job.is_service()
-                || m.quarantine_count > 0
+                || m.health.slow_until > now && !job.is_service()
+                || m.health.quarantine_count > 0
                 || !Self::allows(job, &m.machine_type, &m.zone, m.spot)
                 || !Self::zone_fits(job, &m.zone)
-                || !m.resources.fits(&job.need)
-                || with_image && !m.has_image(job.image)
+                || !m.capacity.total.fits(&job.need)
+                || with_image && !m.images.contains(job.image)
             {
                 continue;
             }
@@ -73,7 +73,7 @@
                 list.push(p.placement_id);
             }
             // A fetch would cost the start more than it saves.
-            let rank = (!m.has_image(job.image), lost);
+            let rank = (!m.images.contains(job.image), lost);
             // In place of a mere fetch, not more than a few times what the fetch takes is thrown away.
             if with_image && !job.is_service() && lost as f64 > self.image_fetch_s(ctx, job) * 2000.0 {
                 continue;
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -43,19 +43,20 @@
         let mut list: Vec<(Rank, &Id)> = self
             .jobs
             .values()
-            .filter(|j| !j.cancelled && !j.stale && j.waiting() > 0 && now >= j.not_before)
+            .filter(|j| !j.cancelled && !j.record.stale && j.waiting() > 0 && now >= j.scheduling.not_before)
             .map(|j| {
                 let without_deadline = j.deadline().is_none();
-                let age = if j.started { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.ready_at) as f64 };
+                let age =
+                    if j.tasks.started { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.scheduling.ready_at) as f64 };
                 let rank = Rank {
-                    first: Reverse(age > begin * 0.75 && j.placed == 0),
-                    priority: Reverse(j.priority),
+                    first: Reverse(age > begin * 0.75 && j.tasks.placed_count == 0),
+                    priority: Reverse(j.scheduling.priority),
                     aged: Reverse(age > begin * 0.5),
                     guaranteed: Reverse(self.scheduler.guaranteed.contains(&j.id)),
                     yields: self.scheduler.deprioritized.get(&j.id).copied().unwrap_or(0),
                     without_deadline,
                     estimate_ms: if without_deadline { 0 } else { (self.estimate(j) * 1000.0) as u64 },
-                    ready_at: j.ready_at,
+                    ready_at: j.scheduling.ready_at,
                 };
                 (rank, &j.id)
             })
@@ -70,15 +71,15 @@
         let now = ctx.now.monotonic_ms;
         if now >= self.scheduler.non_spot_cores.0 {
             let safe = self.fleet.machines.values().filter(|m| !m.spot && m.answers(now, &ctx.settings));
-            let cores = safe.map(|m| m.resources.cores).sum();
+            let cores = safe.map(|m| m.capacity.total.cores).sum();
             ctx.work.examined(self.fleet.machines.len());
             self.scheduler.non_spot_cores = (now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64, cores);
         }
         let mut left = self.scheduler.non_spot_cores.1;
         let mut may_move = Vec::new();
         for j in self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()) {
-            let cores = j.need.cores * i64::from(j.spec.tasks - j.done_count.min(j.spec.tasks));
-            if j.spec.spot && !j.offloaded {
+            let cores = j.need.cores * i64::from(j.spec.tasks - j.tasks.done_count.min(j.spec.tasks));
+            if j.spec.spot && !j.scheduling.offloaded {
                 may_move.push((self.estimate(j), cores));
             } else if !j.spec.spot {
                 left -= cores;
@@ -98,7 +99,7 @@
     fn yielding(&self, ctx: &Context) -> BTreeMap<Id, u8> {
         let now = ctx.now.monotonic_ms;
         let mut stages: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
-        let open = |j: &&Job| !j.cancelled && !j.stale && now >= j.not_before && j.waiting() > 0;
+        let open = |j: &&Job| !j.cancelled && !j.record.stale && now >= j.scheduling.not_before && j.waiting() > 0;
         for j in self.jobs.values().filter(open).filter(|j| !j.is_service() && j.deadline().is_none()) {
             stages.entry(&j.spec.class).or_default().push(j);
         }
@@ -112,7 +113,7 @@
     /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
     fn guaranteed(&self, ctx: &Context) -> BTreeSet<Id> {
         let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()).collect();
-        by_age.sort_by_key(|j| (j.ready_at, &j.id));
+        by_age.sort_by_key(|j| (j.scheduling.ready_at, &j.id));
         let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
         let mut fits = BTreeSet::new();
         for j in by_age {
@@ -145,7 +146,7 @@
                     list.sort_by(f64::total_cmp);
                     list.get(usize::from(level)).copied()
                 };
-                let age = (ctx.now.wall_ms as f64 - j.ready_at as f64) / 1000.0;
+                let age = (ctx.now.wall_ms as f64 - j.scheduling.ready_at as f64) / 1000.0;
                 let estimate = self.estimate(j);
                 // An aim on starts leaves the last task's own run time on top. One that is shorter
                 // than a fetch or a round says nothing about the order.
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -190,7 +190,7 @@
         if self.jobs.insert(job.id.clone()) {
             let path = format!("{}{}", keys::JOBS, job.id);
             self.bytes += path.len() + 40;
-            self.transaction.conditions.push(Condition { path, version: job.version });
+            self.transaction.conditions.push(Condition { path, version: job.record.version });
         }
     }
     /// A key that only the leader writes and that shows whether this was carried out.
@@ -325,12 +325,12 @@
                 break;
             }
             refused += 1;
-            let open = self.jobs.get(&key.2).is_some_and(|j| !j.stale && !j.has_ended());
+            let open = self.jobs.get(&key.2).is_some_and(|j| !j.record.stale && !j.has_ended());
             if !open || self.collect_facts(ctx, f, &key.2) {
                 refused -= 1;
                 self.store.urgent_writes.remove(&key);
                 if let Some(job) = self.jobs.get_mut(&key.2) {
-                    job.urgent_writes = false;
+                    job.writes.urgent = false;
                 }
             }
         }
@@ -377,7 +377,7 @@
             }
             self.store.deferred_writes.pop_first();
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.deferred_write_queued = false;
+                job.writes.deferred = false;
             }
         }
         self.collect_pages(f);
@@ -415,7 +415,7 @@
                 f.scale_outs.push(name.clone());
                 h.writing = true;
             } else if let Some(machines) = &h.answer
-                && machines.iter().all(|id| self.fleet.machines.get(id).is_none_or(|m| m.recorded))
+                && machines.iter().all(|id| self.fleet.machines.get(id).is_none_or(|m| m.record.committed))
             {
                 f.transaction.drop_key(key, h.version);
                 f.hires_dropped.push(name.clone());
@@ -427,7 +427,7 @@
     /// Puts a machine into a block of its zone.
     pub(crate) fn join_block(&mut self, ctx: &Context, id: &Id) {
         let Some(m) = self.fleet.machines.get_mut(id) else { return };
-        if m.block.is_some() {
+        if m.record.block.is_some() {
             return;
         }
         let most = ctx.limits.block_machines();
@@ -438,7 +438,7 @@
         let block = self.store.blocks.entry(n).or_default();
         (block.zone, block.owned) = (m.zone.clone(), m.owned);
         block.machines.insert(id.clone());
-        m.block = Some(n);
+        m.record.block = Some(n);
         self.store.dirty_blocks.insert(n);
     }
 
@@ -450,10 +450,10 @@
         for id in &b.machines {
             let Some(m) = self.fleet.machines.get(id) else { continue };
             let mut images = Vec::new();
-            for (image, gb) in &m.images {
-                let at = *index.entry(*image).or_insert_with(|| {
-                    let name = self.fleet.image_names.get(*image as usize).cloned().unwrap_or_default();
-                    rec.i.push((name, *gb));
+            for cached in m.images.iter() {
+                let at = *index.entry(cached.image).or_insert_with(|| {
+                    let name = self.fleet.image_names.get(cached.image as usize).cloned().unwrap_or_default();
+                    rec.i.push((name, cached.size_gb));
                     rec.i.len() as u32 - 1
                 });
                 images.push(at);
@@ -462,8 +462,8 @@
                 f: m.machine_type.clone(),
                 b: m.spot,
                 o: m.owned,
-                e: m.endpoint.clone(),
-                s: m.agent_epoch,
+                e: m.agent.endpoint.clone(),
+                s: m.agent.epoch,
                 t: m.rented_at,
                 i: images,
             };
@@ -559,10 +559,10 @@
         let mut given = BTreeSet::new();
         for id in &rest {
             if let Some(m) = self.fleet.machines.get_mut(id) {
-                m.block = None;
+                m.record.block = None;
             }
             self.join_block(ctx, id);
-            given.extend(self.fleet.machines.get(id).and_then(|m| m.block));
+            given.extend(self.fleet.machines.get(id).and_then(|m| m.record.block));
         }
         if let Some(b) = self.store.blocks.get_mut(&n) {
             b.after.extend(given);
@@ -586,24 +586,24 @@
     /// placement of it has been proven gone.
     fn collect_job_end(&mut self, ctx: &Context, f: &mut InFlightTransaction, id: &Id) -> bool {
         // One that is stale comes back when its record has been read again.
-        let Some(job) = self.jobs.get(id).filter(|j| !j.stale && j.has_ended()) else { return true };
+        let Some(job) = self.jobs.get(id).filter(|j| !j.record.stale && j.has_ended()) else { return true };
         if f.finals.contains(id) {
             return true;
         }
-        if !f.has_space_for(2 + usize::from(job.has_cancellation_key), 3, 400 + f.drafted()) {
+        if !f.has_space_for(2 + usize::from(job.record.has_cancellation_key), 3, 400 + f.drafted()) {
             return false;
         }
         let path = format!("{}{id}", keys::JOBS);
         if f.transaction.jobs.insert(id.clone()) {
-            f.transaction.drop_key(path, job.version);
+            f.transaction.drop_key(path, job.record.version);
         } else {
             f.transaction.transaction.writes.push(Write::drop_key(path));
         }
         let rec = FinalRecord { x: job.cancelled, n: job.spec.tasks, t: ctx.now.wall_ms };
         f.transaction.set(format!("{}{id}", keys::FINAL_RECORDS), Revision::ABSENT, json!(rec), 50);
-        if job.has_cancellation_key {
+        if job.record.has_cancellation_key {
             // Written with the job's record, so of the same revision.
-            f.transaction.drop_key(format!("{}{id}", keys::CANCELLED), job.version);
+            f.transaction.drop_key(format!("{}{id}", keys::CANCELLED), job.record.version);
         }
         f.finals.push(id.clone());
         true
@@ -752,8 +752,11 @@
             let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { continue };
             p.stage = PlacementState::Committed;
             if let Some(job) = self.jobs.get_mut(&p.job)
-                && let Some(l) =
-                    job.live.get_mut(&p.task).and_then(|l| l.iter_mut().find(|l| l.placement_id == placement_id))
+                && let Some(l) = job
+                    .tasks
+                    .placements
+                    .get_mut(&p.task)
+                    .and_then(|l| l.iter_mut().find(|l| l.placement_id == placement_id))
             {
                 l.planned = false;
             }
@@ -786,8 +789,8 @@
             }
             for id in members {
                 if let Some(m) = self.fleet.machines.get_mut(&id) {
-                    self.scheduler.pass_wanted |= !m.recorded;
-                    m.recorded = true;
+                    self.scheduler.pass_wanted |= !m.record.committed;
+                    m.record.committed = true;
                 }
             }
         }
@@ -813,7 +816,7 @@
         let stale: Vec<Id> = failed.iter().map(|k| Id::from(&k[keys::JOBS.len()..])).collect();
         for id in &stale {
             if let Some(job) = self.jobs.get_mut(id) {
-                job.stale = true;
+                job.record.stale = true;
                 self.refresh(ctx, id.clone());
             }
         }
@@ -833,7 +836,7 @@
         }
         for n in f.noted {
             if let Some(job) = self.jobs.get_mut(&n.job) {
-                job.urgent_writes = true;
+                job.writes.urgent = true;
             }
             self.queue_write(now, &n.job);
         }
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -127,18 +127,18 @@
 impl PendingFacts {
     /// Of the first of a job's tasks of which something is to be written.
     fn new(job: &Job, tasks: usize) -> PendingFacts {
-        let taken: BTreeMap<u32, u64> = job.pending.iter().take(tasks).map(|(p, n)| (*p, *n)).collect();
+        let taken: BTreeMap<u32, u64> = job.writes.tasks.iter().take(tasks).map(|(p, n)| (*p, *n)).collect();
         let mut done = TaskFact::new(&job.id);
         done.d = true;
         let mut free = TaskFact::new(&job.id);
         let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
         let mut plans = Vec::new();
         for task in taken.keys() {
-            if job.done.get(*task) {
+            if job.tasks.done.get(*task) {
                 done.push(*task);
                 continue;
             }
-            match job.live.get(task) {
+            match job.tasks.placements.get(task) {
                 Some(list) => {
                     for l in list {
                         let key = (&l.machine, l.agent_epoch, l.attempt);
@@ -171,8 +171,8 @@
         self.store.change_counter += 1;
         let change_counter = self.store.change_counter;
         if let Some(job) = self.jobs.get_mut(id) {
-            job.pending.insert(task, change_counter);
-            job.urgent_writes |= urgent_writes;
+            job.writes.tasks.insert(task, change_counter);
+            job.writes.urgent |= urgent_writes;
             self.queue_write(now, id);
         }
     }
@@ -181,14 +181,14 @@
     pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         if job.has_ended() {
-            let since = *job.ended_at.get_or_insert(now);
+            let since = *job.writes.ended_at.get_or_insert(now);
             // What is cancelled with another is known to be so from that one's record meanwhile.
-            self.store.job_ends.insert((job.cancelled && !job.has_cancellation_key, since, id.clone()));
-        } else if job.urgent_writes {
-            self.store.urgent_writes.insert((Reverse(job.priority), job.at, id.clone()));
+            self.store.job_ends.insert((job.cancelled && !job.record.has_cancellation_key, since, id.clone()));
+        } else if job.writes.urgent {
+            self.store.urgent_writes.insert((Reverse(job.scheduling.priority), job.accepted_at, id.clone()));
         }
-        if !job.pending.is_empty() && !job.deferred_write_queued {
-            job.deferred_write_queued = true;
+        if !job.writes.tasks.is_empty() && !job.writes.deferred {
+            job.writes.deferred = true;
             self.store.deferred_writes.insert((now, id.clone()));
         }
     }
@@ -200,7 +200,7 @@
         let mut tasks = MOST_TASKS.min((most / RUN_BYTES).max(1));
         loop {
             let Some(job) = self.jobs.get(id) else { return true };
-            if job.pending.is_empty() {
+            if job.writes.tasks.is_empty() {
                 return true;
             }
             let PendingFacts { facts, plans, taken } = PendingFacts::new(job, tasks);
@@ -210,7 +210,7 @@
                 if !plans.is_empty() {
                     f.require_job_version(job);
                 }
-                let all = taken.len() == job.pending.len();
+                let all = taken.len() == job.writes.tasks.len();
                 self.draft(f, most, id, facts, &taken);
                 f.plans.extend(plans);
                 return all;
@@ -319,7 +319,9 @@
         let jobs: Vec<Id> = self.store.pages.all.get(&n).map(|p| p.jobs.keys().cloned().collect()).unwrap_or_default();
         for id in jobs {
             let tasks: Vec<u32> = match self.jobs.get(&id) {
-                Some(j) => (0..).zip(&j.facts).filter(|(_, at)| **at == n).map(|(task, _)| task).collect(),
+                Some(j) => {
+                    (0..).zip(&j.writes.page_of_task).filter(|(_, at)| **at == n).map(|(task, _)| task).collect()
+                }
                 None => continue,
             };
             for task in tasks {
@@ -347,14 +349,14 @@
         }
         for n in noted {
             let Some(job) = self.jobs.get_mut(&n.job) else { continue };
-            if job.facts.is_empty() {
-                job.facts = vec![0; job.spec.tasks as usize];
+            if job.writes.page_of_task.is_empty() {
+                job.writes.page_of_task = vec![0; job.spec.tasks as usize];
             }
             for (task, touched) in n.tasks {
-                if job.pending.get(&task) == Some(&touched) {
-                    job.pending.remove(&task);
+                if job.writes.tasks.get(&task) == Some(&touched) {
+                    job.writes.tasks.remove(&task);
                 }
-                let Some(at) = job.facts.get_mut(task as usize) else { continue };
+                let Some(at) = job.writes.page_of_task.get_mut(task as usize) else { continue };
                 let old = std::mem::replace(at, n.page);
                 self.store.pages.count(old, &n.job, -1);
                 self.store.pages.count(n.page, &n.job, 1);
@@ -367,7 +369,7 @@
 
     /// A job is over: what pages say of it counts no more.
     pub(crate) fn drop_facts(&mut self, job: &Job) {
-        let on: BTreeSet<u32> = job.facts.iter().copied().filter(|p| *p > 0).collect();
+        let on: BTreeSet<u32> = job.writes.page_of_task.iter().copied().filter(|p| *p > 0).collect();
         for n in on {
             if let Some(p) = self.store.pages.all.get_mut(&n)
                 && let Some(count) = p.jobs.remove(&job.id)
@@ -395,7 +397,7 @@
                 for (from, len) in fact.n {
                     for task in from..from.saturating_add(len).min(job.spec.tasks) {
                         if fact.d {
-                            job.done.insert(task);
+                            job.tasks.done.insert(task);
                         }
                         facts.insert(task, (number, place.clone()));
                     }
@@ -404,11 +406,11 @@
         }
         for (id, facts) in last {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.done_count = job.done.count();
-                job.started = true;
-                job.facts = vec![0; job.spec.tasks as usize];
+                job.tasks.done_count = job.tasks.done.count();
+                job.tasks.started = true;
+                job.writes.page_of_task = vec![0; job.spec.tasks as usize];
                 for (task, (number, _)) in &facts {
-                    job.facts[*task as usize] = *number;
+                    job.writes.page_of_task[*task as usize] = *number;
                 }
             }
             for (task, (number, place)) in facts {
--- /dev/null
+++ b/crates/core/src/model/job.rs
@@ -0,0 +1,243 @@
+//! An unfinished job: what was submitted, how far its tasks are, what is to be written about it.
+
+use super::{Id, JobRecord, TaskPlacement, TaskSet};
+use shaleshunt_wire::user::{JobKind, Priority, Submission};
+use shaleshunt_wire::{Resources, Revision};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// An unfinished job.
+#[derive(Debug)]
+pub struct Job {
+    /// Name.
+    pub id: Id,
+    /// What was submitted, without its dependencies.
+    pub spec: Submission,
+    /// Room that a task takes.
+    pub need: Resources,
+    /// Number of its image.
+    pub image: u32,
+    /// When it was accepted (ms, time of day).
+    pub accepted_at: u64,
+    /// It has been cancelled.
+    pub cancelled: bool,
+    /// Jobs that it depends on and of which no committed outcome is known to be done. While there is
+    /// one, no task of it may be placed.
+    pub open_dependencies: BTreeSet<Id>,
+    /// Its record in the state service.
+    pub record: JobRecordState,
+    /// How far its tasks are.
+    pub tasks: TaskProgress,
+    /// What is to be written about it.
+    pub writes: PendingWrites,
+    /// What decides its place in the queue.
+    pub scheduling: SchedulingState,
+    /// What failed.
+    pub failures: JobFailures,
+}
+
+/// What is known of a job's record in the state service.
+#[derive(Debug)]
+pub struct JobRecordState {
+    /// Version of the record.
+    pub version: Revision,
+    /// The cancellation has a key of its own, written with the record.
+    pub has_cancellation_key: bool,
+    /// The record changed and has not been read again: nothing may be placed.
+    pub stale: bool,
+}
+
+/// How far a job's tasks are.
+#[derive(Debug)]
+pub struct TaskProgress {
+    /// Tasks done, committed or not.
+    pub done: TaskSet,
+    /// How many are done.
+    pub done_count: u32,
+    /// Placements by task; a task without any has no entry.
+    pub placements: BTreeMap<u32, Vec<TaskPlacement>>,
+    /// Tasks that are placed and not done.
+    pub placed_count: u32,
+    /// Tasks that run or save a checkpoint.
+    pub running_count: u32,
+    /// A task has started at some time.
+    pub started: bool,
+    /// No task below this one is free.
+    pub first_free_hint: u32,
+    /// Placements by zone.
+    pub by_zone: BTreeMap<String, u32>,
+    /// How long the tasks that ended ran.
+    pub run_times: RunTimes,
+}
+
+/// How long tasks of a job ran that have ended.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct RunTimes {
+    /// Number of tasks.
+    pub tasks: u32,
+    /// Their run times together, in ms.
+    pub total_ms: u64,
+}
+
+impl RunTimes {
+    /// Adds a task that ran for so many ms.
+    pub fn add(&mut self, ran_ms: u64) {
+        self.tasks += 1;
+        self.total_ms += ran_ms;
+    }
+
+    /// Mean run time in ms, once so many tasks are counted.
+    pub fn mean_ms(&self, least_tasks: u32) -> Option<f64> {
+        (self.tasks >= least_tasks).then(|| self.total_ms as f64 / f64::from(self.tasks))
+    }
+}
+
+/// What waits to be written about a job.
+#[derive(Debug, Default)]
+pub struct PendingWrites {
+    /// Tasks with an unwritten fact, and how new that fact is.
+    pub tasks: BTreeMap<u32, u64>,
+    /// A new placement is among them, which nothing may follow before it is committed.
+    pub urgent: bool,
+    /// Since when its end waits to be written.
+    pub ended_at: Option<u64>,
+    /// It is among the jobs whose outcomes wait to be written.
+    pub deferred: bool,
+    /// By task, the page with the last fact about it, 0 for none; empty before the first.
+    pub page_of_task: Vec<u32>,
+}
+
+/// What decides a job's place in the queue.
+#[derive(Debug)]
+pub struct SchedulingState {
+    /// Nothing is placed before this time.
+    pub not_before: u64,
+    /// Its tasks go to rented machines.
+    pub offloaded: bool,
+    /// When its last dependency was done, or else when it was accepted: all times but the deadline
+    /// count from here.
+    pub ready_at: u64,
+    /// When it has to be done for the sake of jobs that depend on it.
+    pub inherited_deadline: Option<u64>,
+    /// Its priority, or that of a job that depends on it if that is higher.
+    pub priority: Priority,
+}
+
+/// Failures of a job's tasks.
+#[derive(Debug, Default)]
+pub struct JobFailures {
+    /// How many since a task last succeeded.
+    pub count: u32,
+    /// Machines on which tasks failed at any time.
+    pub machines: BTreeSet<Id>,
+}
+
+impl Job {
+    /// A job from its record.
+    pub fn new(mut rec: JobRecord, version: Revision) -> Job {
+        let dependencies = std::mem::take(&mut rec.s.dependencies);
+        Job {
+            id: rec.s.id.as_str().into(),
+            need: rec.s.need(),
+            image: 0,
+            accepted_at: rec.at,
+            cancelled: rec.x,
+            open_dependencies: dependencies.into_iter().map(Id::from).collect(),
+            record: JobRecordState { version, has_cancellation_key: rec.k, stale: false },
+            tasks: TaskProgress::new(rec.s.tasks),
+            writes: PendingWrites::default(),
+            scheduling: SchedulingState {
+                not_before: 0,
+                offloaded: false,
+                ready_at: rec.at,
+                inherited_deadline: None,
+                priority: rec.s.priority,
+            },
+            failures: JobFailures::default(),
+            spec: rec.s,
+        }
+    }
+
+    /// Whether it runs until cancelled.
+    pub fn is_service(&self) -> bool {
+        self.spec.kind == JobKind::Service
+    }
+
+    /// Whether its tasks run together or not at all.
+    pub fn is_gang(&self) -> bool {
+        self.spec.kind == JobKind::Gang
+    }
+
+    /// The first task that is neither done nor placed, from `from` on.
+    pub fn next_free(&self, from: u32) -> Option<u32> {
+        let first = from.max(self.tasks.first_free_hint);
+        (first..self.spec.tasks).find(|&i| !self.tasks.done.get(i) && !self.tasks.placements.contains_key(&i))
+    }
+
+    /// Whether it waits for other jobs.
+    pub fn is_blocked(&self) -> bool {
+        !self.open_dependencies.is_empty()
+    }
+
+    /// Tasks neither done nor placed that may be placed.
+    pub fn waiting(&self) -> u32 {
+        if self.is_blocked() {
+            return 0;
+        }
+        self.spec.tasks.saturating_sub(self.tasks.done_count + self.tasks.placed_count)
+    }
+
+    /// Whether all tasks are done.
+    pub fn complete(&self) -> bool {
+        !self.is_service() && self.tasks.done_count >= self.spec.tasks
+    }
+
+    /// Most tasks that may be in one zone.
+    pub fn zone_cap(&self) -> u32 {
+        if self.spec.spread_zones { self.spec.tasks.div_ceil(2) } else { u32::MAX }
+    }
+
+    /// Deadline as time of day: its own, or what the jobs that depend on it leave.
+    pub fn deadline(&self) -> Option<u64> {
+        let own = self.spec.deadline_s.map(|d| self.accepted_at + (d * 1000.0) as u64);
+        own.into_iter().chain(self.scheduling.inherited_deadline).min()
+    }
+
+    /// Notes that a task is done; false if that was known. Its placement has been released.
+    pub fn mark_done(&mut self, task: u32) -> bool {
+        task < self.spec.tasks && self.tasks.mark_done(task)
+    }
+
+    /// Whether it has ended: all tasks done, or cancelled and proven off all machines.
+    pub fn has_ended(&self) -> bool {
+        self.complete() || self.cancelled && self.tasks.placements.is_empty()
+    }
+}
+
+impl TaskProgress {
+    /// That of a job with so many tasks, none of which has begun.
+    pub fn new(tasks: u32) -> TaskProgress {
+        TaskProgress {
+            done: TaskSet::new(tasks),
+            done_count: 0,
+            placements: BTreeMap::new(),
+            placed_count: 0,
+            running_count: 0,
+            started: false,
+            first_free_hint: 0,
+            by_zone: BTreeMap::new(),
+            run_times: RunTimes::default(),
+        }
+    }
+
+    /// Notes that a task is done; false if that was known.
+    fn mark_done(&mut self, task: u32) -> bool {
+        let new = self.done.insert(task);
+        if new {
+            self.done_count += 1;
+            if self.placements.contains_key(&task) {
+                self.placed_count = self.placed_count.saturating_sub(1);
+            }
+        }
+        new
+    }
+}
