--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -103,8 +103,9 @@
                 let types = |c: &shaleshunt_wire::cloud::Catalog| {
                     c.machine_types.iter().map(|f| (f.name.clone(), f.resources(), f.zones.clone())).collect::<Vec<_>>()
                 };
-                self.store.catalog_pending |= self.store.catalog_version.is_none()
-                    || ctx.catalog.as_ref().is_none_or(|old| types(old) != types(&c));
+                if !self.store.has_catalog() || ctx.catalog.as_ref().is_none_or(|old| types(old) != types(&c)) {
+                    self.store.record_catalog();
+                }
                 self.fleet.machines.set_rooms(|machine_type| c.machine_type(machine_type).map(|f| f.resources()));
                 ctx.catalog = Some(c);
                 self.scheduler.pass_wanted = true;
@@ -167,10 +168,7 @@
         if let Some(m) = self.fleet.machines.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
             self.fleet.confirmations_in_flight -= u32::from(m.call.confirms_token);
-            if let Some(b) = m.record.block.and_then(|n| self.store.blocks.get_mut(&n)) {
-                b.machines.remove(id);
-                self.store.thinned_blocks.extend(m.record.block);
-            }
+            self.store.machine_removed(&m);
         }
         self.scheduler.pass_wanted = true;
     }
@@ -179,9 +177,7 @@
     fn set_owned(&mut self, id: &Id, owned: bool) {
         let Some(m) = self.fleet.machines.get_mut(id).filter(|m| m.owned != owned) else { return };
         m.owned = owned;
-        if let Some(n) = m.record.block {
-            self.store.dirty_blocks.insert(n);
-        }
+        self.store.machine_changed(m);
         for p in &m.placements {
             if let Some(usage_by_class) =
                 self.jobs.get(&p.job).and_then(|j| self.scheduler.usage_by_class.get_mut(&j.spec.class))
@@ -204,19 +200,7 @@
                 .map(|m| m.id.clone())
                 .collect();
             ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
-            let most = ctx.limits.value_bytes();
-            let mut parts: Vec<(usize, Vec<String>)> = vec![(0, Vec::new())];
-            for name in &owned {
-                let bytes = name.len() + 3;
-                if parts.last().is_none_or(|(used, _)| used + bytes > most) {
-                    parts.push((0, Vec::new()));
-                }
-                if let Some((used, part)) = parts.last_mut() {
-                    *used += bytes;
-                    part.push(name.clone());
-                }
-            }
-            self.store.owned_list_pending = (0..).zip(parts.into_iter().map(|(_, part)| part)).collect();
+            self.store.record_owned_machines(&owned, ctx.limits.value_bytes());
             self.autoscaler.owned = Some(owned);
         }
         self.warn_if_too_small(ctx);
--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -9,6 +9,7 @@
 use crate::io::*;
 use crate::leader::Leader;
 use crate::leader::step_down::StepDown;
+use crate::leader::store::WriteUrgency;
 use crate::model::*;
 use shaleshunt_wire::worker::*;
 use shaleshunt_wire::{Attempt, FencingToken, Resources};
@@ -247,7 +248,7 @@
                     m.health.failed_jobs.clear();
                     m.health.quarantine_count = 0;
                 }
-                self.record_change(now, &p.job, p.task, false);
+                self.record_change(now, &p.job, p.task, WriteUrgency::Deferred);
                 for id in failed_on.iter().filter(|id| *id != machine) {
                     if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&p.job)) {
                         self.quarantine(ctx, id);
--- /dev/null
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -0,0 +1,202 @@
+//! Failover: a new leader reads all records, then joins them and begins to act.
+//!
+//! `Recovery` owns the records that have been read and not yet been taken in, and the scans under way.
+//! Records of unfinished jobs are taken in at once; all else refers to jobs and waits until everything
+//! has been read. After that `Recovery` is empty and is not used again.
+
+mod restore;
+mod v0_1;
+
+use crate::controller::Context;
+use crate::io::{KvReply, KvRequest, RequestError};
+use crate::leader::step_down::StepDown;
+use crate::leader::store::SplitJobRead;
+use crate::leader::{Leader, LeaderRequest, ScaleOutState};
+use crate::records::keys;
+use shaleshunt_wire::cloud::ScaleOutRequest;
+use shaleshunt_wire::kv::{KeyValue, Page};
+
+/// A scan without an answer is tried again after this part of a heartbeat interval: after an outage
+/// all ask at once. The lease says for how long that is of use.
+const RETRIES_PER_HEARTBEAT: u64 = 60;
+
+/// Kinds of records that are read at a failover.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum RecordKind {
+    Jobs,
+    SubmissionParts,
+    TaskPages,
+    MachineBlocks,
+    ScaleOuts,
+    /// The machine types and the list of owned machines.
+    Cluster,
+    V01Outcomes,
+    V01Machines,
+}
+
+impl RecordKind {
+    /// All of them, in the order in which they are asked for.
+    const ALL: [RecordKind; 8] = [
+        RecordKind::Jobs,
+        RecordKind::SubmissionParts,
+        RecordKind::TaskPages,
+        RecordKind::MachineBlocks,
+        RecordKind::ScaleOuts,
+        RecordKind::Cluster,
+        RecordKind::V01Outcomes,
+        RecordKind::V01Machines,
+    ];
+
+    /// What their keys begin with.
+    fn prefix(self) -> &'static str {
+        match self {
+            RecordKind::Jobs => keys::JOBS,
+            RecordKind::SubmissionParts => keys::SUBMISSION_PARTS,
+            RecordKind::TaskPages => keys::TASK_PAGES,
+            RecordKind::MachineBlocks => keys::MACHINE_BLOCKS,
+            RecordKind::ScaleOuts => keys::SCALE_OUTS,
+            RecordKind::Cluster => keys::CLUSTER,
+            RecordKind::V01Outcomes => keys::V01_OUTCOMES,
+            RecordKind::V01Machines => keys::V01_MACHINES,
+        }
+    }
+}
+
+/// A page of a scan that is asked for.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct ScanPosition {
+    kind: RecordKind,
+    /// Key to begin after.
+    after: String,
+}
+
+/// A page that is asked for again at a time (ms, monotonic).
+#[derive(Debug)]
+struct ScanRetry {
+    at: u64,
+    position: ScanPosition,
+}
+
+/// Records read during a failover, until all are there.
+#[derive(Debug, Default)]
+pub(crate) struct Recovery {
+    scans_in_flight: u32,
+    retries: Vec<ScanRetry>,
+    submission_parts: Vec<KeyValue>,
+    split_records: Vec<SplitJobRead>,
+    pages: Vec<KeyValue>,
+    blocks: Vec<KeyValue>,
+    v0_1_machines: Vec<KeyValue>,
+    v0_1_outcomes: Vec<KeyValue>,
+}
+
+impl Recovery {
+    /// The record of a job was read whose submission is in parts.
+    pub(crate) fn add_split_record(&mut self, read: SplitJobRead) {
+        self.split_records.push(read);
+    }
+
+    /// The next page that is to be asked for again.
+    fn next_retry(&mut self, now: u64) -> Option<ScanPosition> {
+        let at = self.retries.iter().position(|retry| now >= retry.at)?;
+        Some(self.retries.swap_remove(at).position)
+    }
+
+    /// Whether everything has been read.
+    fn is_complete(&self) -> bool {
+        self.scans_in_flight == 0 && self.retries.is_empty()
+    }
+}
+
+impl Leader {
+    /// Begins to read all records.
+    pub(super) fn begin_recovery(&mut self, ctx: &mut Context) {
+        for kind in RecordKind::ALL {
+            self.scan(ctx, ScanPosition { kind, after: String::new() });
+        }
+    }
+
+    fn scan(&mut self, ctx: &mut Context, position: ScanPosition) {
+        self.recovery.scans_in_flight += 1;
+        let request = KvRequest::Scan { prefix: position.kind.prefix().into(), after: position.after.clone() };
+        let wait = self.wait(LeaderRequest::Load(position));
+        ctx.send_kv(request, wait);
+    }
+
+    /// Asks again for pages that were not answered.
+    pub(super) fn retry_scans(&mut self, ctx: &mut Context) {
+        while let Some(position) = self.recovery.next_retry(ctx.now.monotonic_ms) {
+            self.scan(ctx, position);
+        }
+    }
+
+    /// A page was read, or not.
+    pub(super) fn handle_scan_reply(
+        &mut self,
+        ctx: &mut Context,
+        position: ScanPosition,
+        result: Result<KvReply, RequestError>,
+    ) {
+        match result {
+            Ok(KvReply::Page(page)) => self.handle_scan_page(ctx, position.kind, page),
+            Ok(_) => self.down = Some(StepDown::Unreadable),
+            Err(_) => {
+                self.recovery.scans_in_flight -= 1;
+                let at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+                self.recovery.retries.push(ScanRetry { at, position });
+            }
+        }
+    }
+
+    fn handle_scan_page(&mut self, ctx: &mut Context, kind: RecordKind, page: Page) {
+        let last = page.pairs.last().map(|pair| pair.path.clone());
+        if kind == RecordKind::Jobs {
+            self.watch.begin_at(page.revision);
+        }
+        for pair in page.pairs {
+            self.take_in_record(ctx, kind, pair);
+        }
+        self.recovery.scans_in_flight -= 1;
+        match last {
+            Some(after) if page.truncated => self.scan(ctx, ScanPosition { kind, after }),
+            _ if self.recovery.is_complete() => self.activate(ctx),
+            _ => {}
+        }
+    }
+
+    fn take_in_record(&mut self, ctx: &mut Context, kind: RecordKind, pair: KeyValue) {
+        match kind {
+            RecordKind::Jobs => self.apply_job_record(ctx, &pair.path, pair.v, pair.version),
+            RecordKind::SubmissionParts => self.recovery.submission_parts.push(pair),
+            RecordKind::TaskPages => self.recovery.pages.push(pair),
+            RecordKind::MachineBlocks => self.recovery.blocks.push(pair),
+            RecordKind::V01Outcomes => self.recovery.v0_1_outcomes.push(pair),
+            RecordKind::V01Machines => self.recovery.v0_1_machines.push(pair),
+            RecordKind::ScaleOuts => self.restore_scale_out(pair),
+            RecordKind::Cluster if pair.path.starts_with(keys::OWNED) => self.restore_owned_list(pair),
+            RecordKind::Cluster if pair.path == keys::CATALOG => self.restore_catalog(ctx, pair),
+            RecordKind::Cluster => {}
+        }
+    }
+
+    fn restore_scale_out(&mut self, pair: KeyValue) {
+        let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) else { return };
+        let name = request.request.clone();
+        let state =
+            ScaleOutState { request, version: pair.version, writing: false, asking: false, retry_at: 0, answer: None };
+        self.autoscaler.scale_outs.insert(name, state);
+    }
+
+    fn restore_owned_list(&mut self, pair: KeyValue) {
+        let names: Vec<String> = serde_json::from_value(pair.v).unwrap_or_default();
+        self.autoscaler.owned_parts.extend(names);
+        self.store.restore_owned_list(pair.path, pair.version);
+    }
+
+    fn restore_catalog(&mut self, ctx: &mut Context, pair: KeyValue) {
+        self.store.restore_catalog(pair.version);
+        if ctx.catalog.is_none() {
+            ctx.catalog = serde_json::from_value(pair.v).ok();
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -0,0 +1,188 @@
+//! Joining the records that were read: blocks of machines, placements, submissions in parts.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::leader::Leader;
+use crate::leader::store::{StoredBlock, StoredPlacement};
+use crate::model::{CachedImage, Id, Job, Placement, PlacementState};
+use crate::records::{BlockRecord, MachineRecord, keys};
+use shaleshunt_wire::AgentEpoch;
+use shaleshunt_wire::kv::KeyValue;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A zone may be cut off already: its machines have so many heartbeat intervals to be heard.
+const ZONE_PATIENCE_HEARTBEATS: u64 = 2;
+
+impl Leader {
+    /// Everything has been read: joins the records and begins to act.
+    pub(super) fn activate(&mut self, ctx: &mut Context) {
+        if self.store.has_owned_list() {
+            self.autoscaler.owned = Some(std::mem::take(&mut self.autoscaler.owned_parts));
+        }
+        self.restore_split_submissions(ctx);
+        for pair in std::mem::take(&mut self.recovery.blocks) {
+            self.restore_block(ctx, pair);
+        }
+        let pages = std::mem::take(&mut self.recovery.pages);
+        for placement in self.store.restore_pages(pages, &mut self.jobs) {
+            self.restore_placement(ctx, placement);
+        }
+        self.read_v0_1_records(ctx);
+        self.stop_superseded_placements();
+        self.active = true;
+        self.activate_jobs(ctx);
+        self.await_machines(ctx);
+        ctx.emit(Event::LeaderStateLoaded {
+            epoch: self.epoch,
+            jobs: self.jobs.len(),
+            machines: self.fleet.machines.len(),
+        });
+        self.watch_jobs(ctx);
+    }
+
+    /// Jobs are linked with those that they depend on, and what waits to be written is queued.
+    fn activate_jobs(&mut self, ctx: &mut Context) {
+        let ids: Vec<Id> = self.jobs.keys().cloned().collect();
+        for id in &ids {
+            if self.jobs.get(id).is_some_and(|job| job.cancelled) {
+                self.stop_job(ctx, id);
+            }
+            self.add_dependencies(ctx, id);
+            self.queue_write(ctx.now.monotonic_ms, id);
+        }
+    }
+
+    /// All machines are asked, some at a time, so that the new fencing token is confirmed before the
+    /// next heartbeat.
+    fn await_machines(&mut self, ctx: &Context) {
+        let patience_ms = ctx.settings.heartbeat_interval_ms() * ZONE_PATIENCE_HEARTBEATS;
+        let heard_by = ctx.now.monotonic_ms + patience_ms;
+        for machine in self.fleet.machines.values().filter(|machine| !machine.zone.is_empty()) {
+            let zone = self.fleet.zone_activity.entry(machine.zone.clone()).or_insert((heard_by, 0));
+            zone.1 += 1;
+        }
+        self.fleet.unconfirmed = self
+            .fleet
+            .machines
+            .values()
+            .filter(|machine| !machine.agent.endpoint.is_empty() && machine.agent.epoch > AgentEpoch::NONE)
+            .map(|machine| machine.id.clone())
+            .collect();
+    }
+
+    /// Sorts what was read of submissions' parts: jobs', and what no record refers to.
+    fn restore_split_submissions(&mut self, ctx: &mut Context) {
+        let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
+        for part in std::mem::take(&mut self.recovery.submission_parts) {
+            let prefix = part.path.rfind('/').map(|at| part.path[..=at].to_string()).unwrap_or_default();
+            by_prefix.entry(prefix).or_default().push(part);
+        }
+        for mut read in std::mem::take(&mut self.recovery.split_records) {
+            match by_prefix.remove(&read.record.parts_prefix) {
+                Some(parts) => {
+                    read.parts = parts;
+                    self.add_split_job(ctx, read);
+                }
+                None => self.read_parts(ctx, read),
+            }
+        }
+        self.store.add_unreferenced_parts(by_prefix.into_values());
+    }
+
+    fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
+        let Some(number) = keys::machine_block_number(&pair.path) else { return };
+        let Ok(record) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
+        let images: Vec<CachedImage> = record
+            .images
+            .iter()
+            .map(|image| CachedImage { image: self.image(&image.name), size_gb: image.gb })
+            .collect();
+        let mut owned = false;
+        let mut machines = BTreeSet::new();
+        for (name, machine) in record.machines {
+            let id: Id = name.as_str().into();
+            // In two blocks only if its move between them was not finished: either will do.
+            if self.fleet.machines.contains_key(&id) {
+                continue;
+            }
+            owned = machine.owned;
+            self.restore_machine(ctx, &id, number, &record.zone, &images, machine);
+            machines.insert(id);
+        }
+        let block = StoredBlock { number, zone: record.zone, owned, machines, version: pair.version };
+        self.store.restore_block(ctx.now.monotonic_ms, block);
+    }
+
+    fn restore_machine(
+        &mut self,
+        ctx: &Context,
+        id: &Id,
+        block: u32,
+        zone: &str,
+        images: &[CachedImage],
+        record: MachineRecord,
+    ) {
+        let mut machine = self.new_machine(ctx, id, &record.machine_type, zone, record.spot, record.owned);
+        machine.agent.endpoint = record.endpoint;
+        machine.agent.epoch = record.agent_epoch;
+        machine.rented_at = record.rented_at_ms;
+        machine.images = record.images.iter().filter_map(|place| images.get(*place as usize).copied()).collect();
+        machine.record.block = Some(block);
+        machine.record.committed = true;
+        self.fleet.machines.insert(machine);
+    }
+
+    /// Takes in a placement that an earlier leader committed. That of a task whose outcome is committed
+    /// is void.
+    pub(super) fn restore_placement(&mut self, ctx: &Context, stored: StoredPlacement) {
+        let StoredPlacement { job: id, task, machine, agent_epoch, attempt } = stored;
+        let is_open = |job: &&Job| !job.tasks.done.get(task) && task < job.spec.tasks;
+        let Some(job) = self.jobs.get(&id).filter(is_open) else { return };
+        let placements = job.tasks.placements.get(&task);
+        if placements.is_some_and(|list| list.iter().any(|p| p.machine == machine && p.attempt == attempt)) {
+            return;
+        }
+        let (need, image, image_gb) = (job.need, job.image, job.spec.image_gb);
+        if !self.fleet.machines.contains_key(&machine) {
+            // Returned after its jobs' records were last written, or never recorded: it counts until its
+            // silence or another return proves it gone.
+            let unknown = self.new_machine(ctx, &machine, "", "", false, false);
+            self.fleet.machines.insert(unknown);
+        }
+        if let Some(machine) = self.fleet.machines.get_mut(&machine) {
+            machine.images.add_known(image, image_gb);
+        }
+        let placement = Placement {
+            job: id,
+            task,
+            attempt,
+            agent_epoch,
+            placement_id: self.next_placement_id(),
+            need,
+            image,
+            stage: PlacementState::Committed,
+            sent: true,
+            since: ctx.now.monotonic_ms,
+            running: None,
+            stop_grace_s: None,
+        };
+        self.add_placement(&machine, placement);
+    }
+
+    /// Where records of version 0.1 name a task twice, the earlier placement had been released when the
+    /// later was planned, so it is gone; it must not be started again and is released by proof as any
+    /// other.
+    fn stop_superseded_placements(&mut self) {
+        for job in self.jobs.values() {
+            for list in job.tasks.placements.values().filter(|list| list.len() > 1) {
+                let latest = list.iter().map(|placement| placement.attempt).max().unwrap_or_default();
+                for earlier in list.iter().filter(|placement| placement.attempt < latest) {
+                    let machine = self.fleet.machines.get_mut(&earlier.machine);
+                    if let Some(placement) = machine.and_then(|machine| machine.placement_mut(earlier.placement_id)) {
+                        placement.stop_grace_s = Some(0.0);
+                    }
+                }
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -0,0 +1,77 @@
+//! Records as version 0.1 kept them: machines with placements, and outcomes by themselves.
+
+use crate::controller::Context;
+use crate::leader::Leader;
+use crate::leader::store::{StoredPlacement, WriteUrgency};
+use crate::model::{Id, Job};
+use crate::records::{V01MachineRecord, V01PlacementRecord, keys};
+use shaleshunt_wire::kv::KeyValue;
+
+/// Outcomes came in chunks of a third of a value's limit, six bits a character: so many tasks in a
+/// KiB of the limit.
+const TASKS_PER_KIB: f64 = 1024.0 * 2.0;
+/// A chunk holds a multiple of so many tasks, and at least these.
+const CHUNK_UNIT: u32 = 64;
+
+/// A task of which something was read that is to be written anew.
+struct ReadTask {
+    job: Id,
+    task: u32,
+}
+
+impl Leader {
+    /// Takes in records of version 0.1 and has them written anew. A task about which a page says
+    /// something is known from there: the leader that wrote it had read these records.
+    pub(super) fn read_v0_1_records(&mut self, ctx: &Context) {
+        let mut read_tasks: Vec<ReadTask> = Vec::new();
+        for pair in std::mem::take(&mut self.recovery.v0_1_outcomes) {
+            self.read_v0_1_outcomes(ctx, pair, &mut read_tasks);
+        }
+        for pair in std::mem::take(&mut self.recovery.v0_1_machines) {
+            self.read_v0_1_machine(ctx, pair, &mut read_tasks);
+        }
+        for ReadTask { job, task } in read_tasks {
+            self.record_change(ctx.now.monotonic_ms, &job, task, WriteUrgency::Immediate);
+        }
+    }
+
+    fn read_v0_1_outcomes(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
+        let tasks = (ctx.settings.state.value_kb * TASKS_PER_KIB) as u32;
+        let tasks_per_chunk = (tasks / CHUNK_UNIT * CHUNK_UNIT).max(CHUNK_UNIT);
+        let mut parts = pair.path[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
+        let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
+        let job = parts.next().and_then(|job| self.jobs.get_mut(job));
+        if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
+            let before = job.tasks.done.clone();
+            job.tasks.done.decode(chunk.saturating_mul(tasks_per_chunk), text);
+            job.tasks.done_count = job.tasks.done.count();
+            job.tasks.started = true;
+            let is_new = |task: &u32| job.tasks.done.get(*task) && !before.get(*task);
+            let new_tasks = (0..job.spec.tasks).filter(is_new);
+            read_tasks.extend(new_tasks.map(|task| ReadTask { job: job.id.clone(), task }));
+        }
+        self.store.add_v0_1_key(pair.path, pair.version);
+    }
+
+    fn read_v0_1_machine(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
+        let id: Id = pair.path[keys::V01_MACHINES.len()..].into();
+        self.store.add_v0_1_key(pair.path, pair.version);
+        let Ok(record) = serde_json::from_value::<V01MachineRecord>(pair.v) else { return };
+        if !self.fleet.machines.contains_key(&id) {
+            let mut machine = self.new_machine(ctx, &id, &record.machine_type, &record.zone, record.spot, record.owned);
+            machine.agent.endpoint = record.endpoint;
+            machine.agent.epoch = record.agent_epoch;
+            machine.rented_at = record.rented_at_ms;
+            self.fleet.machines.insert(machine);
+            self.join_block(ctx, &id);
+        }
+        let is_on_no_page =
+            |job: &Job, task: u32| job.writes.page_of_task.get(task as usize).is_none_or(|page| *page == 0);
+        for V01PlacementRecord { job, task, attempt } in record.placements {
+            let Some(job) = self.jobs.get(job.as_str()).filter(|job| is_on_no_page(job, task)) else { continue };
+            let (job, machine, agent_epoch) = (job.id.clone(), id.clone(), record.agent_epoch);
+            self.restore_placement(ctx, StoredPlacement { job: job.clone(), task, machine, agent_epoch, attempt });
+            read_tasks.push(ReadTask { job, task });
+        }
+    }
+}
--- a/crates/core/src/leader/scheduler/placement.rs
+++ b/crates/core/src/leader/scheduler/placement.rs
@@ -2,6 +2,7 @@
 
 use crate::controller::Context;
 use crate::leader::Leader;
+use crate::leader::store::WriteUrgency;
 use crate::model::*;
 use crate::settings::ServiceObjective;
 use shaleshunt_wire::user::Priority;
@@ -219,7 +220,7 @@
                 stop_grace_s: None,
             };
             self.add_placement(machine, p);
-            self.record_change(now, id, task, true);
+            self.record_change(now, id, task, WriteUrgency::Immediate);
         }
         placement_id
     }
--- /dev/null
+++ b/crates/core/src/leader/store/owned_list.rs
@@ -0,0 +1,92 @@
+//! The recorded list of owned machines.
+
+use super::changes::Changes;
+use super::transaction::Space;
+use crate::records::keys;
+use serde_json::json;
+use shaleshunt_wire::Revision;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Bytes that frame a name in a list: quotes and comma.
+const NAME_FRAME_BYTES: usize = 3;
+
+/// A part of the list in a transaction.
+#[derive(Debug)]
+pub(super) struct OwnedListWrite {
+    key: String,
+    number: u32,
+    machines: Vec<String>,
+}
+
+/// The recorded list of owned machines. More names than a value holds are in further parts; the first
+/// part is written last, since without it the others do not count.
+#[derive(Debug, Default)]
+pub(super) struct OwnedList {
+    /// Versions of the keys that hold it.
+    versions: BTreeMap<String, Revision>,
+    /// Parts to be written.
+    pending: BTreeMap<u32, Vec<String>>,
+}
+
+impl OwnedList {
+    /// A part was read during a failover.
+    pub(super) fn restore(&mut self, key: String, version: Revision) {
+        self.versions.insert(key, version);
+    }
+
+    /// Whether a complete list is stored.
+    pub(super) fn is_recorded(&self) -> bool {
+        self.versions.contains_key(keys::OWNED)
+    }
+
+    /// Queues a list to be written, in values of at most so many bytes.
+    pub(super) fn record(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
+        self.pending = (0..).zip(split_into_values(machines, value_bytes)).collect();
+    }
+
+    /// Puts parts into a transaction while there is room.
+    pub(super) fn collect(&mut self, changes: &mut Changes) {
+        while let Some((number, machines)) = self.pending.last_key_value() {
+            let value = json!(machines);
+            let bytes = value.to_string().len();
+            if !changes.has_space_for(Space::one_write(bytes)) {
+                break;
+            }
+            let key = keys::owned_list_part(*number);
+            let version = self.versions.get(&key).copied().unwrap_or(Revision::ABSENT);
+            changes.builder.set(key.clone(), version, value, bytes);
+            let part = self.pending.pop_last();
+            changes.owned_list.extend(part.map(|(number, machines)| OwnedListWrite { key, number, machines }));
+        }
+    }
+
+    /// Parts are stored.
+    pub(super) fn apply_committed(&mut self, writes: Vec<OwnedListWrite>, revision: Revision) {
+        self.versions.extend(writes.into_iter().map(|write| (write.key, revision)));
+    }
+
+    /// Parts were not stored: they wait again.
+    pub(super) fn apply_abandoned(&mut self, writes: Vec<OwnedListWrite>) {
+        self.pending.extend(writes.into_iter().map(|write| (write.number, write.machines)));
+    }
+}
+
+fn split_into_values(machines: &BTreeSet<String>, value_bytes: usize) -> Vec<Vec<String>> {
+    let mut parts = vec![Vec::new()];
+    let mut used = 0;
+    for name in machines {
+        let bytes = name.len() + NAME_FRAME_BYTES;
+        if used + bytes > value_bytes {
+            parts.push(Vec::new());
+            used = 0;
+        }
+        used += bytes;
+        if let Some(part) = parts.last_mut() {
+            part.push(name.clone());
+        }
+    }
+    parts
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/leader/store/owned_list/tests.rs
@@ -0,0 +1,32 @@
+use super::*;
+use crate::leader::store::transaction::TransactionLimits;
+
+fn names(count: usize) -> BTreeSet<String> {
+    (0..count).map(|n| format!("vm-{n:06}")).collect()
+}
+
+#[test]
+fn parts_fit_into_values_and_hold_all_names() {
+    for (count, value_bytes, parts) in [(0, 100, 1), (8, 96, 1), (9, 96, 2), (80, 96, 10)] {
+        let split = split_into_values(&names(count), value_bytes);
+        assert_eq!(split.len(), parts, "{count} names of 9 bytes in {value_bytes}");
+        assert_eq!(split.concat(), names(count).into_iter().collect::<Vec<_>>());
+    }
+}
+
+#[test]
+fn the_first_part_is_written_last_and_what_is_given_up_waits_again() {
+    let mut list = OwnedList::default();
+    list.record(&names(20), 96);
+    let mut changes = Changes::new(TransactionLimits { writes: 2, conditions: 9 });
+    list.collect(&mut changes);
+    let written: Vec<&str> = changes.owned_list.iter().map(|write| write.key.as_str()).collect();
+    assert_eq!(written, ["c/owned/2", "c/owned/1"]);
+    list.apply_abandoned(changes.owned_list);
+    let mut changes = Changes::new(TransactionLimits { writes: 9, conditions: 9 });
+    list.collect(&mut changes);
+    assert_eq!(changes.owned_list.last().unwrap().key, keys::OWNED);
+    assert!(!list.is_recorded());
+    list.apply_committed(changes.owned_list, Revision::ABSENT);
+    assert!(list.is_recorded());
+}
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -1,390 +1,304 @@
 //! Facts about tasks, on pages: where each is placed, which are done, which are free again.
 //!
-//! A page is one value of the state service with facts of any number of jobs, so that a
+//! A page is one value of the key-value store with facts of any number of jobs, so that a
 //! transaction writes one page however many tasks it places. The newest page is written again with
 //! more until it is full. Of the facts about a task the last one counts, in the order of pages and
 //! of the facts on a page: an old placement had been proven gone when a newer one was planned, so
 //! a reader that finds both knows that only the newer can be. A page that nothing refers to any
 //! more is removed; what little is left on an old one is written anew first.
 
-use crate::controller::Context;
-use crate::leader::Leader;
-use crate::leader::store::InFlightTransaction;
+mod draft;
+
+pub(super) use draft::{PageChanges, PageDraft};
+
+use super::changes::Changes;
+use super::transaction::Space;
 use crate::model::{Id, Job};
-use crate::records::{PageRecord, PlacementRecord, TaskFact, TaskRun, keys};
+use crate::records::{PageRecord, TaskFact, keys};
+use draft::{PendingFacts, RecordedFacts};
 use serde_json::json;
 use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
-use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Most tasks of a job in one transaction.
-const MOST_TASKS: usize = 1024;
+const MAX_TASKS: usize = 1024;
 /// Most bytes that a run of tasks takes in a fact, with room for the rest of the fact among many.
 const RUN_BYTES: usize = 20;
 /// An old page of which less than this share still counts is written anew.
-const STALE_SHARE: f64 = 0.5;
-
-/// The page with the last fact about a task, and where it is placed: machine, session, attempt.
-type LastFact = (u32, Option<(Id, AgentEpoch, Attempt)>);
+const COMPACTION_SHARE: f64 = 0.5;
+/// Room to leave for the removal of a page.
+const REMOVAL_BYTES: usize = 100;
 
 /// What is known of a page that is stored.
 #[derive(Debug, Default)]
-pub(crate) struct Page {
+struct Page {
     version: Revision,
-    /// Facts that still count, by job.
-    jobs: BTreeMap<Id, u32>,
+    /// Tasks of which the fact here still counts, by job, and of all jobs together.
+    live_by_job: BTreeMap<Id, u32>,
     live: u32,
+    /// Tasks with a fact here.
     total: u32,
 }
 
-/// The pages, and the newest one's content.
+/// The stored pages, and the newest one's content. For each task of an unfinished job,
+/// `writes.page_of_task` names the page with its last fact, and that page counts it as live.
 #[derive(Debug, Default)]
-pub(crate) struct Pages {
-    all: BTreeMap<u32, Page>,
-    newest: u32,
-    facts: Vec<TaskFact>,
-    bytes: usize,
+pub(super) struct TaskPages {
+    pages: BTreeMap<u32, Page>,
+    /// The page that is written again until it is full; 0 before the first.
+    newest: PageDraft,
     /// The page that is being written anew.
-    draining: Option<u32>,
+    compacting: Option<u32>,
 }
 
-impl PageDraft {
-    pub(crate) fn bytes(&self) -> usize {
-        self.bytes
-    }
-}
-
-impl Pages {
-    pub(crate) fn len(&self) -> usize {
-        self.all.len()
-    }
-}
-
-/// A page as a transaction would leave it.
-#[derive(Debug, Clone, Default)]
-pub(crate) struct PageDraft {
-    number: u32,
-    facts: Vec<TaskFact>,
-    bytes: usize,
-}
-
-/// A task's fact in a transaction: job, task, how new it was, and the page it is on.
+/// An old page of which the facts that count are to be written anew.
 #[derive(Debug)]
-pub(crate) struct RecordedFacts {
-    pub job: Id,
-    pub tasks: Vec<(u32, u64)>,
+pub(super) struct PageCompaction {
     pub page: u32,
+    pub jobs: Vec<Id>,
 }
 
-/// What is to be written of a job: facts, the plans among them, and the tasks with how new that is.
-struct PendingFacts {
-    facts: Vec<TaskFact>,
-    plans: Vec<(Id, u64)>,
-    taken: BTreeMap<u32, u64>,
-}
-
-impl PendingFacts {
-    /// Of the first of a job's tasks of which something is to be written.
-    fn new(job: &Job, tasks: usize) -> PendingFacts {
-        let taken: BTreeMap<u32, u64> = job.writes.tasks.iter().take(tasks).map(|(p, n)| (*p, *n)).collect();
-        let mut done = TaskFact::new(&job.id);
-        done.done = true;
-        let mut free = TaskFact::new(&job.id);
-        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
-        let mut plans = Vec::new();
-        for task in taken.keys() {
-            if job.tasks.done.get(*task) {
-                done.push(*task);
-                continue;
-            }
-            match job.tasks.placements.get(task) {
-                Some(list) => {
-                    for l in list {
-                        let key = (&l.machine, l.agent_epoch, l.attempt);
-                        placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
-                        if l.planned {
-                            plans.push((l.machine.clone(), l.placement_id));
-                        }
-                    }
-                }
-                None => free.push(*task),
-            }
-        }
-        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|f| !f.runs.is_empty()).collect();
-        facts.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut fact)| {
-            fact.placement = Some(PlacementRecord { machine: machine.to_string(), agent_epoch, attempt });
-            fact
-        }));
-        PendingFacts { facts, plans, taken }
-    }
+/// A placement that an earlier leader committed.
+#[derive(Debug)]
+pub(crate) struct StoredPlacement {
+    pub job: Id,
+    pub task: u32,
+    pub machine: Id,
+    pub agent_epoch: AgentEpoch,
+    pub attempt: Attempt,
 }
 
-impl Leader {
-    /// Something about a task is to be written: at once for a plan, else soon.
-    pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgent_writes: bool) {
-        self.store.change_counter += 1;
-        let change_counter = self.store.change_counter;
-        if let Some(job) = self.jobs.get_mut(id) {
-            job.writes.tasks.insert(task, change_counter);
-            job.writes.urgent |= urgent_writes;
-            self.queue_write(now, id);
-        }
-    }
-
-    /// Queues what a job has to write, its end included.
-    pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
-        let Some(job) = self.jobs.get_mut(id) else { return };
-        if job.has_ended() {
-            let since = *job.writes.ended_at.get_or_insert(now);
-            // What is cancelled with another is known to be so from that one's record meanwhile.
-            self.store.job_ends.insert((job.cancelled && !job.record.has_cancellation_key, since, id.clone()));
-        } else if job.writes.urgent {
-            self.store.urgent_writes.insert((Reverse(job.scheduling.priority), job.accepted_at, id.clone()));
-        }
-        if !job.writes.tasks.is_empty() && !job.writes.deferred {
-            job.writes.deferred = true;
-            self.store.deferred_writes.insert((now, id.clone()));
-        }
+impl TaskPages {
+    /// How many pages are stored.
+    pub(super) fn len(&self) -> usize {
+        self.pages.len()
     }
 
-    /// Puts facts of a job into the transaction; false if not all fit.
-    pub(crate) fn collect_facts(&mut self, ctx: &Context, f: &mut InFlightTransaction, id: &Id) -> bool {
-        let most = ctx.limits.page_bytes();
-        // All that is pending, or as much as finds room.
-        let mut tasks = MOST_TASKS.min((most / RUN_BYTES).max(1));
+    /// Puts facts of a job into a transaction, all that are pending or as many as find room; false if
+    /// not all fit.
+    pub(super) fn collect_facts(&self, changes: &mut Changes, job: &Job, page_bytes: usize) -> bool {
+        let mut max_tasks = MAX_TASKS.min((page_bytes / RUN_BYTES).max(1));
         loop {
-            let Some(job) = self.jobs.get(id) else { return true };
             if job.writes.tasks.is_empty() {
                 return true;
             }
-            let PendingFacts { facts, plans, taken } = PendingFacts::new(job, tasks);
-            let bytes: usize = facts.iter().map(TaskFact::max_bytes).sum();
-            let more = self.pages_needed(f, most, &facts);
-            if f.has_space_for(more, 1 + more, bytes + f.drafted()) {
-                if !plans.is_empty() {
-                    f.require_job_version(job);
+            let pending = PendingFacts::new(job, max_tasks);
+            let pages = self.pages_needed(changes, page_bytes, &pending.facts);
+            let bytes = pending.max_bytes() + changes.pages.draft_bytes();
+            if changes.has_space_for(Space { writes: pages, conditions: 1 + pages, bytes }) {
+                if !pending.planned.is_empty() {
+                    changes.builder.require_job_version(job);
                 }
-                let all = taken.len() == job.writes.tasks.len();
-                self.draft(f, most, id, facts, &taken);
-                f.plans.extend(plans);
-                return all;
+                let is_all = pending.change_of_task.len() == job.writes.tasks.len();
+                self.draft(changes, page_bytes, &job.id, pending);
+                return is_all;
             }
-            if taken.len() <= 1 {
+            if pending.change_of_task.len() <= 1 {
                 return false;
             }
-            tasks = taken.len() / 2;
+            max_tasks = pending.change_of_task.len() / 2;
         }
     }
 
-    /// Where the next facts go: the page being put together, else the newest one if the first of
-    /// them fits there. It may be larger than what may be written by now; then it stays as it is.
-    fn first_page(&self, f: &InFlightTransaction, most: usize, first: usize) -> (bool, usize) {
-        match f.drafts.last() {
-            Some(d) => (true, d.bytes),
-            None if self.store.pages.facts.is_empty() || self.store.pages.bytes + first <= most => {
-                (false, self.store.pages.bytes)
-            }
-            None => (false, 0),
-        }
+    /// Whether a first fact goes on the newest page: it is begun, or the fact fits. The page may be
+    /// larger than what may be written by now; then it stays as it is.
+    fn newest_has_space(&self, page_bytes: usize, fact: Option<&TaskFact>) -> bool {
+        let bytes = fact.map_or(0, TaskFact::max_bytes);
+        self.newest.is_empty() || self.newest.bytes() + bytes <= page_bytes
     }
 
-    /// How many pages more a transaction writes with these facts.
-    fn pages_needed(&self, f: &InFlightTransaction, most: usize, facts: &[TaskFact]) -> usize {
-        let (started, mut used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::max_bytes));
-        let mut more = usize::from(!started);
-        for size in facts.iter().map(TaskFact::max_bytes) {
-            if used + size > most && used > 0 {
-                (more, used) = (more + 1, 0);
+    /// How many more pages a transaction writes with these facts.
+    fn pages_needed(&self, changes: &Changes, page_bytes: usize, facts: &[TaskFact]) -> usize {
+        let (mut pages, mut used) = match changes.pages.last_draft() {
+            Some(draft) => (0, draft.bytes()),
+            None if self.newest_has_space(page_bytes, facts.first()) => (1, self.newest.bytes()),
+            None => (1, 0),
+        };
+        for bytes in facts.iter().map(TaskFact::max_bytes) {
+            if used + bytes > page_bytes && used > 0 {
+                pages += 1;
+                used = 0;
             }
-            used += size;
+            used += bytes;
         }
-        more
+        pages
     }
 
     /// Puts facts on the pages of a transaction.
-    fn draft(
-        &self,
-        f: &mut InFlightTransaction,
-        most: usize,
-        id: &Id,
-        facts: Vec<TaskFact>,
-        taken: &BTreeMap<u32, u64>,
-    ) {
-        if f.drafts.is_empty() {
-            let p = &self.store.pages;
-            let number = p.newest.max(1);
-            let (_, used) = self.first_page(f, most, facts.first().map_or(0, TaskFact::max_bytes));
-            f.drafts.push(if used == p.bytes {
-                PageDraft { number, facts: p.facts.clone(), bytes: p.bytes }
+    fn draft(&self, changes: &mut Changes, page_bytes: usize, job: &Id, pending: PendingFacts) {
+        if changes.pages.draft_count() == 0 {
+            let number = self.newest.number().max(1);
+            changes.pages.begin(if self.newest_has_space(page_bytes, pending.facts.first()) {
+                self.newest.clone().with_number(number)
             } else {
-                PageDraft { number: number + 1, ..PageDraft::default() }
+                PageDraft::new(number + 1)
             });
         }
-        for fact in facts {
-            let size = fact.max_bytes();
-            let Some(last) = f.drafts.last() else { return };
-            if last.bytes + size > most && !last.facts.is_empty() {
-                let number = last.number + 1;
-                f.drafts.push(PageDraft { number, ..PageDraft::default() });
-            }
-            let Some(last) = f.drafts.last_mut() else { return };
-            let all = fact.runs.iter().flat_map(TaskRun::tasks);
-            let tasks = all.filter_map(|p| taken.get(&p).map(|n| (p, *n))).collect();
-            f.noted.push(RecordedFacts { job: id.clone(), tasks, page: last.number });
-            last.bytes += size;
-            last.facts.push(fact);
+        for fact in pending.facts {
+            changes.pages.push(job, fact, &pending.change_of_task, page_bytes);
         }
+        changes.planned_placements.extend(pending.planned);
     }
 
     /// Writes the drafted pages into the transaction.
-    pub(crate) fn collect_pages(&mut self, f: &mut InFlightTransaction) {
-        for d in std::mem::take(&mut f.drafts) {
-            let version = self.store.pages.all.get(&d.number).map_or(Revision::ABSENT, |p| p.version);
-            let v = json!(PageRecord { facts: d.facts.clone() });
-            f.set(keys::task_page(d.number), version, v, d.bytes);
-            f.pages.push(d);
+    pub(super) fn collect_drafts(&self, changes: &mut Changes) {
+        for draft in changes.pages.take_drafts() {
+            let version = self.pages.get(&draft.number()).map_or(Revision::ABSENT, |page| page.version);
+            let value = json!(PageRecord { facts: draft.facts().to_vec() });
+            changes.builder.set(keys::task_page(draft.number()), version, value, draft.bytes());
+            changes.pages.written.push(draft);
         }
     }
 
-    /// Room for removing pages: those that nothing refers to.
-    pub(crate) fn collect_unreferenced_pages(&mut self, f: &mut InFlightTransaction) {
-        let newest = self.store.pages.newest;
-        for (n, p) in &self.store.pages.all {
-            if *n < newest && p.live == 0 && p.version > Revision::ABSENT && f.has_space_for(1, 1, 100) {
-                f.drop_key(keys::task_page(*n), p.version);
-                f.dead_pages.push(*n);
+    /// Removes pages that nothing refers to, as far as there is room.
+    pub(super) fn collect_unreferenced(&self, changes: &mut Changes) {
+        for (number, page) in self.pages.range(..self.newest.number()) {
+            let is_removable = page.live == 0 && page.version > Revision::ABSENT;
+            if is_removable && changes.has_space_for(Space::one_write(REMOVAL_BYTES)) {
+                changes.builder.drop_key(keys::task_page(*number), page.version);
+                changes.pages.removed.push(*number);
             }
         }
     }
 
-    /// An old page of which little still counts: that is to be written anew.
-    pub(crate) fn compact_page(&mut self, now: u64) {
-        if let Some(n) = self.store.pages.draining {
-            if self.store.pages.all.get(&n).is_some_and(|p| p.live > 0) {
-                return;
-            }
-            self.store.pages.draining = None;
-        }
-        let newest = self.store.pages.newest;
-        let stale = |p: &Page| p.live > 0 && f64::from(p.live) < f64::from(p.total) * STALE_SHARE;
-        let found = self.store.pages.all.iter().find(|(n, p)| **n < newest && stale(p)).map(|(n, _)| *n);
-        let Some(n) = found else { return };
-        self.store.pages.draining = Some(n);
-        let jobs: Vec<Id> = self.store.pages.all.get(&n).map(|p| p.jobs.keys().cloned().collect()).unwrap_or_default();
-        for id in jobs {
-            let tasks: Vec<u32> = match self.jobs.get(&id) {
-                Some(j) => {
-                    (0..).zip(&j.writes.page_of_task).filter(|(_, at)| **at == n).map(|(task, _)| task).collect()
-                }
-                None => continue,
-            };
-            for task in tasks {
-                self.record_change(now, &id, task, false);
+    /// Chooses an old page of which little still counts, one at a time.
+    pub(super) fn begin_compaction(&mut self) -> Option<PageCompaction> {
+        if let Some(number) = self.compacting {
+            if self.pages.get(&number).is_some_and(|page| page.live > 0) {
+                return None;
             }
+            self.compacting = None;
         }
+        let is_sparse = |page: &Page| page.live > 0 && f64::from(page.live) < f64::from(page.total) * COMPACTION_SHARE;
+        let (number, page) = self.pages.range(..self.newest.number()).find(|(_, page)| is_sparse(page))?;
+        let compaction = PageCompaction { page: *number, jobs: page.live_by_job.keys().cloned().collect() };
+        self.compacting = Some(compaction.page);
+        Some(compaction)
     }
 
-    /// The pages of a transaction are stored.
-    pub(crate) fn apply_stored_pages(
-        &mut self,
-        pages: Vec<PageDraft>,
-        noted: Vec<RecordedFacts>,
-        dead: Vec<u32>,
-        revision: Revision,
-    ) {
-        for d in pages {
-            let total = d.facts.iter().map(TaskFact::task_count).sum();
-            let page = self.store.pages.all.entry(d.number).or_default();
-            (page.version, page.total) = (revision, total);
-            if d.number >= self.store.pages.newest {
-                (self.store.pages.newest, self.store.pages.facts, self.store.pages.bytes) =
-                    (d.number, d.facts, d.bytes);
+    /// The pages of a transaction are stored: the facts on them are the last of their tasks.
+    pub(super) fn apply_committed(&mut self, changes: PageChanges, jobs: &mut BTreeMap<Id, Job>, revision: Revision) {
+        for draft in changes.written {
+            let page = self.pages.entry(draft.number()).or_default();
+            page.version = revision;
+            page.total = draft.facts().iter().map(TaskFact::task_count).sum();
+            if draft.number() >= self.newest.number() {
+                self.newest = draft;
             }
         }
-        for n in noted {
-            let Some(job) = self.jobs.get_mut(&n.job) else { continue };
-            if job.writes.page_of_task.is_empty() {
-                job.writes.page_of_task = vec![0; job.spec.tasks as usize];
-            }
-            for (task, touched) in n.tasks {
-                if job.writes.tasks.get(&task) == Some(&touched) {
-                    job.writes.tasks.remove(&task);
-                }
-                let Some(at) = job.writes.page_of_task.get_mut(task as usize) else { continue };
-                let old = std::mem::replace(at, n.page);
-                self.store.pages.count(old, &n.job, -1);
-                self.store.pages.count(n.page, &n.job, 1);
+        for recorded in changes.recorded {
+            if let Some(job) = jobs.get_mut(&recorded.job) {
+                self.apply_recorded_facts(job, recorded);
             }
         }
-        for n in dead {
-            self.store.pages.all.remove(&n);
+        for number in changes.removed {
+            self.pages.remove(&number);
+        }
+    }
+
+    fn apply_recorded_facts(&mut self, job: &mut Job, recorded: RecordedFacts) {
+        if job.writes.page_of_task.is_empty() {
+            job.writes.page_of_task = vec![0; job.spec.tasks as usize];
+        }
+        for (task, change) in recorded.change_of_task {
+            if job.writes.tasks.get(&task) == Some(&change) {
+                job.writes.tasks.remove(&task);
+            }
+            let Some(page) = job.writes.page_of_task.get_mut(task as usize) else { continue };
+            let old = std::mem::replace(page, recorded.page);
+            self.count(old, &recorded.job, -1);
+            self.count(recorded.page, &recorded.job, 1);
         }
     }
 
     /// A job is over: what pages say of it counts no more.
-    pub(crate) fn drop_facts(&mut self, job: &Job) {
-        let on: BTreeSet<u32> = job.writes.page_of_task.iter().copied().filter(|p| *p > 0).collect();
-        for n in on {
-            if let Some(p) = self.store.pages.all.get_mut(&n)
-                && let Some(count) = p.jobs.remove(&job.id)
+    pub(super) fn forget_job(&mut self, job: &Job) {
+        let numbers: BTreeSet<u32> = job.writes.page_of_task.iter().copied().filter(|page| *page > 0).collect();
+        for number in numbers {
+            if let Some(page) = self.pages.get_mut(&number)
+                && let Some(count) = page.live_by_job.remove(&job.id)
             {
-                p.live = p.live.saturating_sub(count);
+                page.live = page.live.saturating_sub(count);
             }
         }
     }
 
-    /// Takes in the pages that earlier leaders wrote, in order.
-    pub(crate) fn restore_pages(&mut self, ctx: &Context, pairs: Vec<KeyValue>) {
-        let mut last: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
+    /// Takes in the pages that earlier leaders wrote, in order, and what they say of jobs' tasks.
+    /// Returns the placements among it.
+    pub(super) fn restore(&mut self, pairs: Vec<KeyValue>, jobs: &mut BTreeMap<Id, Job>) -> Vec<StoredPlacement> {
+        let mut last_facts: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
         for pair in pairs {
             let Some(number) = keys::task_page_number(&pair.path) else { continue };
-            let rec: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
-            let total = rec.facts.iter().map(TaskFact::task_count).sum();
-            self.store.pages.all.insert(number, Page { version: pair.version, total, ..Page::default() });
+            let record: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
+            let total = record.facts.iter().map(TaskFact::task_count).sum();
+            self.pages.insert(number, Page { version: pair.version, total, ..Page::default() });
             // What it holds is not written again: a new page follows.
-            self.store.pages.newest = self.store.pages.newest.max(number + 1);
-            for fact in rec.facts {
-                let Some(job) = self.jobs.get_mut(fact.job.as_str()) else { continue };
-                let place = fact.placement.map(|p| (Id::from(p.machine.as_str()), p.agent_epoch, p.attempt));
-                let facts = last.entry(job.id.clone()).or_default();
-                for run in fact.runs {
-                    for task in run.first..run.tasks().end.min(job.spec.tasks) {
-                        if fact.done {
-                            job.tasks.done.insert(task);
-                        }
-                        facts.insert(task, (number, place.clone()));
-                    }
+            self.newest = PageDraft::new(self.newest.number().max(number + 1));
+            for fact in record.facts {
+                if let Some(job) = jobs.get_mut(fact.job.as_str()) {
+                    let facts_of_job = last_facts.entry(job.id.clone()).or_default();
+                    restore_fact(job, facts_of_job, number, &fact);
                 }
             }
         }
-        for (id, facts) in last {
-            if let Some(job) = self.jobs.get_mut(&id) {
-                job.tasks.done_count = job.tasks.done.count();
-                job.tasks.started = true;
-                job.writes.page_of_task = vec![0; job.spec.tasks as usize];
-                for (task, (number, _)) in &facts {
-                    job.writes.page_of_task[*task as usize] = *number;
-                }
+        let mut placements = Vec::new();
+        for (id, facts) in last_facts {
+            if let Some(job) = jobs.get_mut(&id) {
+                restore_progress(job, &facts);
             }
-            for (task, (number, place)) in facts {
-                self.store.pages.count(number, &id, 1);
-                if let Some((machine, agent_epoch, attempt)) = place {
-                    self.restore_placement(ctx, &id, &machine, agent_epoch, attempt, task);
-                }
+            for (task, LastFact { page, placement }) in facts {
+                self.count(page, &id, 1);
+                placements.extend(placement.map(|(machine, agent_epoch, attempt)| StoredPlacement {
+                    job: id.clone(),
+                    task,
+                    machine,
+                    agent_epoch,
+                    attempt,
+                }));
             }
         }
+        placements
     }
-}
 
-impl Pages {
+    /// More or fewer tasks of a job have their last fact on a page.
     fn count(&mut self, number: u32, job: &Id, change: i32) {
-        let Some(p) = self.all.get_mut(&number) else { return };
-        let n = p.jobs.entry(job.clone()).or_default();
-        *n = n.saturating_add_signed(change);
-        if *n == 0 {
-            p.jobs.remove(job);
+        let Some(page) = self.pages.get_mut(&number) else { return };
+        let live = page.live_by_job.entry(job.clone()).or_default();
+        *live = live.saturating_add_signed(change);
+        if *live == 0 {
+            page.live_by_job.remove(job);
         }
-        p.live = p.live.saturating_add_signed(change);
+        page.live = page.live.saturating_add_signed(change);
+    }
+}
+
+/// The last fact about a task: its page, and where the task is placed.
+struct LastFact {
+    page: u32,
+    placement: Option<(Id, AgentEpoch, Attempt)>,
+}
+
+fn restore_fact(job: &mut Job, facts_of_job: &mut BTreeMap<u32, LastFact>, page: u32, fact: &TaskFact) {
+    let placement = fact
+        .placement
+        .as_ref()
+        .map(|placement| (Id::from(placement.machine.as_str()), placement.agent_epoch, placement.attempt));
+    for run in &fact.runs {
+        for task in run.first..run.tasks().end.min(job.spec.tasks) {
+            if fact.done {
+                job.tasks.done.insert(task);
+            }
+            facts_of_job.insert(task, LastFact { page, placement: placement.clone() });
+        }
+    }
+}
+
+fn restore_progress(job: &mut Job, facts: &BTreeMap<u32, LastFact>) {
+    job.tasks.done_count = job.tasks.done.count();
+    job.tasks.started = true;
+    job.writes.page_of_task = vec![0; job.spec.tasks as usize];
+    for (task, fact) in facts {
+        job.writes.page_of_task[*task as usize] = fact.page;
     }
 }
--- /dev/null
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -0,0 +1,167 @@
+//! Pages as a transaction would leave them.
+
+use crate::leader::store::changes::PlannedPlacement;
+use crate::model::{Id, Job};
+use crate::records::{PlacementRecord, TaskFact, TaskRun};
+use shaleshunt_wire::{AgentEpoch, Attempt};
+use std::collections::BTreeMap;
+
+/// A page as a transaction would leave it.
+#[derive(Debug, Clone, Default)]
+pub(in crate::leader::store) struct PageDraft {
+    number: u32,
+    facts: Vec<TaskFact>,
+    /// A bound on the length of the facts.
+    bytes: usize,
+}
+
+impl PageDraft {
+    /// An empty page.
+    pub(in crate::leader::store) fn new(number: u32) -> PageDraft {
+        PageDraft { number, ..PageDraft::default() }
+    }
+
+    pub(super) fn with_number(self, number: u32) -> PageDraft {
+        PageDraft { number, ..self }
+    }
+
+    pub(super) fn number(&self) -> u32 {
+        self.number
+    }
+
+    pub(super) fn facts(&self) -> &[TaskFact] {
+        &self.facts
+    }
+
+    pub(super) fn bytes(&self) -> usize {
+        self.bytes
+    }
+
+    pub(super) fn is_empty(&self) -> bool {
+        self.facts.is_empty()
+    }
+}
+
+/// Facts in a transaction: tasks of a job, with the number of the change that each fact shows, and the
+/// page that they are on.
+#[derive(Debug)]
+pub(in crate::leader::store) struct RecordedFacts {
+    pub job: Id,
+    pub change_of_task: Vec<(u32, u64)>,
+    pub page: u32,
+}
+
+/// What a transaction changes about pages.
+#[derive(Debug, Default)]
+pub(in crate::leader::store) struct PageChanges {
+    /// Pages being put together.
+    drafts: Vec<PageDraft>,
+    /// Pages that are in the transaction.
+    pub(super) written: Vec<PageDraft>,
+    pub(super) recorded: Vec<RecordedFacts>,
+    /// Pages that are removed.
+    pub(super) removed: Vec<u32>,
+}
+
+impl PageChanges {
+    /// Pages being put together.
+    pub(in crate::leader::store) fn draft_count(&self) -> usize {
+        self.drafts.len()
+    }
+
+    /// Bytes of the pages being put together.
+    pub(in crate::leader::store) fn draft_bytes(&self) -> usize {
+        self.drafts.iter().map(PageDraft::bytes).sum()
+    }
+
+    /// Whether facts about a job are in the transaction.
+    pub(in crate::leader::store) fn has_facts_of(&self, job: &Id) -> bool {
+        self.recorded.iter().any(|recorded| recorded.job == *job)
+    }
+
+    /// Jobs with facts in the transaction; one may come several times.
+    pub(in crate::leader::store) fn into_jobs(self) -> impl Iterator<Item = Id> {
+        self.recorded.into_iter().map(|recorded| recorded.job)
+    }
+
+    /// Begins a page, or the next writing of one.
+    pub(in crate::leader::store) fn begin(&mut self, draft: PageDraft) {
+        self.drafts.push(draft);
+    }
+
+    pub(super) fn last_draft(&self) -> Option<&PageDraft> {
+        self.drafts.last()
+    }
+
+    pub(super) fn take_drafts(&mut self) -> Vec<PageDraft> {
+        std::mem::take(&mut self.drafts)
+    }
+
+    /// Puts a fact on the last page, or on a new one if that is full.
+    pub(super) fn push(&mut self, job: &Id, fact: TaskFact, changes: &BTreeMap<u32, u64>, page_bytes: usize) {
+        let bytes = fact.max_bytes();
+        let Some(last) = self.drafts.last() else { return };
+        if last.bytes + bytes > page_bytes && !last.is_empty() {
+            let next = PageDraft::new(last.number + 1);
+            self.drafts.push(next);
+        }
+        let Some(last) = self.drafts.last_mut() else { return };
+        let tasks = fact.runs.iter().flat_map(TaskRun::tasks);
+        let change_of_task = tasks.filter_map(|task| changes.get(&task).map(|change| (task, *change))).collect();
+        self.recorded.push(RecordedFacts { job: job.clone(), change_of_task, page: last.number });
+        last.bytes += bytes;
+        last.facts.push(fact);
+    }
+}
+
+/// What is to be written of a job.
+#[derive(Debug)]
+pub(super) struct PendingFacts {
+    pub facts: Vec<TaskFact>,
+    /// Placements among the facts that are not committed yet.
+    pub planned: Vec<PlannedPlacement>,
+    /// The tasks, with the number of the change that their facts show.
+    pub change_of_task: BTreeMap<u32, u64>,
+}
+
+impl PendingFacts {
+    /// Of the first of a job's tasks of which something is to be written.
+    pub(super) fn new(job: &Job, max_tasks: usize) -> PendingFacts {
+        let change_of_task: BTreeMap<u32, u64> =
+            job.writes.tasks.iter().take(max_tasks).map(|(task, change)| (*task, *change)).collect();
+        let mut done = TaskFact::new(&job.id);
+        done.done = true;
+        let mut free = TaskFact::new(&job.id);
+        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
+        let mut planned = Vec::new();
+        for task in change_of_task.keys() {
+            if job.tasks.done.get(*task) {
+                done.push(*task);
+                continue;
+            }
+            let Some(placements) = job.tasks.placements.get(task) else {
+                free.push(*task);
+                continue;
+            };
+            for placement in placements {
+                let key = (&placement.machine, placement.agent_epoch, placement.attempt);
+                placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
+                if placement.planned {
+                    let (machine, placement_id) = (placement.machine.clone(), placement.placement_id);
+                    planned.push(PlannedPlacement { machine, placement_id });
+                }
+            }
+        }
+        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|fact| !fact.runs.is_empty()).collect();
+        facts.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut fact)| {
+            fact.placement = Some(PlacementRecord { machine: machine.to_string(), agent_epoch, attempt });
+            fact
+        }));
+        PendingFacts { facts, planned, change_of_task }
+    }
+
+    /// A bound on the length of the facts.
+    pub(super) fn max_bytes(&self) -> usize {
+        self.facts.iter().map(TaskFact::max_bytes).sum()
+    }
+}
--- /dev/null
+++ b/crates/core/src/leader/watch/split_jobs.rs
@@ -0,0 +1,72 @@
+//! Jobs whose submission is in parts: the job is known when all parts have been read.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::io::{KvReply, KvRequest, RequestError};
+use crate::leader::store::SplitJobRead;
+use crate::leader::{Leader, LeaderRequest};
+use crate::model::Id;
+use crate::records::SplitJobRecord;
+use crate::submission_parts::join;
+use shaleshunt_wire::Revision;
+
+/// A read without an answer is begun anew after this part of a heartbeat interval.
+const RETRIES_PER_HEARTBEAT: u64 = 12;
+
+impl Leader {
+    /// The record of a job whose submission is in parts has come. During a failover all parts are read
+    /// anyway.
+    pub(super) fn add_split_record(&mut self, ctx: &mut Context, record: SplitJobRecord, version: Revision) {
+        let read = SplitJobRead::new(record, version);
+        if self.active {
+            self.read_parts(ctx, read);
+        } else {
+            self.recovery.add_split_record(read);
+        }
+    }
+
+    /// Reads the next parts of a job that has come.
+    pub(crate) fn read_parts(&mut self, ctx: &mut Context, read: SplitJobRead) {
+        self.store.begin_submission_read(&read);
+        let after = read.parts.last().map(|part| part.path.clone()).unwrap_or_default();
+        let prefix = read.record.parts_prefix.clone();
+        let wait = self.wait(LeaderRequest::Parts(Box::new(read)));
+        ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
+    }
+
+    /// Parts were read, or not: then once more.
+    pub(crate) fn handle_parts(
+        &mut self,
+        ctx: &mut Context,
+        mut read: SplitJobRead,
+        result: Result<KvReply, RequestError>,
+    ) {
+        // The record has changed or is gone since: this answer is late.
+        if !self.store.is_submission_read_current(&read) {
+            return;
+        }
+        let Ok(KvReply::Page(page)) = result else {
+            let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+            self.store.retry_submission_read(ctx.now.monotonic_ms + pause_ms, read);
+            return;
+        };
+        read.parts.extend(page.pairs);
+        if page.truncated {
+            self.read_parts(ctx, read);
+        } else {
+            self.store.end_submission_read(&read);
+            self.add_split_job(ctx, read);
+        }
+    }
+
+    /// All parts of a job's submission have been read.
+    pub(crate) fn add_split_job(&mut self, ctx: &mut Context, read: SplitJobRead) {
+        let Some(whole) = join(&read.record, &read.parts) else {
+            ctx.emit(Event::SubmissionPartsUnreadable { prefix: read.record.parts_prefix });
+            return;
+        };
+        let id: Id = whole.submission.id.as_str().into();
+        self.store.add_submission_parts(id, read.parts);
+        self.add_job(ctx, whole, read.version);
+    }
+}
--- a/crates/core/src/submission_parts.rs
+++ b/crates/core/src/submission_parts.rs
@@ -5,20 +5,12 @@
 
 use crate::api::{Api, ApiRequest, PendingSubmission};
 use crate::controller::{BatchTime, Context, PendingRequest};
-use crate::event::Event;
 use crate::io::*;
-use crate::leader::store::InFlightTransaction;
-use crate::leader::{Leader, LeaderRequest};
-use crate::model::Id;
 use crate::records::{JobRecord, SplitJobRecord, keys};
 use serde_json::json;
 use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::{MAX_BODY, Revision};
-use std::collections::BTreeMap;
-
-/// The parts under a prefix, in order, with their versions.
-pub(crate) type Parts = Vec<(String, Revision)>;
 
 /// The submission that a large record's parts make up.
 pub(crate) fn join(rec: &SplitJobRecord, pairs: &[KeyValue]) -> Option<JobRecord> {
@@ -163,103 +155,5 @@
     }
 }
 
-impl Leader {
-    /// Reads the parts of a job that has come.
-    pub(crate) fn read_parts(&mut self, ctx: &mut Context, rec: SplitJobRecord, version: Revision, got: Vec<KeyValue>) {
-        self.store.parts_being_read.insert(rec.job().into(), version);
-        let after = got.last().map(|p| p.path.clone()).unwrap_or_default();
-        let prefix = rec.parts_prefix.clone();
-        let wait = self.wait(LeaderRequest::Parts(Box::new((rec, version, got))));
-        ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
-    }
-
-    /// Parts were read, or not: then once more.
-    pub(crate) fn handle_parts(
-        &mut self,
-        ctx: &mut Context,
-        rec: SplitJobRecord,
-        version: Revision,
-        mut got: Vec<KeyValue>,
-        result: Result<KvReply, RequestError>,
-    ) {
-        // The record has changed or is gone since: this answer is late.
-        if self.store.parts_being_read.get(rec.job()) != Some(&version) {
-            return;
-        }
-        match result {
-            Ok(KvReply::Page(page)) => {
-                got.extend(page.pairs);
-                if page.truncated {
-                    self.read_parts(ctx, rec, version, got);
-                } else {
-                    self.store.parts_being_read.remove(rec.job());
-                    self.add_split_job(ctx, &rec, version, got);
-                }
-            }
-            _ => self.store.part_read_retries.push((
-                ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 12,
-                rec,
-                version,
-            )),
-        }
-    }
-
-    /// A job whose submission is in parts is known.
-    pub(crate) fn add_split_job(
-        &mut self,
-        ctx: &mut Context,
-        rec: &SplitJobRecord,
-        version: Revision,
-        got: Vec<KeyValue>,
-    ) {
-        let Some(whole) = join(rec, &got) else {
-            ctx.emit(Event::SubmissionPartsUnreadable { prefix: rec.parts_prefix.clone() });
-            return;
-        };
-        let id: Id = whole.submission.id.as_str().into();
-        self.store.submission_parts.insert(id, got.into_iter().map(|p| (p.path, p.version)).collect());
-        self.add_job(ctx, whole, version);
-    }
-
-    /// Sorts what was read of parts at a takeover: jobs', and what no record refers to.
-    pub(crate) fn restore_split_submissions(
-        &mut self,
-        ctx: &mut Context,
-        pairs: Vec<KeyValue>,
-        records: Vec<(SplitJobRecord, Revision)>,
-    ) {
-        let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
-        for p in pairs {
-            let prefix = p.path.rfind('/').map(|at| p.path[..=at].to_string()).unwrap_or_default();
-            by_prefix.entry(prefix).or_default().push(p);
-        }
-        for (rec, version) in records {
-            match by_prefix.remove(&rec.parts_prefix) {
-                Some(got) => self.add_split_job(ctx, &rec, version, got),
-                None => self.read_parts(ctx, rec, version, Vec::new()),
-            }
-        }
-        let keys = |got: Vec<KeyValue>| got.into_iter().map(|p| (p.path, p.version)).collect();
-        self.store.unreferenced_parts.extend(by_prefix.into_values().map(keys));
-    }
-
-    /// Removes the first part of what no record refers to; the others follow alone.
-    pub(crate) fn collect_unreferenced_parts(&mut self, f: &mut InFlightTransaction) {
-        while let Some(parts) = self.store.unreferenced_parts.last()
-            && let Some((key, version)) = parts.first()
-        {
-            let job = key[keys::SUBMISSION_PARTS.len()..].split('/').next().unwrap_or_default();
-            if !f.has_space_for(1, 2, 400) {
-                return;
-            }
-            f.drop_key(key.clone(), *version);
-            if !self.jobs.contains_key(job) {
-                f.require_absent(format!("{}{job}", keys::JOBS));
-            }
-            f.parts.extend(self.store.unreferenced_parts.pop());
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
