--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -124,8 +124,6 @@
     finals: Remembered<(JobStatus, u32)>,
     /// Jobs found to be cancelled that the leader, if it is here, has not been told of.
     pub(crate) newly_cancelled: Vec<String>,
-    /// When to try the direct way to the state service again.
-    pub probe_at: u64,
     retry_at: u64,
 }
 
@@ -400,7 +398,7 @@
             && let Some(known) = self.open.of.get(&asked.job)
         {
             // What it awaits is compared along with it.
-            if let (DependencyState::Unknown(jobs), _) = self.dependency_state(&known.dependencies, ctx.moment()) {
+            if let (DependencyState::Unknown(jobs), _) = self.dependency_state(&known.dependencies, ctx.batch_time()) {
                 self.look_at_jobs(ctx, jobs);
             }
             self.polls.push_back((ctx.now.monotonic_ms, asked));
@@ -526,7 +524,7 @@
 
     /// Whether a read that is limited may be sent now; it is counted then. Nodes that are heard share.
     fn may_read(&mut self, ctx: &Context) -> bool {
-        let rate = ctx.settings.kv_rps * READ_SHARE / f64::from(1 + ctx.live_peers);
+        let rate = ctx.settings.kv_rps * READ_SHARE / f64::from(1 + ctx.live_peers());
         let gained = ctx.now.monotonic_ms.saturating_sub(self.reads_at) as f64 / 1000.0 * rate;
         self.reads = (self.reads + gained).min(rate.max(1.0));
         self.reads_at = ctx.now.monotonic_ms;
@@ -643,7 +641,7 @@
         match wait {
             ApiRequest::Probe => {
                 if result.is_ok() {
-                    ctx.relay = None;
+                    ctx.relay.stop();
                     ctx.emit(Event::StateServiceRelayEnded);
                 }
             }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -628,7 +628,7 @@
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
             self.scheduler.next_pass_at =
-                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+                now + apart + (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
             self.schedule(ctx);
         }
         self.commit(ctx);
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -254,7 +254,7 @@
         // Users' submissions go first: while some wait, half of the share is left to them.
         // While none do and work waits to be written, half of what is kept for them is used too.
         let waits = !self.store.job_ends.is_empty() || !self.store.urgent_writes.is_empty();
-        let share = match (ctx.accepting, waits) {
+        let share = match (ctx.submissions_waiting(), waits) {
             (true, _) => ctx.tuning.write_share / 2.0,
             (false, true) => (1.0 + ctx.tuning.write_share) / 2.0,
             (false, false) => ctx.tuning.write_share,
--- a/crates/core/src/submission_parts.rs
+++ b/crates/core/src/submission_parts.rs
@@ -122,7 +122,7 @@
             keys::SUBMISSION_PARTS,
             p.spec.id,
             ctx.settings.node_name,
-            ctx.process_id,
+            ctx.process_id(),
             p.order
         );
         let parts = cut(&text, ctx.limits.value_bytes());
