--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -4,6 +4,8 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::*;
+use crate::leader::scheduler::constraints::{MachineKind, allows, zone_headroom};
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::{Leader, LeaderRequest, ScaleOutState};
 use crate::model::*;
 use shaleshunt_wire::cloud::{ListedMachine, ListedMachineStatus, ScaleOutRequest};
@@ -82,7 +84,7 @@
         self.send_scale_outs(ctx);
         if now >= self.autoscaler.next_round_at {
             self.autoscaler.next_round_at = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
             if self.autoscaler.owned.is_some() {
                 self.scale_out(ctx);
             }
@@ -107,7 +109,7 @@
                     || ctx.catalog.as_ref().is_none_or(|old| types(old) != types(&c));
                 self.fleet.machines.set_rooms(|machine_type| c.machine_type(machine_type).map(|f| f.resources()));
                 ctx.catalog = Some(c);
-                self.scheduler.pass_wanted = true;
+                self.scheduler.request_pass();
             }
             (LeaderRequest::Catalog, _) => {
                 self.autoscaler.next_catalog_at = now + ctx.settings.heartbeat_interval_ms() / 2
@@ -172,7 +174,7 @@
                 self.store.thinned_blocks.extend(m.block);
             }
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// Whether a machine is owned became known.
@@ -183,10 +185,8 @@
             self.store.dirty_blocks.insert(n);
         }
         for p in &m.placements {
-            if let Some(usage_by_class) =
-                self.jobs.get(&p.job).and_then(|j| self.scheduler.usage_by_class.get_mut(&j.spec.class))
-            {
-                usage_by_class.owned += if owned { 1 } else { -1 };
+            if let Some(job) = self.jobs.get(&p.job) {
+                self.scheduler.usage_mut().change_ownership(&job.spec.class, Ownership::from_owned(owned));
             }
         }
     }
@@ -341,7 +341,7 @@
             self.fleet
                 .machines
                 .values()
-                .filter(|m| !m.scale_in_wanted && Self::allows(job, &m.machine_type, &m.zone, m.spot))
+                .filter(|m| !m.scale_in_wanted && allows(job, MachineKind::of(m)))
                 .map(|m| m.resources.times(&job.need, together))
                 .sum()
         };
@@ -361,7 +361,7 @@
             wait = wait.min(s * ctx.tuning.objective_share - boot_s);
         }
         if let Some(s) = aim.finish() {
-            wait = wait.min((s - self.estimate(job)) * ctx.tuning.objective_share - boot_s);
+            wait = wait.min((s - self.scheduler.estimated_run_s(job)) * ctx.tuning.objective_share - boot_s);
         }
         ctx.now.wall_ms.saturating_sub(job.ready_at) as f64 / 1000.0 >= wait
     }
@@ -403,7 +403,7 @@
         spaces.retain(|s| s.free.cores > 0 && s.free.memory > 0);
         spaces.sort_by_key(|s| s.free.cores);
         let mut wanted: Vec<(ScaleOutRequest, Resources)> = Vec::new();
-        let mut team_used = self.scheduler.usage_by_team.clone();
+        let mut team_used = self.scheduler.usage().by_team().clone();
         let calls = (ctx.settings.cloud_rps * ctx.tuning.autoscaler_interval_s * ctx.tuning.scale_out_request_share)
             .max(1.0) as u32;
         let mut budget = calls * MAX_MACHINES_PER_SCALE_OUT;
@@ -438,14 +438,15 @@
                 if left == 0 {
                     break;
                 }
-                let fits = s.free.fits(&job.need) && Self::allows(job, &s.machine_type, &s.zone, s.spot);
+                let fits = s.free.fits(&job.need)
+                    && allows(job, MachineKind { machine_type: &s.machine_type, zone: &s.zone, spot: s.spot });
                 if !fits {
                     continue;
                 }
                 let mut n = s.free.times(&job.need, i64::from(left)) as u32;
                 if job.spec.spread_zones || job.spec.single_zone {
                     let taken = zones.get(s.zone.as_str()).copied().unwrap_or(0);
-                    n = n.min(Self::zone_room(job, &s.zone).saturating_sub(taken));
+                    n = n.min(zone_headroom(job, &s.zone).saturating_sub(taken));
                     let elsewhere = zones.iter().any(|(z, n)| *n > 0 && *z != s.zone);
                     if n == 0 || job.spec.single_zone && elsewhere {
                         continue;
@@ -460,7 +461,7 @@
             while left > 0 && budget > 0 {
                 let Some((machine_type, zone, spot)) = self.cheapest_offer(ctx, job, &catalog, &there) else { break };
                 let resources = catalog.machine_type(&machine_type).map(|f| f.resources()).unwrap_or_default();
-                let n = (resources.times(&job.need, i64::from(left)) as u32).min(Self::zone_room(job, &zone)).max(1);
+                let n = (resources.times(&job.need, i64::from(left)) as u32).min(zone_headroom(job, &zone)).max(1);
                 let mut free = resources;
                 free.add(&job.need, -i64::from(n));
                 spaces.push(Space {
@@ -522,7 +523,10 @@
                     let place = (f.name.clone(), zone.clone(), spot);
                     let refused =
                         self.autoscaler.unavailable_offers.get(&place).is_some_and(|r| r.0 > ctx.now.monotonic_ms);
-                    if refused || !Self::allows(job, &f.name, zone, spot) || !Self::zone_fits(job, zone) {
+                    if refused
+                        || !allows(job, MachineKind { machine_type: &f.name, zone, spot })
+                        || zone_headroom(job, zone) == 0
+                    {
                         continue;
                     }
                     let price = if spot && f.spot_price > 0.0 { f.spot_price } else { f.price };
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -64,7 +64,7 @@
         if (kinds.len() >= 2 || does_well || m.quarantine_count > 0) && !broken {
             self.quarantine(ctx, machine);
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// A machine fails its tasks: it is not used for a while, longer each time.
@@ -98,7 +98,7 @@
             let usual = if job.runtime.0 >= 3 {
                 job.runtime.1 as f64 / f64::from(job.runtime.0)
             } else {
-                self.estimate(job) * 1500.0
+                self.scheduler.estimated_run_s(job) * 1500.0
             };
             let elapsed = now.saturating_sub(since) as f64;
             over += usize::from(elapsed > usual * OVERRUN + ctx.settings.heartbeat_interval_s * 100.0);
--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -56,7 +56,7 @@
             return false;
         }
         if m.last_heard.is_none() || !m.answers(now, &ctx.settings) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         m.last = (r.agent_epoch, r.sequence);
         m.last_heard = Some(now);
@@ -89,7 +89,7 @@
             && let Some(f) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
         {
             resources = f.resources();
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         match r.preemption_notice_s {
             Some(s) if m.preempted_at.is_none() => {
@@ -108,7 +108,7 @@
         if current && !m.token_confirmed {
             m.token_confirmed = true;
             m.unacknowledged_commands = 0;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         if current && r.token.epoch() > epoch {
             self.down = Some(StepDown::NewerToken);
@@ -235,9 +235,7 @@
                 if let (Some(start), true) = (p.running, expected > 0.0) {
                     let runtime = now.saturating_sub(start) as f64 / 1000.0;
                     job.runtime = (job.runtime.0 + 1, job.runtime.1 + now.saturating_sub(start));
-                    let class = self.scheduler.runtimes_by_class.entry(job.spec.class.clone()).or_default();
-                    class.actual += runtime;
-                    class.expected += expected;
+                    self.scheduler.record_runtime(&job.spec.class, runtime, expected);
                 }
                 // A task that began before the last failure says nothing about the machine since.
                 if let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| p.since > m.failed_at) {
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -59,7 +59,7 @@
             }
             m.partitioned = cut;
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// Whether reports are missing from a zone, or from all, with so many machines: enough of them are overdue.
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -16,6 +16,7 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::Recovery;
 use crate::leader::scheduler::Scheduler;
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
@@ -23,7 +24,7 @@
 use crate::submission_parts::{SplitJobRecord, StoredJob};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -67,20 +68,6 @@
     pub answer: Option<Vec<Id>>,
 }
 
-/// Actual and estimated run time of a class's tasks.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RuntimeStatistics {
-    pub actual: f64,
-    pub expected: f64,
-}
-
-/// What a class has on machines.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct ClassUsage {
-    pub all: i64,
-    pub owned: i64,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
@@ -415,7 +402,7 @@
         };
         let (cancelled, _) = rec.cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
             job.version = version;
             job.stale = false;
             job.has_cancellation_key = match &rec {
@@ -443,12 +430,12 @@
         if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.version >= version) {
             return;
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         let mut job = Job::new(rec, version);
         job.image = self.image(&job.spec.image);
         let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
-        self.scheduler.ranks_outdated = true;
+        self.scheduler.jobs_changed();
         if self.active {
             self.add_dependencies(ctx, &id);
             if cancelled {
@@ -494,8 +481,8 @@
                 self.remove_dependencies(&job);
             }
             self.dependency_vanished(ctx.now.monotonic_ms, &id);
-            self.scheduler.ranks_outdated = true;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.jobs_changed();
+            self.scheduler.request_pass();
         }
     }
 
@@ -622,13 +609,12 @@
             }
         }
         self.run_autoscaler(ctx);
-        if self.scheduler.pass_wanted && now >= self.scheduler.next_pass_at {
-            self.scheduler.pass_wanted = false;
+        if self.scheduler.begin_pass(now) {
             self.detect_zone_partitions(ctx);
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            self.scheduler.next_pass_at =
-                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            let lag_ms = (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            self.scheduler.delay_next_pass(now + apart + lag_ms);
             self.schedule(ctx);
         }
         self.commit(ctx);
@@ -718,10 +704,8 @@
             planned: p.stage == PlacementState::Planned,
         });
         *job.zones.entry(m.zone.clone()).or_default() += 1;
-        self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
-        let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
-        usage_by_class.all += 1;
-        usage_by_class.owned += i64::from(m.owned);
+        let ownership = Ownership::from_owned(m.owned);
+        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
     }
 
@@ -741,7 +725,7 @@
         }
         self.fleet.machines.give_room(machine, &p.need);
         let m = self.fleet.machines.get(machine)?;
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
             if let Some(list) = job.live.get_mut(&p.task) {
                 list.retain(|l| l.placement_id != placement_id);
@@ -759,13 +743,8 @@
             if let Some(n) = job.zones.get_mut(&m.zone) {
                 *n = n.saturating_sub(1);
             }
-            if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
-                t.add(&p.need, -1);
-            }
-            if let Some(usage_by_class) = self.scheduler.usage_by_class.get_mut(&job.spec.class) {
-                usage_by_class.all -= 1;
-                usage_by_class.owned -= i64::from(m.owned);
-            }
+            let ownership = Ownership::from_owned(m.owned);
+            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
             if !done {
                 self.record_change(now, &p.job, p.task, false);
--- /dev/null
+++ b/crates/core/src/leader/scheduler/dependency_graph.rs
@@ -0,0 +1,147 @@
+//! The graph of jobs that depend on unfinished jobs, and the final records that are to be read for it.
+//!
+//! Holds at all times: a dependency has an entry only while a job depends on it.
+
+use crate::leader::scheduler::estimates::Estimates;
+use crate::model::{Id, Job};
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// Most final records read at once.
+const MAX_READS_IN_FLIGHT: u32 = 4;
+
+/// A final record that is to be read.
+#[derive(Debug)]
+struct FinalRecordRead {
+    /// Not before this time (steady clock, ms).
+    due_at: u64,
+    job: Id,
+}
+
+/// Who depends on whom.
+#[derive(Debug, Default)]
+pub(crate) struct DependencyGraph {
+    /// Dependent jobs by the job that they depend on.
+    dependents: BTreeMap<Id, BTreeSet<Id>>,
+    reads: VecDeque<FinalRecordRead>,
+    reads_in_flight: u32,
+}
+
+impl DependencyGraph {
+    /// `dependent` may not start before `dependency` is done.
+    pub(super) fn add(&mut self, dependency: Id, dependent: Id) {
+        self.dependents.entry(dependency).or_default().insert(dependent);
+    }
+
+    /// `dependent` is gone. Returns whether nothing depends on `dependency` any more because of that.
+    pub(super) fn remove(&mut self, dependency: &Id, dependent: &Id) -> bool {
+        let Some(dependents) = self.dependents.get_mut(dependency) else { return false };
+        dependents.remove(dependent);
+        let last = dependents.is_empty();
+        if last {
+            self.dependents.remove(dependency);
+        }
+        last
+    }
+
+    /// Takes a job that has ended out of the graph; returns what depended on it, if anything did.
+    pub(super) fn take_dependents(&mut self, dependency: &str) -> Option<BTreeSet<Id>> {
+        self.dependents.remove(dependency)
+    }
+
+    /// Whether any job depends on this one.
+    pub(super) fn has_dependents(&self, dependency: &Id) -> bool {
+        self.dependents.contains_key(dependency)
+    }
+
+    /// Has a job's final record read, not before `due_at` (steady clock, ms).
+    pub(super) fn request_final_record(&mut self, due_at: u64, job: Id) {
+        self.reads.push_back(FinalRecordRead { due_at, job });
+    }
+
+    /// Final records to read now. What is not due yet, or too much at once, stays for later; what is
+    /// among the unfinished `jobs` or no longer depended on is forgotten.
+    pub(super) fn take_due_reads(&mut self, now: u64, jobs: &BTreeMap<Id, Job>) -> Vec<Id> {
+        let mut due = Vec::new();
+        for _ in 0..self.reads.len() {
+            let Some(read) = self.reads.pop_front() else { break };
+            if jobs.contains_key(&read.job) || !self.has_dependents(&read.job) {
+                continue;
+            }
+            if read.due_at > now || self.reads_in_flight >= MAX_READS_IN_FLIGHT {
+                self.reads.push_back(read);
+                continue;
+            }
+            self.reads_in_flight += 1;
+            due.push(read.job);
+        }
+        due
+    }
+
+    /// A read of a final record was answered.
+    pub(super) fn read_answered(&mut self) {
+        self.reads_in_flight = self.reads_in_flight.saturating_sub(1);
+    }
+
+    /// All jobs that depend on this one, directly or not, and have not been offloaded: later stages
+    /// follow one that goes to rented machines, as in the paper. A job that has been offloaded hides
+    /// those behind it.
+    pub(super) fn dependents_to_offload(&self, jobs: &BTreeMap<Id, Job>, id: &Id) -> Vec<Id> {
+        let mut found: Vec<Id> = Vec::new();
+        let mut unvisited = vec![id.clone()];
+        while let Some(id) = unvisited.pop() {
+            for dependent in self.dependents.get(&id).into_iter().flatten() {
+                if jobs.get(dependent).is_some_and(|job| !job.offloaded) && !found.contains(dependent) {
+                    found.push(dependent.clone());
+                    unvisited.push(dependent.clone());
+                }
+            }
+        }
+        found
+    }
+
+    /// Passes deadlines and priorities back from jobs to those that they depend on, the last jobs first.
+    /// A dependency must be done early enough for the critical path behind it.
+    pub(super) fn propagate_deadlines(&self, jobs: &mut BTreeMap<Id, Job>, estimates: &Estimates) {
+        let mut unvisited_dependents = self.reset_inherited(jobs);
+        let all: BTreeSet<&Id> = self.dependents.values().flatten().collect();
+        let mut ready: Vec<Id> =
+            all.into_iter().filter(|id| !unvisited_dependents.contains_key(*id)).cloned().collect();
+        while let Some(id) = ready.pop() {
+            let Some(job) = jobs.get(&id) else { continue };
+            let due = job.deadline().map(|due| due.saturating_sub(estimates.critical_path_ms(job)));
+            let priority = job.priority;
+            for dependency in job.open_dependencies.clone() {
+                if let Some(job) = jobs.get_mut(&dependency) {
+                    job.inherited_deadline = job.inherited_deadline.into_iter().chain(due).min();
+                    job.priority = job.priority.max(priority);
+                }
+                if let Some(unvisited) = unvisited_dependents.get_mut(&dependency) {
+                    *unvisited -= 1;
+                    if *unvisited == 0 {
+                        ready.push(dependency);
+                    }
+                }
+            }
+        }
+    }
+
+    /// Forgets what dependencies inherited before; returns how many dependents each has.
+    fn reset_inherited(&self, jobs: &mut BTreeMap<Id, Job>) -> BTreeMap<Id, usize> {
+        let mut counts = BTreeMap::new();
+        for (id, dependents) in &self.dependents {
+            let Some(job) = jobs.get_mut(id) else { continue };
+            clear_inherited(job);
+            counts.insert(id.clone(), dependents.len());
+        }
+        counts
+    }
+}
+
+/// The job has its own deadline and priority only.
+pub(super) fn clear_inherited(job: &mut Job) {
+    job.inherited_deadline = None;
+    job.priority = job.spec.priority;
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -1,76 +1,111 @@
-//! Which jobs with deadlines go to rented machines (the paper's offloading).
+//! Offloading: which jobs with deadlines go to rented machines, as in the paper.
 
-use crate::controller::Context;
-use crate::event::Event;
-use crate::leader::Leader;
-use crate::model::*;
+use crate::leader::scheduler::view::SchedulingView;
+use crate::model::{Id, Job};
 use shaleshunt_wire::Resources;
 use std::collections::BTreeMap;
 
-impl Leader {
-    /// Marks deadline jobs whose tasks go to rented machines. Per stage: from the tail, what the
-    /// owned slots cannot work off by the deadline; then whatever has less slack than the boot
-    /// allowance, counting queued work ahead over the slots and the rest of its own path.
-    pub(crate) fn offload(&mut self, ctx: &mut Context) {
-        let allowance = ctx.tuning.boot_allowance_s;
-        let mut stages: BTreeMap<&str, Vec<(u64, &Id)>> = BTreeMap::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled && j.deadline().is_some() && j.waiting() > 0) {
-            let estimate = (self.estimate(j) * 1000.0) as u64;
-            stages.entry(&j.spec.class).or_default().push((estimate, &j.id));
-        }
-        let mut sent: Vec<Id> = Vec::new();
-        for (stage, mut queue) in stages {
-            queue.sort();
-            let Some(first) = queue.first().and_then(|(_, id)| self.jobs.get(*id)) else { continue };
-            let slots = self.slots(ctx, stage, &first.need).max(1) as f64;
-            let left = |j: &Job| (j.deadline().unwrap_or(0) as f64 - ctx.now.wall_ms as f64) / 1000.0;
-            let mut total: f64 = queue
-                .iter()
-                .filter_map(|(e, id)| self.jobs.get(*id).map(|j| *e as f64 / 1000.0 * f64::from(j.waiting())))
-                .sum();
-            let horizon = queue.iter().filter_map(|(_, id)| self.jobs.get(*id)).map(left).fold(0.0, f64::max);
-            for (e, id) in queue.iter().rev() {
-                if total <= slots * horizon {
-                    break;
-                }
-                if let Some(j) = self.jobs.get(*id) {
-                    total -= *e as f64 / 1000.0 * f64::from(j.waiting());
-                    sent.push((*id).clone());
-                }
-            }
-            let mut ahead = 0.0;
-            for (e, id) in &queue {
-                let Some(j) = self.jobs.get(*id) else { continue };
-                let own = *e as f64 / 1000.0;
-                let slack = left(j) - ahead / slots - own - self.image_fetch_s(ctx, j);
-                if slack < allowance {
-                    sent.push((*id).clone());
-                }
-                ahead += own * f64::from(j.waiting());
-            }
-        }
-        // Later stages follow.
-        let later: Vec<Id> = sent.iter().flat_map(|id| self.dependents_of(id)).collect();
-        for id in sent.into_iter().chain(later) {
-            if let Some(j) = self.jobs.get_mut(&id)
-                && !j.offloaded
-            {
-                j.offloaded = true;
-                ctx.emit(Event::JobOffloaded { job: id.clone() });
-            }
+/// Most slots counted on one machine.
+pub(super) const MAX_SLOTS_PER_MACHINE: i64 = 100_000;
+
+/// A job with a deadline that waits in its class's queue; the queue's order is the shortest run first.
+#[derive(Clone, Copy)]
+struct QueuedJob<'a> {
+    estimate_ms: u64,
+    job: &'a Job,
+}
+
+impl QueuedJob<'_> {
+    fn estimate_s(&self) -> f64 {
+        self.estimate_ms as f64 / 1000.0
+    }
+
+    /// Run time of all its waiting tasks.
+    fn work_s(&self) -> f64 {
+        self.estimate_s() * f64::from(self.job.waiting())
+    }
+
+    /// Time left until its deadline.
+    fn time_left_s(&self, wall_ms: u64) -> f64 {
+        (self.job.deadline().unwrap_or(0) as f64 - wall_ms as f64) / 1000.0
+    }
+}
+
+/// Jobs whose tasks go to rented machines: of each class what its owned slots cannot finish by the
+/// deadlines, then all jobs that depend on these. A job may be named more than once, also one that has
+/// been offloaded before.
+pub(crate) fn plan_offloading(view: &SchedulingView) -> Vec<Id> {
+    let mut offloaded: Vec<Id> = Vec::new();
+    for (class, queue) in deadline_queues(view) {
+        let Some(first) = queue.first() else { continue };
+        let slots = owned_slots(view, class, &first.job.need).max(1) as f64;
+        offloaded.extend(beyond_horizon(view, &queue, slots));
+        offloaded.extend(short_of_slack(view, &queue, slots));
+    }
+    let graph = &view.scheduler.dependencies;
+    let dependents: Vec<Id> = offloaded.iter().flat_map(|id| graph.dependents_to_offload(view.jobs, id)).collect();
+    offloaded.extend(dependents);
+    offloaded
+}
+
+/// The queue of each class, shortest run first.
+fn deadline_queues<'a>(view: &SchedulingView<'a>) -> BTreeMap<&'a str, Vec<QueuedJob<'a>>> {
+    let mut queues: BTreeMap<&str, Vec<QueuedJob>> = BTreeMap::new();
+    let waits = |job: &&Job| !job.cancelled && job.deadline().is_some() && job.waiting() > 0;
+    for job in view.jobs.values().filter(waits) {
+        let queue = queues.entry(&job.spec.class).or_default();
+        queue.push(QueuedJob { estimate_ms: view.estimates.run_ms(job), job });
+    }
+    for queue in queues.values_mut() {
+        queue.sort_by_key(|queued| (queued.estimate_ms, &queued.job.id));
+    }
+    queues
+}
+
+/// From the tail of the queue: what the slots cannot work off by the latest deadline.
+fn beyond_horizon(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
+    let wall_ms = view.now.wall_ms;
+    let mut work_s: f64 = queue.iter().map(QueuedJob::work_s).sum();
+    let horizon_s = queue.iter().map(|queued| queued.time_left_s(wall_ms)).fold(0.0, f64::max);
+    let mut offloaded = Vec::new();
+    for queued in queue.iter().rev() {
+        if work_s <= slots * horizon_s {
+            break;
         }
+        work_s -= queued.work_s();
+        offloaded.push(queued.job.id.clone());
     }
+    offloaded
+}
 
-    /// A stage's owned slots: its tasks that fit in owned room now free or held by it.
-    fn slots(&self, ctx: &Context, stage: &str, need: &Resources) -> i64 {
-        ctx.work.examined(self.fleet.machines.count_with_cores(need.cores));
-        let free: i64 = self
-            .fleet
-            .machines
-            .with_cores(need.cores)
-            .filter(|m| m.owned && m.last_heard.is_some())
-            .map(|m| m.free().times(need, 100_000))
-            .sum();
-        free + self.scheduler.usage_by_class.get(stage).map_or(0, |h| h.owned)
+/// Whatever has less slack than a rented machine's boot takes, counting the work queued before it over
+/// the slots, its image fetch and its own run.
+fn short_of_slack(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
+    let mut ahead_s = 0.0;
+    let mut offloaded = Vec::new();
+    for queued in queue {
+        let time_left_s = queued.time_left_s(view.now.wall_ms);
+        let fetch_s = view.estimates.image_fetch_s(queued.job);
+        let slack_s = time_left_s - ahead_s / slots - queued.estimate_s() - fetch_s;
+        if slack_s < view.tuning.boot_allowance_s {
+            offloaded.push(queued.job.id.clone());
+        }
+        ahead_s += queued.work_s();
     }
+    offloaded
 }
+
+/// A class's owned slots: its tasks on owned machines and how many more fit there.
+fn owned_slots(view: &SchedulingView, class: &str, need: &Resources) -> i64 {
+    view.work.examined(view.machines.count_with_cores(need.cores));
+    let free: i64 = view
+        .machines
+        .with_cores(need.cores)
+        .filter(|machine| machine.owned && machine.last_heard.is_some())
+        .map(|machine| machine.free().times(need, MAX_SLOTS_PER_MACHINE))
+        .sum();
+    free + view.scheduler.usage.of_class(class).owned
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -1,94 +1,191 @@
-//! Room for urgent work: which less urgent tasks are stopped for it.
+//! Preemption: which less urgent tasks are stopped so that a more urgent one finds room.
 
-use crate::controller::Context;
-use crate::event::Event;
-use crate::leader::Leader;
-use crate::model::*;
+use crate::leader::scheduler::constraints::{MachineKind, allows, zone_headroom};
+use crate::leader::scheduler::view::SchedulingView;
+use crate::model::{Id, Job, Machine, Placement};
 use std::collections::HashMap;
 use std::ops::Bound;
 
-impl Leader {
-    /// Stops less urgent tasks for one of this job: on the machine where the least run time is
-    /// lost. A task that cannot save ends at once, so the new one starts with the same message.
-    /// With many machines a sample of them is looked at, another one each time.
-    pub(crate) fn preempt(&mut self, ctx: &mut Context, id: &Id, with_image: bool) -> Option<Id> {
-        let now = ctx.now.monotonic_ms;
-        let job = self.jobs.get(id)?;
-        let guaranteed = &self.scheduler.guaranteed;
-        // Less urgent work; or, for a team's guarantee, what another team runs beyond its own.
-        let borrows = |team: &str| {
-            let used = self.scheduler.usage_by_team.get(team).copied().unwrap_or_default();
-            ctx.settings.teams.get(team).is_some_and(|t| !t.guarantees(&used))
-        };
-        let due = !with_image && guaranteed.contains(id);
-        let yields = |other: &Id| {
-            let Some(j) = self.jobs.get(other) else { return false };
-            let back = due && j.spec.team != job.spec.team && !guaranteed.contains(&j.id) && borrows(&j.spec.team);
-            let back = back && j.priority <= job.priority && !j.is_service();
-            j.spec.checkpoint_interval_s <= 0.0 && (j.priority < job.priority || back)
-        };
-        // A job has tasks on many of these machines.
-        let mut known: HashMap<&str, bool> = HashMap::new();
-        let mut best: Option<((bool, u64), Id, Vec<u64>)> = None;
-        let mut looked = 0;
-        let begin = self.scheduler.preemption_sample_start.clone().map_or(Bound::Unbounded, Bound::Excluded);
-        let all = self.fleet.machines.range::<Id, _>((begin, Bound::Unbounded)).chain(self.fleet.machines.iter());
-        let mut last = None;
-        for (id, m) in all.take(self.fleet.machines.len()) {
-            if looked >= ctx.tuning.sample as u32 {
+/// In place of a mere image fetch, run time of at most so many times the fetch is thrown away.
+const LOST_RUN_TIME_PER_FETCH: f64 = 2.0;
+
+/// Why tasks are to be preempted.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum PreemptionReason {
+    /// No machine has room.
+    NoRoom,
+    /// There is room, but only where the image would have to be fetched first.
+    ImageAbsent,
+}
+
+/// Placements to stop on one machine, which then has room for a task of the job.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct Preemption {
+    pub(crate) machine: Id,
+    /// Numbers of the placements inside this process.
+    pub(crate) placements: Vec<u64>,
+}
+
+/// What came of a search in a sample of the machines.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub(crate) struct PreemptionSearch {
+    pub(crate) preemption: Option<Preemption>,
+    /// The last machine of the sample; the next search goes on behind it.
+    pub(crate) last_examined: Option<Id>,
+}
+
+/// What a preemption costs, cheapest first: the fields count in this order.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct Cost {
+    /// A fetch would cost the start more than preempting elsewhere saves.
+    fetches_image: bool,
+    /// Run time thrown away.
+    lost_ms: u64,
+}
+
+/// Chooses tasks to preempt for one task of the job: on the machine where the least run time is lost.
+/// A task that takes no checkpoints ends at once, so the new one starts with the same command. Of many
+/// machines a sample is examined, which begins behind `sample_start` and wraps around.
+pub(crate) fn choose_preemption(
+    view: &SchedulingView,
+    job: &Job,
+    reason: PreemptionReason,
+    sample_start: Option<&Id>,
+) -> PreemptionSearch {
+    let mut chooser = Chooser { view, job, reason, preemptible_jobs: HashMap::new() };
+    let mut best: Option<(Cost, Preemption)> = None;
+    let mut last_examined = None;
+    let mut sampled = 0;
+    let behind_start = sample_start.map_or(Bound::Unbounded, Bound::Excluded);
+    let machines = view.machines.range::<Id, _>((behind_start, Bound::Unbounded)).chain(view.machines.iter());
+    for (id, machine) in machines.take(view.machines.len()) {
+        if sampled >= view.tuning.sample as u32 {
+            break;
+        }
+        last_examined = Some(id.clone());
+        if !chooser.may_use(machine) {
+            continue;
+        }
+        sampled += 1;
+        if let Some((cost, preemption)) = chooser.preemption_on(machine)
+            && best.as_ref().is_none_or(|(least, _)| cost < *least)
+        {
+            best = Some((cost, preemption));
+        }
+    }
+    PreemptionSearch { preemption: best.map(|(_, preemption)| preemption), last_examined }
+}
+
+/// Looks for preemptions on one machine after the other.
+struct Chooser<'a, 'b> {
+    view: &'b SchedulingView<'a>,
+    job: &'b Job,
+    reason: PreemptionReason,
+    /// Which jobs yield; one has tasks on many machines.
+    preemptible_jobs: HashMap<&'a Id, bool>,
+}
+
+/// A placement that may be stopped.
+struct Victim<'a> {
+    placement: &'a Placement,
+    run_ms: u64,
+}
+
+impl<'a> Chooser<'a, '_> {
+    /// Whether the job may use this machine, once there is room.
+    fn may_use(&self, machine: &Machine) -> bool {
+        let now = self.view.now.monotonic_ms;
+        let slow = machine.slow_until > now && !self.job.is_service();
+        let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.has_image(self.job.image);
+        machine.is_schedulable(now, self.view.settings)
+            && !slow
+            && machine.quarantine_count == 0
+            && allows(self.job, MachineKind::of(machine))
+            && zone_headroom(self.job, &machine.zone) > 0
+            && machine.resources.fits(&self.job.need)
+            && !image_missing
+    }
+
+    /// The preemption that loses the least on this machine, if any makes room and is worth its cost.
+    fn preemption_on(&mut self, machine: &'a Machine) -> Option<(Cost, Preemption)> {
+        let mut victims = self.victims(machine);
+        let mut freeable = machine.free();
+        for victim in &victims {
+            freeable.add(&victim.placement.need, 1);
+        }
+        if !freeable.fits(&self.job.need) {
+            return None;
+        }
+        victims.sort_by_key(|victim| (victim.run_ms, victim.placement.placement_id));
+        let mut free = machine.free();
+        let mut lost_ms = 0;
+        let mut placements = Vec::new();
+        for victim in victims {
+            if free.fits(&self.job.need) {
                 break;
             }
-            last = Some(id);
-            if !m.is_schedulable(now, &ctx.settings)
-                || m.slow_until > now && !job.is_service()
-                || m.quarantine_count > 0
-                || !Self::allows(job, &m.machine_type, &m.zone, m.spot)
-                || !Self::zone_fits(job, &m.zone)
-                || !m.resources.fits(&job.need)
-                || with_image && !m.has_image(job.image)
-            {
-                continue;
-            }
-            looked += 1;
-            let mut victims: Vec<(u64, &Placement)> = Vec::new();
-            let mut most = m.free();
-            for p in m.placements.iter().filter(|p| p.stop_grace_s.is_none()) {
-                if *known.entry(&p.job).or_insert_with(|| yields(&p.job)) {
-                    most.add(&p.need, 1);
-                    victims.push((p.running.map_or(0, |r| now.saturating_sub(r)), p));
-                }
-            }
-            if !most.fits(&job.need) {
-                continue;
-            }
-            victims.sort_by_key(|(runtime, p)| (*runtime, p.placement_id));
-            let mut free = m.free();
-            let (mut lost, mut list) = (0, Vec::new());
-            for (runtime, p) in victims {
-                if free.fits(&job.need) {
-                    break;
-                }
-                free.add(&p.need, 1);
-                lost += runtime;
-                list.push(p.placement_id);
-            }
-            // A fetch would cost the start more than it saves.
-            let rank = (!m.has_image(job.image), lost);
-            // In place of a mere fetch, not more than a few times what the fetch takes is thrown away.
-            if with_image && !job.is_service() && lost as f64 > self.image_fetch_s(ctx, job) * 2000.0 {
-                continue;
-            }
-            if free.fits(&job.need) && !list.is_empty() && best.as_ref().is_none_or(|(r, ..)| rank < *r) {
-                best = Some((rank, m.id.clone(), list));
-            }
+            free.add(&victim.placement.need, 1);
+            lost_ms += victim.run_ms;
+            placements.push(victim.placement.placement_id);
         }
-        let last = last.cloned();
-        self.scheduler.preemption_sample_start = last;
-        let (_, machine, victims) = best?;
-        ctx.emit(Event::TasksPreempted { machine: machine.clone(), job: id.clone(), tasks: victims.len() });
-        for placement_id in victims {
-            self.stop_placement(now, &machine, placement_id);
+        if placements.is_empty() || self.costs_more_than_fetch(lost_ms) {
+            return None;
         }
-        Some(machine)
+        let cost = Cost { fetches_image: !machine.has_image(self.job.image), lost_ms };
+        Some((cost, Preemption { machine: machine.id.clone(), placements }))
+    }
+
+    fn victims(&mut self, machine: &'a Machine) -> Vec<Victim<'a>> {
+        let now = self.view.now.monotonic_ms;
+        let mut victims = Vec::new();
+        for placement in machine.placements.iter().filter(|placement| placement.stop_grace_s.is_none()) {
+            if self.is_preemptible(&placement.job) {
+                let run_ms = placement.running.map_or(0, |since| now.saturating_sub(since));
+                victims.push(Victim { placement, run_ms });
+            }
+        }
+        victims
+    }
+
+    fn is_preemptible(&mut self, id: &'a Id) -> bool {
+        let (view, job, reason) = (self.view, self.job, self.reason);
+        let decide = || view.jobs.get(id).is_some_and(|other| yields_to(view, other, job, reason));
+        *self.preemptible_jobs.entry(id).or_insert_with(decide)
+    }
+
+    /// Services preempt for an image whatever it costs.
+    fn costs_more_than_fetch(&self, lost_ms: u64) -> bool {
+        self.reason == PreemptionReason::ImageAbsent
+            && !self.job.is_service()
+            && lost_ms as f64 > self.view.estimates.image_fetch_s(self.job) * (LOST_RUN_TIME_PER_FETCH * 1000.0)
+    }
+}
+
+/// Whether tasks of `other` may be preempted for `job`: less urgent ones; and, for a job within its
+/// team's guarantee that finds no room, what another team runs beyond its own guarantee.
+fn yields_to(view: &SchedulingView, other: &Job, job: &Job, reason: PreemptionReason) -> bool {
+    let takes_checkpoints = other.spec.checkpoint_interval_s > 0.0;
+    if takes_checkpoints {
+        return false;
     }
+    other.priority < job.priority || reason == PreemptionReason::NoRoom && reclaims_guarantee(view, other, job)
 }
+
+/// Whether `job` may have the room of `other` because its team was guaranteed it.
+fn reclaims_guarantee(view: &SchedulingView, other: &Job, job: &Job) -> bool {
+    let guaranteed = &view.scheduler.ranks.guaranteed;
+    guaranteed.contains(&job.id)
+        && !guaranteed.contains(&other.id)
+        && other.spec.team != job.spec.team
+        && exceeds_guarantee(view, &other.spec.team)
+        && other.priority <= job.priority
+        && !other.is_service()
+}
+
+fn exceeds_guarantee(view: &SchedulingView, team: &str) -> bool {
+    let used = view.scheduler.usage.of_team(team);
+    view.settings.teams.get(team).is_some_and(|quota| !quota.guarantees(&used))
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -1,205 +1,175 @@
-//! The order among jobs: by urgency, in it the design's queues with deadlines, then the others by age; and what
-//! yields under overload.
+//! The order among jobs: by priority; in it the deadline queues, shortest first; then the others by age.
 
-use crate::controller::Context;
-use crate::leader::Leader;
-use crate::model::*;
+use crate::io::Timestamp;
+use crate::leader::scheduler::view::SchedulingView;
+use crate::model::{Id, Job};
 use shaleshunt_wire::Resources;
 use shaleshunt_wire::user::Priority;
 use std::cmp::Reverse;
-use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Shares of the longest time until a job's first start: one that waited this long goes before others
+/// of its priority, and then before all.
+const AGED_SHARE: f64 = 0.5;
+const OVERDUE_SHARE: f64 = 0.75;
+
+/// What the order is worked out from. It takes a look at all jobs and machines, so it is refreshed once
+/// a round or when jobs come or go, not at each pass.
+#[derive(Debug)]
+pub(crate) struct RankInputs {
+    outdated: bool,
+    /// Next refresh (steady clock, ms).
+    refresh_at: u64,
+    /// By how many levels of its class's objective a job yields to others; absent for none.
+    pub(super) yield_levels: BTreeMap<Id, u8>,
+    /// Jobs within their team's guarantee.
+    pub(super) guaranteed: BTreeSet<Id>,
+    /// Spot jobs with a shorter estimate than this go to spot machines first.
+    pub(super) spot_estimate_limit_s: f64,
+    pub(super) on_demand_cores: OnDemandCores,
+}
+
+impl RankInputs {
+    pub(super) fn new() -> RankInputs {
+        RankInputs {
+            outdated: true,
+            refresh_at: 0,
+            yield_levels: BTreeMap::new(),
+            guaranteed: BTreeSet::new(),
+            spot_estimate_limit_s: 0.0,
+            on_demand_cores: OnDemandCores::default(),
+        }
+    }
+
+    /// Jobs came or went: the inputs are refreshed before the next pass.
+    pub(super) fn invalidate(&mut self) {
+        self.outdated = true;
+    }
+
+    /// Whether a refresh is due; the next is then due an interval later.
+    pub(super) fn begin_refresh(&mut self, now: u64, interval_ms: u64) -> bool {
+        if !self.outdated && now < self.refresh_at {
+            return false;
+        }
+        self.outdated = false;
+        self.refresh_at = now + interval_ms;
+        true
+    }
+}
+
+/// Cores of the machines that the cloud cannot take back, counted now and then.
+#[derive(Debug, Default, Clone, Copy)]
+pub(crate) struct OnDemandCores {
+    /// When they are counted again (steady clock, ms).
+    recount_at: u64,
+    /// In thousandths.
+    cores: i64,
+}
 
 /// A job's place in the queue, smallest first: the fields count in this order.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Nothing of it has begun for so long that it goes before everything.
-    first: Reverse<bool>,
+    /// Nothing of it has started for so long that it goes before everything.
+    overdue: Reverse<bool>,
     priority: Reverse<Priority>,
-    /// Nothing of it has begun for long.
+    /// Nothing of it has started for long.
     aged: Reverse<bool>,
     guaranteed: Reverse<bool>,
-    /// By how many aims it yields to others.
-    yields: u8,
+    yield_level: u8,
     without_deadline: bool,
+    /// Zero without a deadline.
     estimate_ms: u64,
     ready_at: u64,
 }
 
-impl Leader {
-    /// Jobs with tasks to place, in order: by urgency, in it the stages' deadline queues shortest
-    /// first, then the others by age. What can no longer meet its aim goes behind what can, but for
-    /// a while only: a job of which nothing has begun for long goes first.
-    pub(crate) fn queue(&mut self, ctx: &Context) -> Vec<Id> {
-        let now = ctx.now.monotonic_ms;
-        if self.scheduler.ranks_outdated || now >= self.scheduler.ranks_due_at {
-            self.scheduler.ranks_outdated = false;
-            self.scheduler.ranks_due_at = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
-            self.propagate_deadlines(ctx);
-            self.scheduler.guaranteed = self.guaranteed(ctx);
-            self.scheduler.deprioritized = self.yielding(ctx);
-            self.scheduler.spot_estimate_limit = self.spot_estimate_limit(ctx);
-        }
-        let begin = ctx.tuning.start_within_s * 1000.0;
-        let mut list: Vec<(Rank, &Id)> = self
-            .jobs
-            .values()
-            .filter(|j| !j.cancelled && !j.stale && j.waiting() > 0 && now >= j.not_before)
-            .map(|j| {
-                let without_deadline = j.deadline().is_none();
-                let age = if j.started { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.ready_at) as f64 };
-                let rank = Rank {
-                    first: Reverse(age > begin * 0.75 && j.placed == 0),
-                    priority: Reverse(j.priority),
-                    aged: Reverse(age > begin * 0.5),
-                    guaranteed: Reverse(self.scheduler.guaranteed.contains(&j.id)),
-                    yields: self.scheduler.deprioritized.get(&j.id).copied().unwrap_or(0),
-                    without_deadline,
-                    estimate_ms: if without_deadline { 0 } else { (self.estimate(j) * 1000.0) as u64 },
-                    ready_at: j.ready_at,
-                };
-                (rank, &j.id)
-            })
-            .collect();
-        list.sort();
-        list.into_iter().map(|(_, id)| id.clone()).collect()
-    }
+/// Jobs with tasks to place, in order: by priority, in it the deadline queues of the classes, shortest
+/// first, then the others by age. What can no longer meet its objective goes behind what can, but for a
+/// while only: a job of which nothing has started for long goes first.
+pub(crate) fn rank_jobs(view: &SchedulingView) -> Vec<Id> {
+    let mut ranked: Vec<(Rank, &Id)> =
+        view.jobs.values().filter(|job| is_placeable(job, view.now)).map(|job| (rank(view, job), &job.id)).collect();
+    ranked.sort();
+    ranked.into_iter().map(|(_, id)| id.clone()).collect()
+}
 
-    /// The estimate below which tasks that may go to spot machines go there first: what is longer
-    /// fills the machines that cannot be taken away, where a task that would lose most is safe.
-    fn spot_estimate_limit(&mut self, ctx: &Context) -> f64 {
-        let now = ctx.now.monotonic_ms;
-        if now >= self.scheduler.non_spot_cores.0 {
-            let safe = self.fleet.machines.values().filter(|m| !m.spot && m.answers(now, &ctx.settings));
-            let cores = safe.map(|m| m.resources.cores).sum();
-            ctx.work.examined(self.fleet.machines.len());
-            self.scheduler.non_spot_cores = (now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64, cores);
-        }
-        let mut left = self.scheduler.non_spot_cores.1;
-        let mut may_move = Vec::new();
-        for j in self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()) {
-            let cores = j.need.cores * i64::from(j.spec.tasks - j.done_count.min(j.spec.tasks));
-            if j.spec.spot && !j.offloaded {
-                may_move.push((self.estimate(j), cores));
-            } else if !j.spec.spot {
-                left -= cores;
-            }
-        }
-        may_move.sort_by(|a, b| b.0.total_cmp(&a.0));
-        for (estimate, cores) in may_move {
-            left -= cores;
-            if left < 0 {
-                return estimate;
-            }
-        }
-        0.0
+/// Whether tasks of the job may be placed now.
+pub(super) fn is_placeable(job: &Job, now: Timestamp) -> bool {
+    !job.cancelled && !job.stale && job.waiting() > 0 && now.monotonic_ms >= job.not_before
+}
+
+fn rank(view: &SchedulingView, job: &Job) -> Rank {
+    let start_within_ms = view.tuning.start_within_s * 1000.0;
+    let unstarted_ms = if job.started { 0.0 } else { view.now.wall_ms.saturating_sub(job.ready_at) as f64 };
+    let without_deadline = job.deadline().is_none();
+    let inputs = &view.scheduler.ranks;
+    Rank {
+        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.placed == 0),
+        priority: Reverse(job.priority),
+        aged: Reverse(unstarted_ms > start_within_ms * AGED_SHARE),
+        guaranteed: Reverse(inputs.guaranteed.contains(&job.id)),
+        yield_level: inputs.yield_levels.get(&job.id).copied().unwrap_or(0),
+        without_deadline,
+        estimate_ms: if without_deadline { 0 } else { view.estimates.run_ms(job) },
+        ready_at: job.ready_at,
     }
+}
 
-    /// For each stage of jobs without deadlines, which of them yield.
-    fn yielding(&self, ctx: &Context) -> BTreeMap<Id, u8> {
-        let now = ctx.now.monotonic_ms;
-        let mut stages: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
-        let open = |j: &&Job| !j.cancelled && !j.stale && now >= j.not_before && j.waiting() > 0;
-        for j in self.jobs.values().filter(open).filter(|j| !j.is_service() && j.deadline().is_none()) {
-            stages.entry(&j.spec.class).or_default().push(j);
-        }
-        let mut deprioritized: BTreeMap<&Id, u8> = BTreeMap::new();
-        for (stage, jobs) in stages {
-            self.yields(ctx, stage, jobs, &mut deprioritized);
+/// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
+pub(super) fn guaranteed_jobs(view: &SchedulingView) -> BTreeSet<Id> {
+    let mut by_age: Vec<&Job> = view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
+    by_age.sort_by_key(|job| (job.ready_at, &job.id));
+    let mut team_needs: BTreeMap<&str, Resources> = BTreeMap::new();
+    let mut guaranteed = BTreeSet::new();
+    for job in by_age {
+        let Some(quota) = view.settings.teams.get(&job.spec.team) else { continue };
+        let needed = team_needs.entry(&job.spec.team).or_default();
+        needed.add(&job.need, i64::from(job.spec.tasks));
+        if quota.guarantees(needed) {
+            guaranteed.insert(job.id.clone());
         }
-        deprioritized.into_iter().map(|(id, level)| (id.clone(), level)).collect()
     }
+    guaranteed
+}
 
-    /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
-    fn guaranteed(&self, ctx: &Context) -> BTreeSet<Id> {
-        let mut by_age: Vec<&Job> = self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()).collect();
-        by_age.sort_by_key(|j| (j.ready_at, &j.id));
-        let mut sums: BTreeMap<&str, Resources> = BTreeMap::new();
-        let mut fits = BTreeSet::new();
-        for j in by_age {
-            let Some(team) = ctx.settings.teams.get(&j.spec.team) else { continue };
-            let sum = sums.entry(&j.spec.team).or_default();
-            sum.add(&j.need, i64::from(j.spec.tasks));
-            if team.guarantees(sum) {
-                fits.insert(j.id.clone());
-            }
-        }
-        fits
+/// Cores of machines that the cloud cannot take back: as counted last, or anew if that is long ago.
+pub(super) fn count_on_demand_cores(view: &SchedulingView, interval_ms: u64) -> OnDemandCores {
+    let now = view.now.monotonic_ms;
+    let last = view.scheduler.ranks.on_demand_cores;
+    if now < last.recount_at {
+        return last;
     }
+    let machines = view.machines.values().filter(|machine| !machine.spot && machine.answers(now, view.settings));
+    let cores = machines.map(|machine| machine.resources.cores).sum();
+    view.work.examined(view.machines.len());
+    OnDemandCores { recount_at: now + interval_ms, cores }
+}
 
-    /// Under overload, which of a stage's jobs yield to others: taken by the time at which each must
-    /// be done, whenever the work so far does not fit before that, the job with the most work goes
-    /// behind (Moore's rule, which leaves the fewest jobs late). What yields counts with its next
-    /// aim. With room for all nothing yields, and the order is the design's.
-    fn yields<'a>(&'a self, ctx: &Context, stage: &str, jobs: Vec<&'a Job>, deprioritized: &mut BTreeMap<&'a Id, u8>) {
-        let Some(aim) = ctx.settings.objectives.get(stage) else { return };
-        let Some(first) = jobs.first() else { return };
-        let slots = self.all_slots(ctx, stage, first).max(1) as f64;
-        let mut left = jobs;
-        // Work of jobs that do not yield to those of a later level.
-        let mut before = 0.0;
-        for level in 0..=aim.start_s.len() as u8 {
-            // Time left for a job's work, by the aim of this level.
-            let time = |j: &Job| {
-                let nth = |list: &[f64]| {
-                    let mut list = list.to_vec();
-                    list.sort_by(f64::total_cmp);
-                    list.get(usize::from(level)).copied()
-                };
-                let age = (ctx.now.wall_ms as f64 - j.ready_at as f64) / 1000.0;
-                let estimate = self.estimate(j);
-                // An aim on starts leaves the last task's own run time on top. One that is shorter
-                // than a fetch or a round says nothing about the order.
-                let start =
-                    nth(&aim.start_s).filter(|s| *s > ctx.settings.heartbeat_interval_s * 3.0).map(|s| s + estimate);
-                start.map(|t| t - age)
-            };
-            let mut order: Vec<(f64, &Job)> = left.iter().filter_map(|j| time(j).map(|t| (t, *j))).collect();
-            if order.is_empty() {
-                break;
-            }
-            order.sort_by(|a, b| a.0.total_cmp(&b.0).then_with(|| a.1.id.cmp(&b.1.id)));
-            let mut kept: BinaryHeap<(u64, &Id)> = BinaryHeap::new();
-            let mut total = before;
-            let mut late: Vec<&Job> = Vec::new();
-            for (t, j) in order {
-                let estimate = self.estimate(j);
-                let work = estimate * f64::from(j.waiting()) / slots;
-                if t < estimate {
-                    late.push(j);
-                    continue;
-                }
-                kept.push(((work * 1000.0) as u64, &j.id));
-                total += work;
-                // The last task starts when the work before it is under way and ends an estimate later.
-                if total > t - estimate * 0.5
-                    && total > t - work.min(estimate)
-                    && let Some((work, id)) = kept.pop()
-                {
-                    total -= work as f64 / 1000.0;
-                    late.extend(self.jobs.get(id));
-                }
-            }
-            for j in &late {
-                deprioritized.insert(&j.id, level + 1);
-            }
-            before = total;
-            left = late;
+/// The estimate below which spot jobs go to spot machines first, in seconds. Longer ones fill the
+/// machines that cannot be taken back, where a task that would lose most is safe.
+pub(super) fn spot_estimate_limit_s(view: &SchedulingView, on_demand: OnDemandCores) -> f64 {
+    struct SpotWork {
+        estimate_s: f64,
+        cores: i64,
+    }
+    let mut cores_left = on_demand.cores;
+    let mut spot_work = Vec::new();
+    for job in view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()) {
+        let cores = job.need.cores * i64::from(job.spec.tasks - job.done_count.min(job.spec.tasks));
+        if !job.spec.spot {
+            cores_left -= cores;
+        } else if !job.offloaded {
+            spot_work.push(SpotWork { estimate_s: view.estimates.run_s(job), cores });
         }
     }
-
-    /// A stage's slots on all machines that its jobs may use.
-    fn all_slots(&self, ctx: &Context, stage: &str, job: &Job) -> i64 {
-        ctx.work.examined(self.fleet.machines.count_with_cores(job.need.cores));
-        let free: i64 = self
-            .fleet
-            .machines
-            .with_cores(job.need.cores)
-            .filter(|m| {
-                m.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)
-                    && Self::allows(job, &m.machine_type, &m.zone, m.spot)
-            })
-            .map(|m| m.free().times(&job.need, 100_000))
-            .sum();
-        free + self.scheduler.usage_by_class.get(stage).map_or(0, |h| h.all)
+    spot_work.sort_by(|a, b| b.estimate_s.total_cmp(&a.estimate_s));
+    for work in spot_work {
+        cores_left -= work.cores;
+        if cores_left < 0 {
+            return work.estimate_s;
+        }
     }
+    0.0
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -770,7 +770,7 @@
                 self.remove_dependencies(&job);
                 self.store.unreferenced_parts.extend(self.store.submission_parts.remove(&id));
                 self.watch.ended_jobs.insert(id.clone(), revision);
-                self.scheduler.ranks_outdated = true;
+                self.scheduler.jobs_changed();
                 let end = FinalRecord { x: job.cancelled, n: 0, t: ctx.now.wall_ms };
                 self.dependency_ended(ctx, &id, &end);
             }
@@ -786,7 +786,9 @@
             }
             for id in members {
                 if let Some(m) = self.fleet.machines.get_mut(&id) {
-                    self.scheduler.pass_wanted |= !m.recorded;
+                    if !m.recorded {
+                        self.scheduler.request_pass();
+                    }
                     m.recorded = true;
                 }
             }
