--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -107,10 +107,10 @@
             image_first,
             // Offloaded jobs go to rented machines, and so do short ones; the rest keeps off machines
             // that the cloud may take back.
-            prefers_spot: job.spec.spot && (job.offloaded || is_short()),
+            prefers_spot: job.spec.spot && (job.scheduling.offloaded || is_short()),
             // What more urgent work may preempt is spread out, so that such work finds room beside it
             // on a machine that holds its image.
-            emptiest_first: job.priority <= Priority::Normal && !image_first && !job.is_gang(),
+            emptiest_first: job.scheduling.priority <= Priority::Normal && !image_first && !job.is_gang(),
         }
     }
 
@@ -137,15 +137,15 @@
 
     /// Whether the job keeps off this machine because of how tasks fare there.
     fn avoids(&self, machine: &Machine) -> bool {
-        let failed_on = &self.job.failed_on;
+        let failed_on = &self.job.failures.machines;
         let failed_here = failed_on.len() < FAILED_MACHINES_AVOIDED && failed_on.contains(&machine.id);
-        let on_probation = machine.quarantine_count > 0 && !machine.placements.is_empty();
-        let slow = machine.slow_until > self.view.now.monotonic_ms && !self.job.is_service();
+        let on_probation = machine.health.quarantine_count > 0 && !machine.placements.is_empty();
+        let slow = machine.health.slow_until > self.view.now.monotonic_ms && !self.job.is_service();
         failed_here || on_probation || slow
     }
 
     fn rate(&self, machine: &'a Machine) -> Candidate<'a> {
-        let suspect = machine.quarantine_count > 0;
+        let suspect = machine.health.quarantine_count > 0;
         let free = machine.free();
         let fitting = if suspect { 1 } else { free.times(&self.job.need, i64::from(self.tasks)) as u32 };
         let tasks_of_job =
@@ -172,7 +172,7 @@
 }
 
 fn image_state(job: &Job, machine: &Machine) -> ImageState {
-    if machine.has_image(job.image) {
+    if machine.images.contains(job.image) {
         return ImageState::Present;
     }
     let being_fetched = machine.placements.iter().any(|p| p.running.is_none() && p.image == job.image);
--- a/crates/core/src/leader/scheduler/constraints.rs
+++ b/crates/core/src/leader/scheduler/constraints.rs
@@ -29,7 +29,7 @@
 /// How many further tasks of the job may be in this zone, given where its other tasks are. Tasks on
 /// machines whose zone is not known yet count in every zone.
 pub(crate) fn zone_headroom(job: &Job, zone: &str) -> u32 {
-    if job.spec.single_zone && job.zones.iter().any(|(other, &tasks)| tasks > 0 && other != zone) {
+    if job.spec.single_zone && job.tasks.by_zone.iter().any(|(other, &tasks)| tasks > 0 && other != zone) {
         return 0;
     }
     job.zone_cap().saturating_sub(tasks_in_zone(job, zone)).saturating_sub(tasks_in_zone(job, ""))
@@ -37,5 +37,5 @@
 
 /// How many tasks of the job are placed in this zone.
 pub(crate) fn tasks_in_zone(job: &Job, zone: &str) -> u32 {
-    job.zones.get(zone).copied().unwrap_or(0)
+    job.tasks.by_zone.get(zone).copied().unwrap_or(0)
 }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -21,7 +21,7 @@
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         // A started job was released once; a cancelled one never will be.
-        if job.cancelled || job.started {
+        if job.cancelled || job.tasks.started {
             job.open_dependencies.clear();
             return;
         }
@@ -60,7 +60,7 @@
         for dependent in dependents {
             let Some(job) = self.jobs.get_mut(&dependent) else { continue };
             job.open_dependencies.remove(id);
-            job.ready_at = job.ready_at.max(end.t);
+            job.scheduling.ready_at = job.scheduling.ready_at.max(end.t);
             if job.cancelled || job.is_blocked() {
                 continue;
             }
--- a/crates/core/src/leader/scheduler/dependency_graph.rs
+++ b/crates/core/src/leader/scheduler/dependency_graph.rs
@@ -90,7 +90,7 @@
         let mut unvisited = vec![id.clone()];
         while let Some(id) = unvisited.pop() {
             for dependent in self.dependents.get(&id).into_iter().flatten() {
-                if jobs.get(dependent).is_some_and(|job| !job.offloaded) && !found.contains(dependent) {
+                if jobs.get(dependent).is_some_and(|job| !job.scheduling.offloaded) && !found.contains(dependent) {
                     found.push(dependent.clone());
                     unvisited.push(dependent.clone());
                 }
@@ -109,11 +109,11 @@
         while let Some(id) = ready.pop() {
             let Some(job) = jobs.get(&id) else { continue };
             let due = job.deadline().map(|due| due.saturating_sub(estimates.critical_path_ms(job)));
-            let priority = job.priority;
+            let priority = job.scheduling.priority;
             for dependency in job.open_dependencies.clone() {
                 if let Some(job) = jobs.get_mut(&dependency) {
-                    job.inherited_deadline = job.inherited_deadline.into_iter().chain(due).min();
-                    job.priority = job.priority.max(priority);
+                    job.scheduling.inherited_deadline = job.scheduling.inherited_deadline.into_iter().chain(due).min();
+                    job.scheduling.priority = job.scheduling.priority.max(priority);
                 }
                 if let Some(unvisited) = unvisited_dependents.get_mut(&dependency) {
                     *unvisited -= 1;
@@ -139,8 +139,8 @@
 
 /// The job has its own deadline and priority only.
 pub(super) fn clear_inherited(job: &mut Job) {
-    job.inherited_deadline = None;
-    job.priority = job.spec.priority;
+    job.scheduling.inherited_deadline = None;
+    job.scheduling.priority = job.spec.priority;
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -101,7 +101,7 @@
     let free: i64 = view
         .machines
         .with_cores(need.cores)
-        .filter(|machine| machine.owned && machine.last_heard.is_some())
+        .filter(|machine| machine.owned && machine.agent.last_heard.is_some())
         .map(|machine| machine.free().times(need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).owned
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -85,7 +85,7 @@
         if start_s <= self.view.settings.heartbeat_interval_s * LEAST_START_OBJECTIVE_HEARTBEATS {
             return None;
         }
-        let age_s = (self.view.now.wall_ms as f64 - job.ready_at as f64) / 1000.0;
+        let age_s = (self.view.now.wall_ms as f64 - job.scheduling.ready_at as f64) / 1000.0;
         Some(start_s + self.view.estimates.run_s(job) - age_s)
     }
 
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -75,7 +75,7 @@
         let search = Search { zone: None, max_candidates: self.max_candidates(view, tasks) };
         let machines = find_machines(view, job, tasks, search);
         // A job that keeps zones in balance, or off machines where it failed, says nothing about others.
-        let unrestricted = !job.spec.single_zone && !job.spec.spread_zones && job.failed_on.is_empty();
+        let unrestricted = !job.spec.single_zone && !job.spec.spread_zones && job.failures.machines.is_empty();
         if unrestricted && (machines.len() as u32) < tasks {
             self.unplaceable.push(PlacementDemand::of(job));
         }
@@ -96,8 +96,9 @@
 /// How many tasks of the job may be placed now.
 fn tasks_to_place(view: &SchedulingView, job: &Job) -> u32 {
     let tasks = job.waiting().min(view.team_headroom(job));
-    let only_failed = job.failures >= FAILURES_BEFORE_SINGLE_TASK && job.done_count == 0 && !job.is_service();
-    if only_failed { tasks.min(u32::from(job.live.is_empty())) } else { tasks }
+    let only_failed =
+        job.failures.count >= FAILURES_BEFORE_SINGLE_TASK && job.tasks.done_count == 0 && !job.is_service();
+    if only_failed { tasks.min(u32::from(job.tasks.placements.is_empty())) } else { tasks }
 }
 
 /// Zones that a gang is tried in, one after the other; `None` stands for all together.
@@ -114,7 +115,7 @@
     // The tasks share an attempt, by which they find each other; so a gang that lost a task starts anew
     // when all have ended.
     let tasks = job.waiting();
-    if !job.live.is_empty() || view.team_headroom(job) < tasks {
+    if !job.tasks.placements.is_empty() || view.team_headroom(job) < tasks {
         return None;
     }
     for zone in zones_to_try(view, job) {
@@ -172,8 +173,8 @@
     /// Marks jobs whose tasks go to rented machines.
     fn offload(&mut self, ctx: &mut Context) {
         for id in plan_offloading(&self.scheduling_view(ctx)) {
-            let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.offloaded) else { continue };
-            job.offloaded = true;
+            let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.scheduling.offloaded) else { continue };
+            job.scheduling.offloaded = true;
             ctx.emit(Event::JobOffloaded { job: id });
         }
     }
@@ -208,7 +209,7 @@
         }
         let mut machines = pass.find_machines(&view, job, tasks).into_iter();
         let start_before_fetch = view.must_start_before_fetch(job);
-        let may_preempt = self.scheduler.ranks.guaranteed.contains(id) || job.priority > Priority::Normal;
+        let may_preempt = self.scheduler.ranks.guaranteed.contains(id) || job.scheduling.priority > Priority::Normal;
         let attempt = self.next_attempt();
         let placement = JobPlacement { job: id.clone(), start_before_fetch, may_preempt };
         let mut first_task = 0;
@@ -253,7 +254,7 @@
 
     fn must_fetch_image(&self, id: &Id, machine: &Id) -> bool {
         let job_and_machine = self.jobs.get(id).zip(self.fleet.machines.get(machine));
-        job_and_machine.is_some_and(|(job, machine)| !machine.has_image(job.image))
+        job_and_machine.is_some_and(|(job, machine)| !machine.images.contains(job.image))
     }
 
     /// Stops less urgent tasks for one of this job; returns the machine that has room then.
@@ -290,9 +291,9 @@
     /// Plans a task's placement on a machine.
     fn plan_task(&mut self, now: u64, id: &Id, task: u32, machine: &Id, attempt: Attempt) {
         let placement_id = self.next_placement_id();
-        let Some(agent_epoch) = self.fleet.machines.get(machine).map(|machine| machine.agent_epoch) else { return };
+        let Some(agent_epoch) = self.fleet.machines.get(machine).map(|machine| machine.agent.epoch) else { return };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.first_free_hint = job.first_free_hint.max(task);
+        job.tasks.first_free_hint = job.tasks.first_free_hint.max(task);
         let placement = Placement {
             job: id.clone(),
             task,
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -95,14 +95,14 @@
     /// Whether the job may use this machine, once there is room.
     fn may_use(&self, machine: &Machine) -> bool {
         let now = self.view.now.monotonic_ms;
-        let slow = machine.slow_until > now && !self.job.is_service();
-        let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.has_image(self.job.image);
+        let slow = machine.health.slow_until > now && !self.job.is_service();
+        let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.images.contains(self.job.image);
         machine.is_schedulable(now, self.view.settings)
             && !slow
-            && machine.quarantine_count == 0
+            && machine.health.quarantine_count == 0
             && allows(self.job, MachineKind::of(machine))
             && zone_headroom(self.job, &machine.zone) > 0
-            && machine.resources.fits(&self.job.need)
+            && machine.capacity.total.fits(&self.job.need)
             && !image_missing
     }
 
@@ -131,7 +131,7 @@
         if placements.is_empty() || self.costs_more_than_fetch(lost_ms) {
             return None;
         }
-        let cost = Cost { fetches_image: !machine.has_image(self.job.image), lost_ms };
+        let cost = Cost { fetches_image: !machine.images.contains(self.job.image), lost_ms };
         Some((cost, Preemption { machine: machine.id.clone(), placements }))
     }
 
@@ -168,7 +168,8 @@
     if takes_checkpoints {
         return false;
     }
-    other.priority < job.priority || reason == PreemptionReason::NoRoom && reclaims_guarantee(view, other, job)
+    other.scheduling.priority < job.scheduling.priority
+        || reason == PreemptionReason::NoRoom && reclaims_guarantee(view, other, job)
 }
 
 /// Whether `job` may have the room of `other` because its team was guaranteed it.
@@ -178,7 +179,7 @@
         && !guaranteed.contains(&other.id)
         && other.spec.team != job.spec.team
         && exceeds_guarantee(view, &other.spec.team)
-        && other.priority <= job.priority
+        && other.scheduling.priority <= job.scheduling.priority
         && !other.is_service()
 }
 
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -94,30 +94,31 @@
 
 /// Whether tasks of the job may be placed now.
 pub(super) fn is_placeable(job: &Job, now: Timestamp) -> bool {
-    !job.cancelled && !job.stale && job.waiting() > 0 && now.monotonic_ms >= job.not_before
+    !job.cancelled && !job.record.stale && job.waiting() > 0 && now.monotonic_ms >= job.scheduling.not_before
 }
 
 fn rank(view: &SchedulingView, job: &Job) -> Rank {
     let start_within_ms = view.tuning.start_within_s * 1000.0;
-    let unstarted_ms = if job.started { 0.0 } else { view.now.wall_ms.saturating_sub(job.ready_at) as f64 };
+    let unstarted_ms =
+        if job.tasks.started { 0.0 } else { view.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 };
     let without_deadline = job.deadline().is_none();
     let inputs = &view.scheduler.ranks;
     Rank {
-        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.placed == 0),
-        priority: Reverse(job.priority),
+        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.tasks.placed_count == 0),
+        priority: Reverse(job.scheduling.priority),
         aged: Reverse(unstarted_ms > start_within_ms * AGED_SHARE),
         guaranteed: Reverse(inputs.guaranteed.contains(&job.id)),
         yield_level: inputs.yield_levels.get(&job.id).copied().unwrap_or(0),
         without_deadline,
         estimate_ms: if without_deadline { 0 } else { view.estimates.run_ms(job) },
-        ready_at: job.ready_at,
+        ready_at: job.scheduling.ready_at,
     }
 }
 
 /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
 pub(super) fn guaranteed_jobs(view: &SchedulingView) -> BTreeSet<Id> {
     let mut by_age: Vec<&Job> = view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
-    by_age.sort_by_key(|job| (job.ready_at, &job.id));
+    by_age.sort_by_key(|job| (job.scheduling.ready_at, &job.id));
     let mut team_needs: BTreeMap<&str, Resources> = BTreeMap::new();
     let mut guaranteed = BTreeSet::new();
     for job in by_age {
@@ -139,7 +140,7 @@
         return last;
     }
     let machines = view.machines.values().filter(|machine| !machine.spot && machine.answers(now, view.settings));
-    let cores = machines.map(|machine| machine.resources.cores).sum();
+    let cores = machines.map(|machine| machine.capacity.total.cores).sum();
     view.work.examined(view.machines.len());
     OnDemandCores { recount_at: now + interval_ms, cores }
 }
@@ -154,10 +155,10 @@
     let mut cores_left = on_demand.cores;
     let mut spot_work = Vec::new();
     for job in view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()) {
-        let cores = job.need.cores * i64::from(job.spec.tasks - job.done_count.min(job.spec.tasks));
+        let cores = job.need.cores * i64::from(job.spec.tasks - job.tasks.done_count.min(job.spec.tasks));
         if !job.spec.spot {
             cores_left -= cores;
-        } else if !job.offloaded {
+        } else if !job.scheduling.offloaded {
             spot_work.push(SpotWork { estimate_s: view.estimates.run_s(job), cores });
         }
     }
