--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -774,7 +774,7 @@
                 self.remove_dependencies(&job);
                 self.store.unreferenced_parts.extend(self.store.submission_parts.remove(&id));
                 self.watch.ended_jobs.insert(id.clone(), revision);
-                self.scheduler.ranks_outdated = true;
+                self.scheduler.jobs_changed();
                 let end = FinalRecord { cancelled: job.cancelled, tasks: 0, ended_at_ms: ctx.now.wall_ms };
                 self.dependency_ended(ctx, &id, &end);
             }
@@ -790,7 +790,9 @@
             }
             for id in members {
                 if let Some(m) = self.fleet.machines.get_mut(&id) {
-                    self.scheduler.pass_wanted |= !m.record.committed;
+                    if !m.record.committed {
+                        self.scheduler.request_pass();
+                    }
                     m.record.committed = true;
                 }
             }
