--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -58,7 +58,7 @@
             return false;
         }
         if m.agent.last_heard.is_none() || !m.answers(now, &ctx.settings) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         m.agent.last_heartbeat = order;
         m.agent.last_heard = Some(now);
@@ -91,7 +91,7 @@
             && let Some(f) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
         {
             resources = f.resources();
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         match r.preemption_notice_s {
             Some(s) if m.lifecycle.preempted_at.is_none() => {
@@ -110,7 +110,7 @@
         if current && !m.agent.token_confirmed {
             m.agent.token_confirmed = true;
             m.agent.unacknowledged_commands = 0;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         if current && r.token.epoch() > epoch {
             self.down = Some(StepDown::NewerToken);
@@ -239,9 +239,7 @@
                 if let (Some(start), true) = (p.running, expected > 0.0) {
                     let runtime = now.saturating_sub(start) as f64 / 1000.0;
                     job.tasks.run_times.add(now.saturating_sub(start));
-                    let class = self.scheduler.runtimes_by_class.entry(job.spec.class.clone()).or_default();
-                    class.actual += runtime;
-                    class.expected += expected;
+                    self.scheduler.record_runtime(&job.spec.class, runtime, expected);
                 }
                 // A task that began before the last failure says nothing about the machine since.
                 if let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| p.since > m.health.failed_at) {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -16,6 +16,7 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::{Recovery, ScanPosition};
 use crate::leader::scheduler::Scheduler;
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::{SplitJobRead, Store, WriteUrgency};
 use crate::leader::watch::JobWatch;
@@ -62,20 +63,6 @@
     pub answer: Option<Vec<Id>>,
 }
 
-/// Actual and estimated run time of a class's tasks.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RuntimeStatistics {
-    pub actual: f64,
-    pub expected: f64,
-}
-
-/// What a class has on machines.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct ClassUsage {
-    pub all: i64,
-    pub owned: i64,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
@@ -220,13 +207,12 @@
             self.read_parts(ctx, read);
         }
         self.run_autoscaler(ctx);
-        if self.scheduler.pass_wanted && now >= self.scheduler.next_pass_at {
-            self.scheduler.pass_wanted = false;
+        if self.scheduler.begin_pass(now) {
             self.detect_zone_partitions(ctx);
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            self.scheduler.next_pass_at =
-                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            let lag_ms = (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            self.scheduler.delay_next_pass(now + apart + lag_ms);
             self.schedule(ctx);
         }
         self.commit(ctx);
@@ -312,10 +298,8 @@
             planned: p.stage == PlacementState::Planned,
         });
         *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
-        self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
-        let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
-        usage_by_class.all += 1;
-        usage_by_class.owned += i64::from(m.owned);
+        let ownership = Ownership::from_owned(m.owned);
+        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
     }
 
@@ -335,7 +319,7 @@
         }
         self.fleet.machines.give_room(machine, &p.need);
         let m = self.fleet.machines.get(machine)?;
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
             if let Some(list) = job.tasks.placements.get_mut(&p.task) {
                 list.retain(|l| l.placement_id != placement_id);
@@ -353,13 +337,8 @@
             if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
                 *n = n.saturating_sub(1);
             }
-            if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
-                t.add(&p.need, -1);
-            }
-            if let Some(usage_by_class) = self.scheduler.usage_by_class.get_mut(&job.spec.class) {
-                usage_by_class.all -= 1;
-                usage_by_class.owned -= i64::from(m.owned);
-            }
+            let ownership = Ownership::from_owned(m.owned);
+            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
             if !done {
                 self.record_change(now, &p.job, p.task, WriteUrgency::Deferred);
--- a/crates/core/src/leader/store/apply.rs
+++ b/crates/core/src/leader/store/apply.rs
@@ -63,7 +63,7 @@
         let parts = self.store.submissions.remove(id);
         self.store.unreferenced.add_submission_parts(parts);
         self.watch.job_ended(id.clone(), revision);
-        self.scheduler.ranks_outdated = true;
+        self.scheduler.jobs_changed();
         let end = FinalRecord { cancelled: job.cancelled, tasks: 0, ended_at_ms: ctx.now.wall_ms };
         self.dependency_ended(ctx, id, &end);
     }
@@ -72,7 +72,9 @@
     fn apply_block(&mut self, write: BlockWrite, revision: Revision) {
         for id in self.store.blocks.apply_committed(write, revision) {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                self.scheduler.pass_wanted |= !machine.record.committed;
+                if !machine.record.committed {
+                    self.scheduler.request_pass();
+                }
                 machine.record.committed = true;
             }
         }
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -138,7 +138,7 @@
 
     /// Writes a second that are the leader's now.
     fn write_rate(&self, ctx: &Context) -> f64 {
-        let demand = match (ctx.accepting, self.store.queue.has_urgent_work()) {
+        let demand = match (ctx.submissions_waiting(), self.store.queue.has_urgent_work()) {
             (true, _) => WriteDemand::Submissions,
             (false, true) => WriteDemand::LeaderOnly,
             (false, false) => WriteDemand::Idle,
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -146,7 +146,7 @@
     /// A known job's record is the newest: of a job, only whether it is cancelled ever changes.
     fn update_job(&mut self, ctx: &mut Context, id: &str, record: &StoredJob, version: Revision) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         job.record.version = version;
         job.record.stale = false;
         job.record.has_cancellation_key = record.has_cancellation_key();
@@ -164,12 +164,12 @@
         if self.jobs.get(record.submission.id.as_str()).is_some_and(|job| job.record.version >= version) {
             return;
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         let mut job = Job::new(record, version);
         job.image = self.image(&job.spec.image);
         let (id, is_cancelled, is_blocked) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
-        self.scheduler.ranks_outdated = true;
+        self.scheduler.jobs_changed();
         if self.active {
             self.add_dependencies(ctx, &id);
             if is_cancelled {
@@ -215,8 +215,8 @@
             self.remove_dependencies(&job);
         }
         self.dependency_vanished(ctx.now.monotonic_ms, &id);
-        self.scheduler.ranks_outdated = true;
-        self.scheduler.pass_wanted = true;
+        self.scheduler.jobs_changed();
+        self.scheduler.request_pass();
     }
 
     /// Reads a job's record again, after a condition on it failed.
