--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,7 +1,9 @@
 //! Reads and checks the platform's settings and the operators' properties.
 
 use serde::Deserialize;
-use shaleshunt_core::settings::{Limits, ServiceObjective, Settings, TeamQuota, Tuning, renamed_key};
+use shaleshunt_core::settings::{
+    ComputeAmount, Limits, ServiceObjective, Settings, TeamQuota, Tuning, newer_names, renamed_key,
+};
 use shaleshunt_net::Wiring;
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
@@ -179,19 +181,31 @@
     let sorted: BTreeMap<String, String> = map.into_iter().collect();
     for (key, value) in &sorted {
         if let Some(new) = renamed_key(key) {
-            if sorted.contains_key(new) {
-                read.problems.push(format!("{key}: is called {new} now, which is given too"));
+            if let Some(newer) = newer_names(key).find(|newer| sorted.contains_key(*newer)) {
+                read.problems.push(given_twice(key, new, newer));
                 continue;
             }
             read.warnings.push(format!("{key}: is called {new} now"));
         }
         if let Err(problem) = read.tuning.set(key, value) {
-            read.problems.push(problem);
+            read.problems.push(problem.to_string());
         }
     }
     read
 }
 
+/// The problem of a property that is given by an earlier name and by a newer one.
+fn given_twice(earlier: &str, current: &str, newer: &str) -> String {
+    if newer == current {
+        return format!("{earlier}: is called {current} now, which is given too");
+    }
+    format!("{earlier}: is called {current} now, which is given too, as {newer}")
+}
+
+fn compute_amount(cpus: f64, gpus: f64) -> ComputeAmount {
+    ComputeAmount { cores: shaleshunt_wire::to_milli(cpus), accelerators: shaleshunt_wire::to_milli(gpus) }
+}
+
 /// Reads the platform's settings.
 pub fn parse(text: &str) -> Result<(Settings, Wiring), Vec<String>> {
     let file: File = toml::from_str(text).map_err(|e| {
@@ -252,10 +266,8 @@
     for t in &p.teams {
         let fine = [t.cpus, t.cpus_max, t.gpus, t.gpus_max].iter().all(|x| x.is_finite() && (0.0..1e9).contains(x));
         check(fine, &format!("params.teams.{}", t.name), "amounts must be numbers from 0");
-        let team = TeamQuota {
-            guarantee: (shaleshunt_wire::to_milli(t.cpus), shaleshunt_wire::to_milli(t.gpus)),
-            limit: (shaleshunt_wire::to_milli(t.cpus_max), shaleshunt_wire::to_milli(t.gpus_max)),
-        };
+        let team =
+            TeamQuota { guarantee: compute_amount(t.cpus, t.gpus), limit: compute_amount(t.cpus_max, t.gpus_max) };
         check(teams.insert(t.name.clone(), team).is_none(), &format!("params.teams.{}", t.name), "named twice");
     }
     if !problems.is_empty() {
@@ -268,7 +280,7 @@
         match o.kind.as_str() {
             "wait" => aim.start_s.extend(o.within_s),
             "finished" => aim.finish_s.extend(o.within_s),
-            "deadline" => aim.times.push(o.times.unwrap_or(1.0)),
+            "deadline" => aim.deadline_multiples.push(o.times.unwrap_or(1.0)),
             _ => {}
         }
     }
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -59,7 +59,7 @@
         .map(|machine_type| machine_type.resources().cores)
         .filter(|cores| *cores > 0)
         .min()?;
-    let limits: Vec<i64> = settings.teams.values().map(|team| team.limit.0).collect();
+    let limits: Vec<i64> = settings.teams.values().map(|team| team.limit.cores).collect();
     if limits.is_empty() || limits.contains(&0) {
         return None;
     }
--- a/crates/core/src/capacity/tests.rs
+++ b/crates/core/src/capacity/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::settings::TeamQuota;
+use crate::settings::{ComputeAmount, TeamQuota};
 use std::collections::BTreeMap;
 
 fn settings(core_share: f64, mem_mb: f64, sockets: usize) -> Settings {
@@ -25,7 +25,10 @@
     let text = r#"{"frames":[{"name":"f","cores":32.0,"cards":0.0,"ramGb":64.0,"localGb":1.0,"fetchGbPerS":1.0,
         "price":1.0,"marketPrice":1.0,"bootS":1.0,"halls":[]}]}"#;
     let catalog: Catalog = serde_json::from_str(text).unwrap();
-    let team = |cores: i64| TeamQuota { limit: (cores * 1000, 0), ..TeamQuota::default() };
+    let team = |cores: i64| TeamQuota {
+        limit: ComputeAmount { cores: cores * 1000, accelerators: 0 },
+        ..TeamQuota::default()
+    };
     let mut settings = settings(1.0, 1.0, 1);
     settings.teams = BTreeMap::from([("a".to_string(), team(64_000)), ("b".to_string(), team(64_010))]);
     assert_eq!(most_machines(&settings, &catalog), Some(4001));
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,211 +1,162 @@
-//! Settings: what the platform hands over, and the operators' own.
+//! Settings: what the platform hands over, and the operators' own ([`Tuning`]).
+
+mod tuning;
+
+pub use tuning::{PropertyEntry, PropertyError, Tuning, newer_names, renamed_key};
 
 use shaleshunt_wire::Resources;
 use std::collections::BTreeMap;
 
-/// A team's guarantee and limit; zero means none.
+/// An amount of CPUs and accelerator cards, in thousandths.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub struct ComputeAmount {
+    /// CPUs, in thousandths.
+    pub cores: i64,
+    /// Accelerator cards, in thousandths.
+    pub accelerators: i64,
+}
+
+/// A team's guarantee and limit.
 #[derive(Debug, Clone, Default)]
 pub struct TeamQuota {
-    /// Guaranteed CPUs and cards, in thousandths.
-    pub guarantee: (i64, i64),
-    /// Most CPUs and cards, in thousandths; 0 for no limit.
-    pub limit: (i64, i64),
+    /// What the team gets before other teams exceed their guarantees; zero for no guarantee.
+    pub guarantee: ComputeAmount,
+    /// The most that the team may use; zero for no limit.
+    pub limit: ComputeAmount,
 }
 
 impl TeamQuota {
     /// Whether `used` is within the limit.
     pub fn allows(&self, used: &Resources) -> bool {
-        (self.limit.0 == 0 || used.cores <= self.limit.0) && (self.limit.1 == 0 || used.accelerators <= self.limit.1)
+        let within = |limit: i64, used: i64| limit == 0 || used <= limit;
+        within(self.limit.cores, used.cores) && within(self.limit.accelerators, used.accelerators)
     }
+
     /// How many times `need` fits between `used` and the limit.
     pub fn max_tasks(&self, used: &Resources, need: &Resources) -> u32 {
-        let part = |limit: i64, used: i64, need: i64| match (limit, need) {
-            (0, _) | (_, 0) => i64::from(u32::MAX),
-            _ => (limit - used).max(0) / need,
-        };
-        let times =
-            part(self.limit.0, used.cores, need.cores).min(part(self.limit.1, used.accelerators, need.accelerators));
-        times as u32
+        let cores = times_within(self.limit.cores, used.cores, need.cores);
+        let accelerators = times_within(self.limit.accelerators, used.accelerators, need.accelerators);
+        cores.min(accelerators) as u32
     }
+
     /// Whether `used` is within the guarantee.
     pub fn guarantees(&self, used: &Resources) -> bool {
-        used.cores <= self.guarantee.0 && used.accelerators <= self.guarantee.1
+        used.cores <= self.guarantee.cores && used.accelerators <= self.guarantee.accelerators
     }
 }
 
-/// What a class of jobs is expected to do.
+/// How many times `need` fits between `used` and a limit, zero being none.
+fn times_within(limit: i64, used: i64, need: i64) -> i64 {
+    match (limit, need) {
+        (0, _) | (_, 0) => i64::from(u32::MAX),
+        _ => (limit - used).max(0) / need,
+    }
+}
+
+/// Service-level objectives of a class of jobs.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceObjective {
-    /// Tasks start within these times.
+    /// Tasks start within these times, in seconds.
     pub start_s: Vec<f64>,
-    /// Jobs are done within these times.
+    /// Jobs complete within these times, in seconds.
     pub finish_s: Vec<f64>,
-    /// Jobs are done within these multiples of their deadlines.
-    pub times: Vec<f64>,
+    /// Jobs complete within these multiples of their deadlines.
+    pub deadline_multiples: Vec<f64>,
 }
 
 impl ServiceObjective {
-    /// The shortest time for starts.
+    /// The shortest of the times within which tasks start, in seconds; `None` without such an objective.
     pub fn start(&self) -> Option<f64> {
         self.start_s.iter().copied().reduce(f64::min)
     }
-    /// The shortest time for ends.
+
+    /// The shortest of the times within which jobs complete, in seconds; `None` without such an objective.
     pub fn finish(&self) -> Option<f64> {
         self.finish_s.iter().copied().reduce(f64::min)
     }
 }
 
-/// Limits of the state service.
+const BYTES_PER_KIB: f64 = 1024.0;
+/// Share of the largest value that is used; the rest is left to what the store adds to it.
+const VALUE_FILL: f64 = 0.95;
+
+/// Limits of the key-value store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Limits {
-    /// KiB per value.
+    /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Writes per transaction.
+    /// Most writes in a transaction.
     pub txn_ops: usize,
-    /// Writes a second.
+    /// Most writes in a second.
     pub write_rps: f64,
 }
 
 impl Limits {
-    /// Bytes that one value may have, with room for its frame.
+    /// Largest value in bytes, less a margin for what the store adds.
     pub fn value_bytes(&self) -> usize {
-        (self.value_kb * 1024.0 * 0.95) as usize
+        (self.value_kb * BYTES_PER_KIB * VALUE_FILL) as usize
     }
 }
 
 /// The platform's settings, as the owner needs them.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// This node.
+    /// Name of this node.
     pub node_name: String,
-    /// Its zone.
+    /// Zone of this node.
     pub location: String,
-    /// The other nodes, with their zones.
+    /// Names and zones of the other nodes.
     pub peers: Vec<(String, String)>,
     /// All zones.
     pub zones: Vec<String>,
-    /// Teams by name.
+    /// Quotas by team.
     pub teams: BTreeMap<String, TeamQuota>,
-    /// Aims by class.
+    /// Service-level objectives by class of jobs.
     pub objectives: BTreeMap<String, ServiceObjective>,
-    /// Interval between reports.
+    /// Interval between an agent's heartbeats, in seconds.
     pub heartbeat_interval_s: f64,
-    /// Workers' lease.
+    /// An agent's lease, in seconds: it stops its tasks when the lease expires.
     pub lease_s: f64,
-    /// Time in which a cancelled job must be gone.
+    /// Time within which a cancelled job must have stopped everywhere, in seconds.
     pub cancel_s: f64,
-    /// State service: requests a second.
+    /// Key-value store: most requests in a second.
     pub kv_rps: f64,
-    /// State service: its limits today.
+    /// Key-value store: its present limits.
     pub state: Limits,
-    /// State service: its limits from some moment on, of which nobody tells.
+    /// Key-value store: limits that come into force at a time that is not announced.
     pub state_next: Option<Limits>,
-    /// Cloud: requests a second.
+    /// Cloud: most requests in a second.
     pub cloud_rps: f64,
-    /// Cloud: how old a list is.
+    /// Cloud: how far its list of machines lags behind, in seconds.
     pub machine_list_lag_s: f64,
-    /// Memory limit.
+    /// Memory that this process may use, in MiB.
     pub mem_mb: f64,
-    /// Share of a core.
+    /// Share of a processor core that this process may use.
     pub core_share: f64,
-    /// Most open sockets.
+    /// Most sockets that this process may have open.
     pub sockets: usize,
 }
 
-/// Keys of earlier versions with their names of today. They are still read.
-const RENAMED: [(&str, &str); 2] =
-    [("floor.silent-reports", "machine.silent-reports"), ("floor.sick-s", "machine.sick-s")];
-
-/// The name of today of a key that has been renamed.
-pub fn renamed_key(key: &str) -> Option<&'static str> {
-    RENAMED.iter().find(|(old, _)| *old == key).map(|(_, new)| *new)
-}
-
-macro_rules! tuning {
-    ($($(#[doc = $doc:literal])* $field:ident = $key:literal : $default:expr, $low:expr, $high:expr;)*) => {
-        /// The operators' own settings. Every one has a default; `deploy/shaleshunt.properties` lists them.
-        #[derive(Debug, Clone, PartialEq)]
-        pub struct Tuning { $($(#[doc = $doc])* pub $field: f64,)* }
-        impl Default for Tuning {
-            fn default() -> Self { Tuning { $($field: $default,)* } }
-        }
-        impl Tuning {
-            /// Every key with its value and its least and greatest value.
-            pub fn entries(&self) -> Vec<(&'static str, f64, f64, f64)> { vec![$(($key, self.$field, $low, $high),)*] }
-            /// Sets a key; says what is wrong with it otherwise.
-            pub fn set(&mut self, key: &str, value: &str) -> Result<(), String> {
-                let key = renamed_key(key).unwrap_or(key);
-                let number: f64 = value.trim().parse().map_err(|_| format!("{key}: not a number: {value}"))?;
-                match key {
-                    $($key => {
-                        if !(number.is_finite() && ($low..=$high).contains(&number)) {
-                            return Err(format!("{key}: must be from {} to {}, not {value}", $low, $high));
-                        }
-                        self.$field = number;
-                    })*
-                    _ => return Err(format!("{key}: no such property")),
-                }
-                Ok(())
-            }
-        }
-    };
-}
-
-tuning! {
-    /// A task with less slack than this goes to rented machines (design: boot allowance).
-    boot_allowance_s = "slack.boot-allowance-s": 60.0, 0.0, 3600.0;
-    /// Jobs without a deadline rent after this wait.
-    scale_out_wait_s = "rent.plain-wait-s": 60.0, 0.0, 86400.0;
-    /// Share of a class's aim, less a boot, that its jobs wait before they rent.
-    objective_share = "rent.aim-share": 0.25, 0.0, 1.0;
-    /// Room is kept for as much as arrived within so many boot times.
-    reserve_boot_times = "rent.reserve-boots": 2.0, 0.0, 20.0;
-    /// Interval between rounds of renting.
-    autoscaler_interval_s = "rent.round-s": 1.0, 0.1, 60.0;
-    /// A rented machine without work goes back after this time.
-    idle_before_scale_in_s = "rent.idle-s": 45.0, 1.0, 86400.0;
-    /// Share of the cloud's request rate that hires use.
-    scale_out_request_share = "rent.call-share": 0.4, 0.01, 1.0;
-    /// A job of which nothing has begun after half of this time goes before others of its urgency,
-    /// and after three quarters one task of it goes before everything.
-    start_within_s = "queue.begin-within-s": 240.0, 1.0, 86400.0;
-    /// Machines looked at, as a sample, when less urgent work is to make room.
-    sample = "queue.sample": 64.0, 1.0, 100000.0;
-    /// Machines examined for room in one pass over the queue before a sample is looked at for each further job.
-    pass_machines = "queue.machines-per-pass": 40000.0, 1.0, 10000000.0;
-    /// Passes over the queue in a reporting interval, at most.
-    passes_per_heartbeat = "queue.passes-per-report": 80.0, 1.0, 1000.0;
-    /// Term of a block of owned machines.
-    zone_lease_term_s = "block.term-s": 30.0, 1.0, 600.0;
-    /// The leader's lease at the state service, in reporting intervals of the workers.
-    leader_lease_intervals = "lead.life-reports": 0.7, 0.2, 10.0;
-    /// Share of the state service's write rate that the leader uses.
-    write_share = "state.write-share": 0.7, 0.1, 1.0;
-    /// Share of the state service's request rate that the leader's transactions use.
-    request_share = "state.request-share": 0.2, 0.01, 1.0;
-    /// A rented machine silent for so many reporting intervals is returned.
-    missed_heartbeats = "machine.silent-reports": 3.0, 2.0, 100.0;
-    /// A machine that failed is tried again after this time, doubled each time.
-    quarantine_s = "machine.sick-s": 45.0, 1.0, 3600.0;
-}
-
 impl Settings {
-    /// How long a node may go without news from the state service and still renew workers' leases:
-    /// a cancellation that it missed just after its last news must be over, lease and all, within
-    /// `cancel_s`. The margin covers clocks (0.05% each way) and timers that fire late.
+    /// How long a controller may go without an answer from the key-value store and still renew agents' leases, in
+    /// milliseconds: a cancellation that it missed just after the last answer must have taken effect, lease expiry
+    /// included, within `cancel_s`. The margin covers clocks (0.05% each way) and timers that fire late.
     pub fn lease_renewal_window_ms(&self) -> u64 {
-        let margin = (self.cancel_s * 0.015).max(0.2);
-        ((self.cancel_s - self.lease_s * 1.002 - margin).max(0.0) * 1000.0) as u64
+        let margin_s = (self.cancel_s * 0.015).max(0.2);
+        ((self.cancel_s - self.lease_s * 1.002 - margin_s).max(0.0) * 1000.0) as u64
     }
-    /// Time after which a lease has surely run out, counted from the last report received.
+
+    /// Time after which a lease has surely expired, counted from the last heartbeat received, in milliseconds.
     pub fn lease_expiry_ms(&self) -> u64 {
         (self.lease_s * 1002.0 + self.heartbeat_interval_s * 100.0) as u64
     }
-    /// Longest time between two batches of a node that is not short of processor time.
+
+    /// Longest time between two batches of a process that is not short of processor time, in milliseconds.
     pub fn max_batch_interval_ms(&self) -> u64 {
         (self.heartbeat_interval_s * 1000.0 / 60.0) as u64
     }
-    /// Reporting interval in milliseconds.
+
+    /// Interval between an agent's heartbeats, in milliseconds.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         (self.heartbeat_interval_s * 1000.0) as u64
     }
