--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -1,4 +1,4 @@
-//! What a controller needs for a fleet, against what its settings grant: for warnings, not for limits.
+//! What a controller needs for a fleet compared with what its settings grant: for warnings, not for limits.
 //!
 //! The needs were measured with the real program and stand-in machines on loopback at 4,000 machines
 //! (`docs/limits.md`), with a margin.
@@ -7,8 +7,8 @@
 use shaleshunt_wire::cloud::Catalog;
 use std::fmt;
 
-/// Share of a core for one report a second, with the work that follows from it.
-const CORE_PER_REPORT: f64 = 0.16e-3;
+/// Share of a core for one heartbeat a second, with the work that follows from it.
+const CORE_PER_HEARTBEAT: f64 = 0.16e-3;
 /// Memory without any machine, in MiB.
 const BASE_MIB: f64 = 10.0;
 /// Memory for a machine with its connection and its part of the jobs, in MiB.
@@ -21,13 +21,13 @@
 /// A setting that grants less than a fleet needs.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TooSmall {
-    /// The setting.
+    /// The setting's path in the settings file.
     pub field: &'static str,
-    /// What it grants.
+    /// What it grants, in the setting's unit.
     pub value: f64,
-    /// The least that is enough.
+    /// The least value that is enough.
     pub least: f64,
-    /// For so many machines.
+    /// The number of machines that it is compared for.
     pub machines: u32,
 }
 
@@ -41,12 +41,13 @@
 /// Which settings grant less than so many machines need.
 pub fn too_small(settings: &Settings, machines: u32) -> Vec<TooSmall> {
     let fleet = f64::from(machines);
-    let open_dependencies = [
-        ("params.resources.core_share", settings.core_share, fleet / settings.heartbeat_interval_s * CORE_PER_REPORT),
+    let heartbeats_per_s = fleet / settings.heartbeat_interval_s;
+    let requirements = [
+        ("params.resources.core_share", settings.core_share, heartbeats_per_s * CORE_PER_HEARTBEAT),
         ("params.resources.mem_mb", settings.mem_mb, BASE_MIB + fleet * MIB_PER_MACHINE),
         ("params.resources.fd_limit", settings.sockets as f64, BASE_SOCKETS + fleet * SOCKETS_PER_MACHINE),
     ];
-    let small = open_dependencies.into_iter().filter(|(_, value, least)| value < least);
+    let small = requirements.into_iter().filter(|(_, value, least)| value < least);
     small.map(|(field, value, least)| TooSmall { field, value, least, machines }).collect()
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,12 +1,20 @@
-//! What a node logs: typed events with a stable name and named values. Whoever runs the node renders them.
+//! What a controller logs: typed events with a stable name, a severity and named values.
+//!
+//! The core only emits events, as effects in order; the process around it renders them.
+
+mod fields;
+mod figures;
+mod value;
+
+pub use crate::leader::step_down::{ForeignWrite, StepDown};
+pub use figures::LeaderFigures;
+pub use value::EventValue;
 
 use crate::capacity::TooSmall;
 use crate::io::Severity;
-pub use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::model::Id;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::ExitCause;
-use std::borrow::Cow;
 use std::fmt;
 
 /// Something that happened, for the log.
@@ -190,117 +198,6 @@
     },
 }
 
-/// Figures of a leader: how much there is to do, and what holds it up.
-#[derive(Debug, Clone, Default, PartialEq)]
-pub struct LeaderFigures {
-    /// Unfinished jobs.
-    pub jobs: usize,
-    /// Tasks that wait for a place.
-    pub tasks_waiting: u32,
-    /// Machines that may get tasks.
-    pub machines_usable: usize,
-    /// Known machines.
-    pub machines: usize,
-    /// Transactions sent since the last figures.
-    pub transactions: u32,
-    /// Writes in them for jobs and their ends.
-    pub writes_ends: u32,
-    /// Writes in them of pages of task facts.
-    pub writes_pages: u32,
-    /// Writes in them of blocks of machines.
-    pub writes_blocks: u32,
-    /// Other writes in them.
-    pub writes_other: u32,
-    /// Writes that the rate limit allows at once.
-    pub write_budget: f64,
-    /// Ends to be written.
-    pub ends_pending: usize,
-    /// Jobs to be written at once.
-    pub jobs_pending: usize,
-    /// Jobs that may be written later.
-    pub jobs_deferred: usize,
-    /// Pages of task facts.
-    pub pages: usize,
-    /// Whether a transaction is under way.
-    pub transaction_in_flight: bool,
-}
-
-/// The value of an event's field.
-#[derive(Debug, Clone, PartialEq)]
-pub enum EventValue<'a> {
-    /// A name or a reason.
-    Text(Cow<'a, str>),
-    /// A count or a number that identifies something.
-    Count(u64),
-    /// A measure; rendered with three decimals at most.
-    Number(f64),
-    /// Yes or no.
-    Flag(bool),
-}
-
-impl<'a> From<&'a str> for EventValue<'a> {
-    fn from(text: &'a str) -> Self {
-        EventValue::Text(Cow::Borrowed(text))
-    }
-}
-
-impl From<String> for EventValue<'_> {
-    fn from(text: String) -> Self {
-        EventValue::Text(Cow::Owned(text))
-    }
-}
-
-impl From<Epoch> for EventValue<'_> {
-    fn from(epoch: Epoch) -> Self {
-        EventValue::Count(epoch.0)
-    }
-}
-
-impl From<u64> for EventValue<'_> {
-    fn from(count: u64) -> Self {
-        EventValue::Count(count)
-    }
-}
-
-impl From<u32> for EventValue<'_> {
-    fn from(count: u32) -> Self {
-        EventValue::Count(count.into())
-    }
-}
-
-impl From<usize> for EventValue<'_> {
-    fn from(count: usize) -> Self {
-        EventValue::Count(count as u64)
-    }
-}
-
-impl From<f64> for EventValue<'_> {
-    fn from(number: f64) -> Self {
-        EventValue::Number(number)
-    }
-}
-
-impl From<bool> for EventValue<'_> {
-    fn from(flag: bool) -> Self {
-        EventValue::Flag(flag)
-    }
-}
-
-impl fmt::Display for EventValue<'_> {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            // Quoted where it would not be one word, so that a line stays one line and can be split.
-            EventValue::Text(text) => {
-                let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '=' | '"' | '\\');
-                if !text.is_empty() && text.chars().all(plain) { write!(f, "{text}") } else { write!(f, "{text:?}") }
-            }
-            EventValue::Count(count) => write!(f, "{count}"),
-            EventValue::Number(number) => write!(f, "{}", (number * 1000.0).round() / 1000.0),
-            EventValue::Flag(flag) => write!(f, "{flag}"),
-        }
-    }
-}
-
 impl Event {
     /// How much it matters to an operator.
     pub fn severity(&self) -> Severity {
@@ -376,103 +273,12 @@
         }
     }
 
-    /// Its fields, by name.
-    pub fn fields(&self) -> Vec<(&'static str, EventValue<'_>)> {
-        match self {
-            Event::LeaderElected { epoch } => vec![("epoch", (*epoch).into())],
-            Event::LeaderStateLoaded { epoch, jobs, machines } => {
-                vec![("epoch", (*epoch).into()), ("jobs", (*jobs).into()), ("machines", (*machines).into())]
-            }
-            Event::LeaderSteppedDown { epoch, reason } => vec![
-                ("epoch", (*epoch).into()),
-                ("reason", reason.name().into()),
-                ("detail", reason.to_string().into()),
-            ],
-            Event::LeaderStatus(figures) => figures.fields(),
-            Event::StateServiceRelayStarted { peer } => vec![("peer", peer.as_str().into())],
-            Event::StateServiceRelayEnded => Vec::new(),
-            Event::WriteRateReduced { writes_per_s } => vec![("writes_per_s", (*writes_per_s).into())],
-            Event::TransactionRejected { reason } => vec![("reason", reason.as_str().into())],
-            Event::RecordUnreadable { key } => vec![("key", key.as_str().into())],
-            Event::SubmissionPartsUnreadable { prefix } => vec![("prefix", prefix.as_str().into())],
-            Event::JobAccepted { job }
-            | Event::JobCancellationRecorded { job }
-            | Event::JobCancelled { job }
-            | Event::JobCompleted { job }
-            | Event::JobDependenciesMet { job }
-            | Event::JobCancelledByDependency { job }
-            | Event::JobOffloaded { job } => vec![("job", (&**job).into())],
-            Event::TaskFailed { task, machine, cause } => vec![
-                ("task", task.as_str().into()),
-                ("machine", (&**machine).into()),
-                ("cause", format!("{cause:?}").into()),
-            ],
-            Event::TasksPreempted { machine, job, tasks } => {
-                vec![("machine", (&**machine).into()), ("job", (&**job).into()), ("tasks", (*tasks).into())]
-            }
-            Event::MachineAdopted { machine }
-            | Event::MachineSlow { machine }
-            | Event::ScaleInCompleted { machine } => vec![("machine", (&**machine).into())],
-            Event::MachineInterruptionNotice { machine, seconds_left } => {
-                vec![("machine", (&**machine).into()), ("seconds_left", (*seconds_left).into())]
-            }
-            Event::MachineLeaseExpired { machine, tasks } => {
-                vec![("machine", (&**machine).into()), ("tasks", (*tasks).into())]
-            }
-            Event::MachineQuarantined { machine, seconds } => {
-                vec![("machine", (&**machine).into()), ("seconds", (*seconds).into())]
-            }
-            Event::ZoneUnreachable { zone } => vec![("zone", zone.as_str().into())],
-            Event::OwnedMachinesRecorded { machines } => vec![("machines", (*machines).into())],
-            Event::SettingTooSmall(TooSmall { field, value, least, machines }) => vec![
-                ("setting", (*field).into()),
-                ("value", (*value).into()),
-                ("least", (*least).into()),
-                ("machines", (*machines).into()),
-            ],
-            Event::ScaleOutGranted { request, zone, granted, requested } => vec![
-                ("request", request.as_str().into()),
-                ("zone", zone.as_str().into()),
-                ("granted", (*granted).into()),
-                ("requested", (*requested).into()),
-            ],
-            Event::ScaleOutNoCapacity { request, zone } => {
-                vec![("request", request.as_str().into()), ("zone", zone.as_str().into())]
-            }
-            Event::ScaleOutRejected { request, reason } => {
-                vec![("request", request.as_str().into()), ("reason", reason.as_str().into())]
-            }
-        }
-    }
-
     /// Its fields as `key=value`, separated by spaces.
     pub fn details(&self) -> Details<'_> {
         Details(self)
     }
 }
 
-impl LeaderFigures {
-    fn fields(&self) -> Vec<(&'static str, EventValue<'static>)> {
-        vec![
-            ("jobs", self.jobs.into()),
-            ("tasks_waiting", self.tasks_waiting.into()),
-            ("machines_usable", self.machines_usable.into()),
-            ("machines", self.machines.into()),
-            ("transactions", self.transactions.into()),
-            ("writes_ends", self.writes_ends.into()),
-            ("writes_pages", self.writes_pages.into()),
-            ("writes_blocks", self.writes_blocks.into()),
-            ("writes_other", self.writes_other.into()),
-            ("write_budget", self.write_budget.round().into()),
-            ("ends_pending", self.ends_pending.into()),
-            ("jobs_pending", self.jobs_pending.into()),
-            ("jobs_deferred", self.jobs_deferred.into()),
-            ("pages", self.pages.into()),
-            ("transaction_in_flight", self.transaction_in_flight.into()),
-        ]
-    }
-}
-
 /// An event's fields, rendered when they are written.
 #[derive(Debug, Clone, Copy)]
 pub struct Details<'a>(&'a Event);
--- /dev/null
+++ b/crates/core/src/event/fields.rs
@@ -0,0 +1,82 @@
+//! The fields of each event, by name.
+
+use super::{Event, EventValue};
+use crate::capacity::TooSmall;
+
+/// A field's name, which stays the same between versions, and its value.
+type Field<'a> = (&'static str, EventValue<'a>);
+
+fn field<'a>(name: &'static str, value: impl Into<EventValue<'a>>) -> Field<'a> {
+    (name, value.into())
+}
+
+impl Event {
+    /// Its fields, by name.
+    pub fn fields(&self) -> Vec<Field<'_>> {
+        match self {
+            Event::LeaderElected { epoch } => vec![field("epoch", *epoch)],
+            Event::LeaderStateLoaded { epoch, jobs, machines } => {
+                vec![field("epoch", *epoch), field("jobs", *jobs), field("machines", *machines)]
+            }
+            Event::LeaderSteppedDown { epoch, reason } => {
+                vec![field("epoch", *epoch), field("reason", reason.name()), field("detail", reason.to_string())]
+            }
+            Event::LeaderStatus(figures) => figures.fields(),
+            Event::StateServiceRelayStarted { peer } => vec![field("peer", peer.as_str())],
+            Event::StateServiceRelayEnded => Vec::new(),
+            Event::WriteRateReduced { writes_per_s } => vec![field("writes_per_s", *writes_per_s)],
+            Event::TransactionRejected { reason } => vec![field("reason", reason.as_str())],
+            Event::RecordUnreadable { key } => vec![field("key", key.as_str())],
+            Event::SubmissionPartsUnreadable { prefix } => vec![field("prefix", prefix.as_str())],
+            Event::JobAccepted { job }
+            | Event::JobCancellationRecorded { job }
+            | Event::JobCancelled { job }
+            | Event::JobCompleted { job }
+            | Event::JobDependenciesMet { job }
+            | Event::JobCancelledByDependency { job }
+            | Event::JobOffloaded { job } => vec![field("job", &**job)],
+            Event::TaskFailed { task, machine, cause } => {
+                vec![field("task", task.as_str()), field("machine", &**machine), field("cause", format!("{cause:?}"))]
+            }
+            Event::TasksPreempted { machine, job, tasks } => {
+                vec![field("machine", &**machine), field("job", &**job), field("tasks", *tasks)]
+            }
+            Event::MachineAdopted { machine }
+            | Event::MachineSlow { machine }
+            | Event::ScaleInCompleted { machine } => vec![field("machine", &**machine)],
+            Event::MachineInterruptionNotice { machine, seconds_left } => {
+                vec![field("machine", &**machine), field("seconds_left", *seconds_left)]
+            }
+            Event::MachineLeaseExpired { machine, tasks } => {
+                vec![field("machine", &**machine), field("tasks", *tasks)]
+            }
+            Event::MachineQuarantined { machine, seconds } => {
+                vec![field("machine", &**machine), field("seconds", *seconds)]
+            }
+            Event::ZoneUnreachable { zone } => vec![field("zone", zone.as_str())],
+            Event::OwnedMachinesRecorded { machines } => vec![field("machines", *machines)],
+            Event::SettingTooSmall(shortage) => shortage_fields(shortage),
+            Event::ScaleOutGranted { request, zone, granted, requested } => vec![
+                field("request", request.as_str()),
+                field("zone", zone.as_str()),
+                field("granted", *granted),
+                field("requested", *requested),
+            ],
+            Event::ScaleOutNoCapacity { request, zone } => {
+                vec![field("request", request.as_str()), field("zone", zone.as_str())]
+            }
+            Event::ScaleOutRejected { request, reason } => {
+                vec![field("request", request.as_str()), field("reason", reason.as_str())]
+            }
+        }
+    }
+}
+
+fn shortage_fields(shortage: &TooSmall) -> Vec<Field<'_>> {
+    vec![
+        field("setting", shortage.field),
+        field("value", shortage.value),
+        field("least", shortage.least),
+        field("machines", shortage.machines),
+    ]
+}
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,14 +1,16 @@
-//! The scheduler itself, as one deterministic owner of all state: commands go in, effects come
-//! out. It does no I/O and reads no clock; whoever runs it hands over the time with every batch.
+//! The controller's core: a deterministic state machine that owns all state. Commands go in, effects come out.
 //!
-//! - [`node::Controller`] is what a process runs: users' requests, leadership and, while it leads, the
-//!   scheduler.
-//! - `awaits` lets jobs wait for others; `parts` keeps submissions that take more than a value; `limits` follows what the state service grants.
-//! - `leader` keeps what only the leader knows; `commit` writes it to the state service, the facts
-//!   about tasks on `pages`; `reports` takes in what machines say, `orders` tells them what
-//!   to do, `silence` and `failing` watch them, `fleet` keeps them; `queue` orders jobs, `place` chooses machines,
-//!   `preemption` makes room on them, `send_out` sends jobs to rented ones; `rent` talks to the cloud;
-//!   `event` names what is logged.
+//! It does no I/O and reads no clock; the process around it hands over the time with every batch and carries out the
+//! effects in order.
+//!
+//! - [`controller`]: one process, [`Controller`]. Composes leader election, users' requests and the leader.
+//! - `api`: users' submissions, queries and cancellations, on any node.
+//! - `leader`: the work of the leader. Composes `store` (writes to the key-value store), `scheduler` (queue,
+//!   placement, preemption, offloading), `fleet` (machines, heartbeats, commands, health), `autoscaler` (scale out and
+//!   in) and recovery at a failover.
+//! - [`model`]: jobs, machines and placements. [`records`]: their stored forms and keys.
+//! - [`settings`], `store_limits`, [`capacity`]: what the platform grants.
+//! - [`io`]: commands and effects. [`event`]: what is logged. [`work_counters`]: work done, for tests.
 
 pub mod capacity;
 pub mod controller;
--- a/crates/core/src/store_limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -1,44 +1,60 @@
-//! What the state service grants: how large a value and a transaction may be, and how many changes a
-//! second it takes. Sizes are the smaller of today's and of those that will come, so the moment at
-//! which they change does not matter. The rate is today's for as long as it is granted: refusals show
-//! its fall. Limits that fall without notice show as rejected requests and as refusals too.
+//! Limits of the key-value store that are in force: sizes of values and transactions, and the rate of writes.
+//!
+//! Sizes are the smaller of the present ones and of those announced for later, so the time at which they change does
+//! not matter. The rate is the present one until throttling shows that it has fallen. Limits that fall unannounced
+//! show as rejected requests and as throttling too.
+//!
+//! What always holds: sizes never grow; the rate stays between a floor and the ceiling last known to be granted.
 
 use crate::settings::{Limits, Settings};
 
 /// A value never shrinks below this, in KiB: a job's record takes about half of it.
-const LEAST_VALUE_KB: f64 = 1.0;
-/// A transaction never shrinks below this: an end takes three changes.
-const LEAST_OPS: usize = 3;
-/// So many refusals more than grants show that the rate has fallen as was announced; without a word
-/// it takes more.
-const REFUSALS: u32 = 4;
-const REFUSALS_UNTOLD: u32 = 16;
-/// What a rate that nobody announced falls to, and rises by in a reporting interval. It falls once in
-/// an interval: refusals go on for a while after the fall, until the debt is paid.
-const FALL: f64 = 0.85;
-const RISE: f64 = 1.03;
-/// It never falls below this share, and one that was announced not below that share.
-const LEAST_RATE: f64 = 0.5;
-const LEAST_ANNOUNCED: f64 = 0.85;
+const MIN_VALUE_KB: f64 = 1.0;
+/// A transaction never shrinks below this many writes: the end of a job takes three.
+const MIN_OPS: usize = 3;
+/// This many throttled transactions, less those carried out, show that the rate has fallen as announced.
+const THROTTLED_IF_ANNOUNCED: u32 = 4;
+/// It takes this many if nothing was announced.
+const THROTTLED_IF_UNANNOUNCED: u32 = 16;
+/// Factor of an unannounced decrease. The rate decreases once in a heartbeat interval: throttling goes on for a
+/// while afterwards, until the excess has been worked off.
+const DECREASE: f64 = 0.85;
+/// Factor by which a decreased rate grows in a heartbeat interval.
+const INCREASE: f64 = 1.03;
+/// The rate never falls below this share of the granted one.
+const MIN_RATE_SHARE: f64 = 0.5;
+/// An announced rate never falls below this share of it.
+const MIN_ANNOUNCED_RATE_SHARE: f64 = 0.85;
+/// Bytes that a machine takes in its block's record, images included.
+const BYTES_PER_MACHINE: usize = 200;
+/// Bytes of half a present value for each machine of a block: a change writes the whole block, so large values are
+/// not filled.
+const HALF_VALUE_BYTES_PER_MACHINE: usize = 180;
+/// Machines that a block may hold however small half a value is.
+const MIN_BLOCK_MACHINES: usize = 9;
 
 /// Limits in force, as far as this process knows.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreLimits {
     now: Limits,
-    /// Half of a value as it is today: a page is written again and again until it is full.
+    /// Half of the present largest value, in bytes: a page is written again and again until it is full.
     half_value: usize,
-    next_rate: Option<f64>,
-    /// The rate that is strived for.
+    /// A lower rate that was announced and is not in force yet.
+    announced_rate: Option<f64>,
+    /// The rate that is aimed for.
     ceiling: f64,
-    least: f64,
-    refusals: u32,
-    fell_at: u64,
-    risen_at: u64,
+    /// The rate never falls below this.
+    floor: f64,
+    /// Throttled transactions, less those carried out.
+    throttled: u32,
+    decreased_at: u64,
+    increased_at: u64,
 }
 
 impl StoreLimits {
-    pub fn new(set: &Settings) -> StoreLimits {
-        let (today, next) = (&set.state, set.state_next.as_ref());
+    /// The limits that the settings name.
+    pub fn new(settings: &Settings) -> StoreLimits {
+        let (today, next) = (&settings.state, settings.state_next.as_ref());
         let now = Limits {
             value_kb: next.map_or(today.value_kb, |n| n.value_kb.min(today.value_kb)),
             txn_ops: next.map_or(today.txn_ops, |n| n.txn_ops.min(today.txn_ops)),
@@ -46,78 +62,88 @@
         };
         StoreLimits {
             half_value: today.value_bytes() / 2,
-            next_rate: next.map(|n| n.write_rps).filter(|r| *r < today.write_rps),
+            announced_rate: next.map(|n| n.write_rps).filter(|r| *r < today.write_rps),
             ceiling: now.write_rps,
-            least: now.write_rps * LEAST_RATE,
-            refusals: 0,
-            fell_at: 0,
-            risen_at: 0,
+            floor: now.write_rps * MIN_RATE_SHARE,
+            throttled: 0,
+            decreased_at: 0,
+            increased_at: 0,
             now,
         }
     }
-    /// Writes per transaction.
+
+    /// Most writes in a transaction.
     pub fn ops(&self) -> usize {
         self.now.txn_ops
     }
-    /// Conditions per transaction.
+
+    /// Most conditions in a transaction.
     pub fn conditions(&self) -> usize {
         self.now.txn_ops * shaleshunt_wire::CONDITIONS_PER_WRITE
     }
-    /// Writes a second.
+
+    /// Writes in a second.
     pub fn rate(&self) -> f64 {
         self.now.write_rps
     }
-    /// Bytes that one value may have, with room for its frame.
+
+    /// Largest value in bytes, less a margin for what the store adds.
     pub fn value_bytes(&self) -> usize {
         self.now.value_bytes()
     }
-    /// Bytes of a page of facts: half of a value as it is today, so that writing the newest one again
-    /// stays cheap, or all of a smaller one.
+
+    /// Bytes of a page of task facts: half of a present value, so that writing the newest page again stays cheap, or
+    /// all of a value that is smaller.
     pub fn page_bytes(&self) -> usize {
         self.half_value.min(self.value_bytes())
     }
-    /// Machines that are kept in one key: with images they take some 200 bytes each, and large values
-    /// hold fewer than would fit, since a change writes them all.
+
+    /// Machines that are kept in one block.
     pub fn block_machines(&self) -> usize {
-        (self.value_bytes() / 200).clamp(1, (self.half_value / 180).max(9))
+        let most = (self.half_value / HALF_VALUE_BYTES_PER_MACHINE).max(MIN_BLOCK_MACHINES);
+        (self.value_bytes() / BYTES_PER_MACHINE).clamp(1, most)
     }
-    /// A request was called too large: what follows is smaller. False if it cannot be.
+
+    /// A request was rejected as too large: later ones are made smaller. False if they cannot be.
     pub fn too_large(&mut self) -> bool {
-        let least = self.now.txn_ops <= LEAST_OPS && self.now.value_kb <= LEAST_VALUE_KB;
-        self.now.txn_ops = (self.now.txn_ops / 2).max(LEAST_OPS.min(self.now.txn_ops));
-        self.now.value_kb = (self.now.value_kb / 2.0).max(LEAST_VALUE_KB.min(self.now.value_kb));
-        !least
+        let smallest = self.now.txn_ops <= MIN_OPS && self.now.value_kb <= MIN_VALUE_KB;
+        self.now.txn_ops = (self.now.txn_ops / 2).max(MIN_OPS.min(self.now.txn_ops));
+        self.now.value_kb = (self.now.value_kb / 2.0).max(MIN_VALUE_KB.min(self.now.value_kb));
+        !smallest
     }
-    /// Changes were carried out.
+
+    /// A transaction was carried out.
     pub fn carried_out(&mut self) {
-        self.refusals = self.refusals.saturating_sub(1);
+        self.throttled = self.throttled.saturating_sub(1);
     }
-    /// The leader's changes were refused as too many, though it keeps to its share. True if the rate is
-    /// taken to have fallen.
+
+    /// The leader's writes were throttled, though it keeps to its share. True if the rate is taken to have fallen.
     pub fn refused(&mut self, now: u64, heartbeat_interval_ms: u64) -> bool {
-        if self.fell_at > 0 && now.saturating_sub(self.fell_at) < heartbeat_interval_ms {
+        if self.decreased_at > 0 && now.saturating_sub(self.decreased_at) < heartbeat_interval_ms {
             return false;
         }
-        self.refusals += 1;
-        if self.refusals < if self.next_rate.is_some() { REFUSALS } else { REFUSALS_UNTOLD } {
+        self.throttled += 1;
+        let needed = if self.announced_rate.is_some() { THROTTLED_IF_ANNOUNCED } else { THROTTLED_IF_UNANNOUNCED };
+        if self.throttled < needed {
             return false;
         }
-        (self.refusals, self.fell_at, self.risen_at) = (0, now, now);
+        (self.throttled, self.decreased_at, self.increased_at) = (0, now, now);
         let before = self.now.write_rps;
-        match self.next_rate.take() {
+        match self.announced_rate.take() {
             Some(rate) => {
                 (self.ceiling, self.now.write_rps) = (rate, rate);
-                self.least = rate * LEAST_ANNOUNCED;
+                self.floor = rate * MIN_ANNOUNCED_RATE_SHARE;
             }
-            None => self.now.write_rps = (before * FALL).max(self.least),
+            None => self.now.write_rps = (before * DECREASE).max(self.floor),
         }
         self.now.write_rps < before
     }
-    /// Time passes: a rate that fell without notice is tried again, little by little.
+
+    /// Raises a rate that fell unannounced again, little by little.
     pub fn run_due(&mut self, now: u64, heartbeat_interval_ms: u64) {
-        if now.saturating_sub(self.risen_at) >= heartbeat_interval_ms {
-            self.risen_at = now;
-            self.now.write_rps = (self.now.write_rps * RISE).min(self.ceiling);
+        if now.saturating_sub(self.increased_at) >= heartbeat_interval_ms {
+            self.increased_at = now;
+            self.now.write_rps = (self.now.write_rps * INCREASE).min(self.ceiling);
         }
     }
 }
