--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,4 +1,4 @@
-//! What goes into the owner and what comes out of it.
+//! Commands that go into a controller, effects that come out, and the requests and replies that they carry.
 
 use crate::event::Event;
 use serde::{Deserialize, Serialize};
@@ -8,37 +8,37 @@
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply};
 
-/// The time of one batch.
+/// The time of a batch of commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
     /// Steady clock, in milliseconds.
     pub monotonic_ms: u64,
-    /// Time of day, in milliseconds since 1970; only for deadlines, never for safety.
+    /// Time of day, in milliseconds since the Unix epoch; only for deadlines, never for safety.
     pub wall_ms: u64,
 }
 
-/// A request to the state service.
+/// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum KvRequest {
-    /// One key.
+    /// Reads one key.
     Get {
         /// The key.
         key: String,
     },
-    /// A page of keys.
+    /// Reads a page of keys.
     Scan {
-        /// What the keys begin with.
+        /// Prefix of the keys.
         prefix: String,
-        /// Key to begin after.
+        /// The page begins after this key.
         after: String,
     },
-    /// A transaction.
+    /// Commits writes if all conditions hold (compare-and-swap).
     #[serde(rename = "Txn")]
     Transaction(Transaction),
-    /// A new lease.
+    /// Grants a new lease.
     #[serde(rename = "NewHold")]
     GrantLease {
-        /// Time to live without renewal.
+        /// Time to live without renewal, in milliseconds.
         #[serde(rename = "life_ms")]
         ttl_ms: u64,
     },
@@ -48,7 +48,7 @@
         /// The lease.
         pass: u64,
     },
-    /// Ends a lease.
+    /// Revokes a lease, and removes the keys attached to it.
     #[serde(rename = "EndHold")]
     RevokeLease {
         /// The lease.
@@ -56,63 +56,63 @@
     },
     /// Waits for changes.
     Watch {
-        /// What the keys begin with.
+        /// Prefix of the keys.
         prefix: String,
-        /// Revision to begin after.
+        /// Only changes after this revision.
         after: Revision,
-        /// How long to wait.
+        /// Longest wait for a change, in milliseconds.
         hold_ms: u64,
     },
 }
 
-/// The state service's answer.
+/// The key-value store's reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvReply {
-    /// A key that is there.
+    /// The key with its value.
     Found(KeyValue),
-    /// A key or lease that is not there.
+    /// There is no such key or lease.
     Missing,
     /// A page of keys.
     Page(Page),
-    /// The transaction was carried out, at this revision.
+    /// The transaction was committed at this revision.
     Committed(Revision),
-    /// These conditions failed; nothing was changed.
+    /// The conditions on these keys failed; nothing was changed.
     Conflict(Vec<String>),
-    /// A new lease.
+    /// The identifier of a new lease.
     LeaseGranted(u64),
-    /// Carried out.
+    /// The lease was renewed or revoked.
     Done,
-    /// Changes.
+    /// Changes that a watch saw; none if its wait ended first.
     Changes(WatchReply),
-    /// The watch began too long ago.
+    /// The store no longer keeps changes since the watch's revision.
     Compacted,
 }
 
-/// Why a request brought no answer.
+/// Why a request to an outside service brought no reply.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The request surely did not get out.
+    /// The request was certainly not sent.
     #[error("not sent")]
     NotSent,
-    /// Not sent, because too much was under way here: it says nothing about the other side.
+    /// Not sent, because too many requests are under way here: it says nothing about the other side.
     #[error("too much under way")]
     LocalOverload,
-    /// No answer: it may have been carried out, or may be later.
+    /// No reply: it may have been carried out, or may be later.
     #[error("no answer")]
     OutcomeUnknown,
-    /// The service refused for now; not carried out.
+    /// The service is unavailable; not carried out.
     #[error("refused for now")]
     Unavailable,
-    /// Too many requests; not carried out.
+    /// Throttled by the service; not carried out.
     #[error("too many requests")]
     Throttled,
-    /// The service calls the request wrong.
+    /// The service rejected the request as invalid, for this reason.
     #[error("called wrong: {0}")]
     Rejected(String),
-    /// The answer is longer than what is taken.
+    /// The reply is longer than the limit.
     #[error("answer too long")]
     TooLong,
-    /// The answer makes no sense.
+    /// The reply cannot be decoded.
     #[error("senseless answer")]
     Malformed,
 }
@@ -120,68 +120,68 @@
 /// A request to the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudRequest {
-    /// The types.
+    /// Reads the catalog of machine types.
     Catalog,
-    /// Machines, by name.
+    /// Rents machines.
     ScaleOut(ScaleOutRequest),
-    /// Gives machines back.
+    /// Returns machines, by name.
     ScaleIn(Vec<String>),
-    /// A page of the list.
+    /// Reads a page of the list of machines.
     List {
-        /// Name to begin after.
+        /// The page begins after this name.
         after: String,
     },
 }
 
-/// The cloud's answer.
+/// The cloud's reply.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
-    /// The types.
+    /// The catalog of machine types.
     Catalog(Catalog),
-    /// Machines hired.
+    /// Names of the rented machines.
     ScaledOut(Vec<String>),
-    /// None to be had.
+    /// The cloud has no capacity.
     NoCapacity,
-    /// Machines are gone.
+    /// The machines are returned.
     ScaledIn,
-    /// A page of the list.
+    /// A page of the list of machines.
     MachineList(ListPage),
 }
 
-/// A worker's answer to direct commands.
+/// An agent's reply to direct commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectCommandsReply {
-    /// Executed; the report after it.
+    /// Executed; the agent's status afterwards.
     Executed(Heartbeat),
-    /// Nothing executed; the report.
+    /// Nothing executed, because the fencing token or agent epoch is not current; the agent's status.
     Fenced(Heartbeat),
 }
 
-/// Number of a request that waits for its answer.
+/// Identifies a request until its reply.
 pub type RequestId = u64;
 
-/// What the owner is told.
+/// Something that happened outside, to be taken in by the controller.
 #[derive(Debug)]
 pub enum Command {
-    /// A user's submission.
+    /// A user submits a job.
     Submit(RequestId, Box<Submission>),
-    /// A user's poll.
+    /// A user asks for a job's status.
     Status(RequestId, String),
-    /// A user's withdrawal.
+    /// A user cancels a job.
     Cancel(RequestId, String),
-    /// A health check.
+    /// The platform checks this process's health.
     HealthCheck(RequestId),
-    /// A worker's report.
+    /// An agent's heartbeat with its status.
     Heartbeat(RequestId, Box<Heartbeat>),
-    /// The state service answered.
+    /// The key-value store replied, or the request failed.
     Kv(RequestId, Result<KvReply, RequestError>),
-    /// The cloud answered.
+    /// The cloud replied, or the request failed.
     Cloud(RequestId, Result<CloudReply, RequestError>),
-    /// A worker answered direct commands.
+    /// An agent replied to direct commands, or the request failed.
     DirectCommands(RequestId, Result<DirectCommandsReply, RequestError>),
-    /// A peer said something.
+    /// A frame from the controller of this name.
     Peer(String, shaleshunt_peer::Frame),
-    /// A connection from or to a peer broke.
+    /// A connection from or to the controller of this name broke.
     PeerDisconnected(String),
     /// Nothing: time has passed.
     Tick,
@@ -193,49 +193,49 @@
 /// How much an event matters to an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Severity {
-    /// For somebody to look at.
+    /// Needs an operator's attention.
     Error,
-    /// What happened.
+    /// A change of the cluster's state.
     Info,
-    /// In detail.
+    /// Details of normal operation.
     Debug,
 }
 
-/// Answer to a user, worker or health check.
+/// Response to a user, an agent or a health check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
-    /// A job's state, with 200 or 201.
+    /// A job's state, with HTTP status 200 or 201.
     Job(u16, shaleshunt_wire::user::JobView),
-    /// A problem; `retry_after` in whole seconds.
+    /// An error response.
     Problem {
         /// HTTP status.
         status: u16,
-        /// In words.
+        /// The error's text.
         error: &'static str,
-        /// When to come back.
+        /// Seconds after which the request may be repeated.
         retry_after: Option<u32>,
     },
-    /// Answer to a report.
+    /// Response to a heartbeat.
     Heartbeat(HeartbeatReply),
-    /// Report to another node (or to any other).
+    /// Heartbeats go to the leader, by node name; to any other node if `None`.
     Redirect(Option<String>),
-    /// Healthy.
+    /// This process is ready.
     Healthy,
 }
 
-/// What the owner wants done.
+/// Something that the controller wants done outside.
 #[derive(Debug)]
 pub enum Effect {
-    /// Ask the state service; through a peer if one is named.
+    /// Send a request to the key-value store; relayed through a peer if one is named.
     Kv(RequestId, KvRequest, Option<String>),
-    /// Ask the cloud.
+    /// Send a request to the cloud.
     Cloud(RequestId, CloudRequest),
-    /// Command a worker at an address.
+    /// Send commands to the agent at an address.
     DirectCommands(RequestId, String, DirectCommands),
-    /// Answer a request.
+    /// Respond to a request.
     Answer(RequestId, Answer),
-    /// Tell a peer.
+    /// Send a frame to the controller of this name.
     Peer(String, shaleshunt_peer::Frame),
-    /// An event for the log.
+    /// Log an event.
     Log(Event),
 }
