--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -35,7 +35,7 @@
                 .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
             l.machine != *machine && place.is_some_and(|p| p.running.is_some_and(|r| now - r > long))
         };
-        let does_well = j.tasks.done_count > 0 || j.tasks.placements.values().flatten().any(steady);
+        let does_well = j.tasks.done_count() > 0 || j.tasks.placements().any(steady);
         // Tasks that have only just begun elsewhere are no sign yet, but a job of which some run is
         // not called broken: a large one loses many tasks at once to a few machines.
         let runs = |l: &TaskPlacement| {
@@ -47,7 +47,7 @@
             !j.failures.machines.contains(&l.machine) && place.is_some_and(|p| p.running.is_some())
         };
         let many = (j.failures.machines.len() >= 3 || j.failures.count >= 6) && !does_well;
-        let broken = many && !j.tasks.placements.values().flatten().any(runs);
+        let broken = many && !j.tasks.placements().any(runs);
         if many && !broken {
             j.scheduling.not_before = now + ctx.settings.heartbeat_interval_ms() / 4;
         }
--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -77,9 +77,7 @@
             resources = Resources::default();
             for p in &m.placements {
                 if let Some(j) = self.jobs.get_mut(&p.job) {
-                    *j.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
-                    let unknown = j.tasks.by_zone.entry(String::new()).or_default();
-                    *unknown = unknown.saturating_sub(1);
+                    j.tasks.placement_zone_known(&m.zone);
                 }
             }
         }
@@ -156,9 +154,11 @@
                     };
                     let runs = matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing);
                     if let Some(j) = self.jobs.get_mut(&p.job).filter(|_| was != runs) {
-                        j.tasks.started |= runs;
-                        j.tasks.running_count =
-                            if runs { j.tasks.running_count + 1 } else { j.tasks.running_count.saturating_sub(1) };
+                        if runs {
+                            j.tasks.placement_started();
+                        } else {
+                            j.tasks.placement_paused();
+                        }
                         if runs && p.running.is_none() {
                             images.push((j.image, j.spec.image_gb));
                         }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -288,12 +288,8 @@
         attempt: Attempt,
         task: u32,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.done.get(task) && task < j.spec.tasks) else { return };
-        let known = job
-            .tasks
-            .placements
-            .get(&task)
-            .is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
+        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.is_done(task) && task < j.spec.tasks) else { return };
+        let known = job.tasks.placements_of(task).iter().any(|l| l.machine == *machine && l.attempt == attempt);
         if known {
             return;
         }
@@ -337,12 +333,8 @@
             let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
             let job = parts.next().and_then(|j| self.jobs.get_mut(j));
             if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
-                let before = job.tasks.done.clone();
-                job.tasks.done.decode(chunk.saturating_mul(per_chunk), text);
-                job.tasks.done_count = job.tasks.done.count();
-                job.tasks.started = true;
-                let new = |i: &u32| job.tasks.done.get(*i) && !before.get(*i);
-                touched.extend((0..job.spec.tasks).filter(new).map(|i| (job.id.clone(), i)));
+                let restored = job.tasks.restore_done(chunk.saturating_mul(per_chunk), text);
+                touched.extend(restored.into_iter().map(|i| (job.id.clone(), i)));
             }
             self.store.v0_1_keys.insert(pair.path, pair.version);
         }
@@ -385,13 +377,10 @@
     /// proof as any other.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
-            for list in job.tasks.placements.values().filter(|l| l.len() > 1) {
-                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
-                for l in list.iter().filter(|l| l.attempt < latest) {
-                    let placements = self.fleet.machines.get_mut(&l.machine).map(|m| &mut m.placements);
-                    if let Some(p) = placements.and_then(|p| p.iter_mut().find(|p| p.placement_id == l.placement_id)) {
-                        p.stop_grace_s = Some(0.0);
-                    }
+            for l in job.tasks.superseded_placements() {
+                let machine = self.fleet.machines.get_mut(&l.machine);
+                if let Some(p) = machine.and_then(|m| m.placement_mut(l.placement_id)) {
+                    p.stop_grace_s = Some(0.0);
                 }
             }
         }
@@ -709,18 +698,14 @@
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         self.fleet.machines.take_room(machine, &p.need);
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let list = job.tasks.placements.entry(p.task).or_default();
-        if list.is_empty() && !job.tasks.done.get(p.task) {
-            job.tasks.placed_count += 1;
-        }
-        list.push(TaskPlacement {
+        let of_task = TaskPlacement {
             machine: machine.clone(),
             placement_id: p.placement_id,
             attempt: p.attempt,
             agent_epoch: p.agent_epoch,
             planned: p.stage == PlacementState::Planned,
-        });
-        *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
+        };
+        job.tasks.add_placement(p.task, of_task, &m.zone);
         self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
         let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
         usage_by_class.all += 1;
@@ -746,22 +731,7 @@
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.pass_wanted = true;
         if let Some(job) = self.jobs.get_mut(&p.job) {
-            if let Some(list) = job.tasks.placements.get_mut(&p.task) {
-                list.retain(|l| l.placement_id != placement_id);
-                if list.is_empty() {
-                    job.tasks.placements.remove(&p.task);
-                    job.tasks.first_free_hint = job.tasks.first_free_hint.min(p.task);
-                    if !job.tasks.done.get(p.task) {
-                        job.tasks.placed_count = job.tasks.placed_count.saturating_sub(1);
-                    }
-                }
-            }
-            if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
-                job.tasks.running_count = job.tasks.running_count.saturating_sub(1);
-            }
-            if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
-                *n = n.saturating_sub(1);
-            }
+            job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
             if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
                 t.add(&p.need, -1);
             }
@@ -783,8 +753,7 @@
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> =
-            job.tasks.placements.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        let live: Vec<(Id, u64)> = job.tasks.placements().map(|l| (l.machine.clone(), l.placement_id)).collect();
         for (machine, placement_id) in live {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
@@ -805,7 +774,7 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count, j.tasks.running_count))
+        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
     }
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
@@ -816,7 +785,7 @@
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count, j.tasks.running_count))
+            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count(), j.tasks.running_count()))
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -34,7 +34,7 @@
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
         // Cancelled itself, or a task of it was placed once, which its release came before.
-        if job.cancelled || job.tasks.started {
+        if job.cancelled || job.tasks.started() {
             if let Some(job) = self.jobs.get_mut(id) {
                 job.open_dependencies.clear();
             }
--- a/crates/core/src/leader/scheduler/placement.rs
+++ b/crates/core/src/leader/scheduler/placement.rs
@@ -109,8 +109,8 @@
     /// How many further tasks of the job may be in this zone. Those of which the zone is not known
     /// yet count everywhere.
     pub(crate) fn zone_room(job: &Job, zone: &str) -> u32 {
-        let at = |z: &str| job.tasks.by_zone.get(z).copied().unwrap_or(0);
-        if job.spec.single_zone && job.tasks.by_zone.iter().any(|(z, &n)| n > 0 && z != zone) {
+        let at = |z: &str| job.tasks.in_zone(z);
+        if job.spec.single_zone && job.tasks.zones().any(|z| z != zone) {
             return 0;
         }
         job.zone_cap().saturating_sub(at(zone)).saturating_sub(at(""))
@@ -142,9 +142,9 @@
             let mut most = job.waiting().min(self.team_room(ctx, job));
             // A job that has only failed is tried with one task at a time, and so is one that waited
             // for very long: others go on behind it.
-            let only_failed = job.failures.count >= 3 && job.tasks.done_count == 0 && !job.is_service();
+            let only_failed = job.failures.count >= 3 && job.tasks.done_count() == 0 && !job.is_service();
             if only_failed {
-                most = most.min(u32::from(job.tasks.placements.is_empty()));
+                most = most.min(u32::from(!job.tasks.has_placements()));
             }
             if most == 0 {
                 continue;
@@ -203,7 +203,7 @@
         let placement_id = self.next_placement_id();
         let Some(agent_epoch) = self.fleet.machines.get(machine).map(|m| m.agent.epoch) else { return placement_id };
         if let Some(job) = self.jobs.get_mut(id) {
-            job.tasks.first_free_hint = job.tasks.first_free_hint.max(task);
+            job.tasks.none_free_below(task);
             let p = Placement {
                 job: id.clone(),
                 task,
@@ -230,7 +230,7 @@
         let now = ctx.now.monotonic_ms;
         // Its tasks share an attempt, by which they find each other; so a gang that lost a task
         // starts anew when all have ended.
-        let Some(job) = self.jobs.get(id).filter(|j| j.tasks.placements.is_empty()) else { return };
+        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.has_placements()) else { return };
         let most = job.waiting();
         if self.team_room(ctx, job) < most {
             return;
@@ -334,12 +334,12 @@
             // Zones and machines are looked at anew for each task.
             let mut zones: BTreeMap<&str, u32> = BTreeMap::new();
             for s in &seats {
-                let there = job.tasks.by_zone.get(&s.machine.zone).copied().unwrap_or(0);
+                let there = job.tasks.in_zone(&s.machine.zone);
                 zones.entry(&s.machine.zone).or_insert(there);
             }
             while (found.len() as u32) < most {
                 let caps = |zone: &str| {
-                    let more = zones[zone] - job.tasks.by_zone.get(zone).copied().unwrap_or(0);
+                    let more = zones[zone] - job.tasks.in_zone(zone);
                     more < Self::zone_room(job, zone)
                 };
                 let best = seats.iter_mut().filter(|s| s.times > 0 && caps(&s.machine.zone)).min_by_key(|s| {
@@ -367,7 +367,7 @@
         // cut. Where it has tasks already, else where most of it finds room.
         let mut zones: BTreeMap<&str, (u32, u32)> = BTreeMap::new();
         for s in &seats {
-            let there = job.tasks.by_zone.get(&s.machine.zone).copied().unwrap_or(0);
+            let there = job.tasks.in_zone(&s.machine.zone);
             let resources = zones.entry(&s.machine.zone).or_insert((there, 0));
             resources.1 += s.times;
         }
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -47,9 +47,9 @@
             .map(|j| {
                 let without_deadline = j.deadline().is_none();
                 let age =
-                    if j.tasks.started { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.scheduling.ready_at) as f64 };
+                    if j.tasks.started() { 0.0 } else { ctx.now.wall_ms.saturating_sub(j.scheduling.ready_at) as f64 };
                 let rank = Rank {
-                    first: Reverse(age > begin * 0.75 && j.tasks.placed_count == 0),
+                    first: Reverse(age > begin * 0.75 && j.tasks.placed_count() == 0),
                     priority: Reverse(j.scheduling.priority),
                     aged: Reverse(age > begin * 0.5),
                     guaranteed: Reverse(self.scheduler.guaranteed.contains(&j.id)),
@@ -78,7 +78,7 @@
         let mut left = self.scheduler.non_spot_cores.1;
         let mut may_move = Vec::new();
         for j in self.jobs.values().filter(|j| !j.cancelled && !j.is_blocked()) {
-            let cores = j.need.cores * i64::from(j.spec.tasks - j.tasks.done_count.min(j.spec.tasks));
+            let cores = j.need.cores * i64::from(j.spec.tasks - j.tasks.done_count().min(j.spec.tasks));
             if j.spec.spot && !j.scheduling.offloaded {
                 may_move.push((self.estimate(j), cores));
             } else if !j.spec.spot {
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -751,14 +751,8 @@
             let Some(m) = self.fleet.machines.get_mut(&machine) else { continue };
             let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { continue };
             p.stage = PlacementState::Committed;
-            if let Some(job) = self.jobs.get_mut(&p.job)
-                && let Some(l) = job
-                    .tasks
-                    .placements
-                    .get_mut(&p.task)
-                    .and_then(|l| l.iter_mut().find(|l| l.placement_id == placement_id))
-            {
-                l.planned = false;
+            if let Some(job) = self.jobs.get_mut(&p.job) {
+                job.tasks.commit_placement(p.task, placement_id);
             }
             self.fleet.machines_to_call.insert(machine);
         }
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -134,21 +134,20 @@
         let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
         let mut plans = Vec::new();
         for task in taken.keys() {
-            if job.tasks.done.get(*task) {
+            if job.tasks.is_done(*task) {
                 done.push(*task);
                 continue;
             }
-            match job.tasks.placements.get(task) {
-                Some(list) => {
-                    for l in list {
-                        let key = (&l.machine, l.agent_epoch, l.attempt);
-                        placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
-                        if l.planned {
-                            plans.push((l.machine.clone(), l.placement_id));
-                        }
-                    }
+            let placements = job.tasks.placements_of(*task);
+            if placements.is_empty() {
+                free.push(*task);
+            }
+            for l in placements {
+                let key = (&l.machine, l.agent_epoch, l.attempt);
+                placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
+                if l.planned {
+                    plans.push((l.machine.clone(), l.placement_id));
                 }
-                None => free.push(*task),
             }
         }
         let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|f| !f.n.is_empty()).collect();
@@ -397,7 +396,7 @@
                 for (from, len) in fact.n {
                     for task in from..from.saturating_add(len).min(job.spec.tasks) {
                         if fact.d {
-                            job.tasks.done.insert(task);
+                            job.tasks.mark_done(task);
                         }
                         facts.insert(task, (number, place.clone()));
                     }
@@ -406,8 +405,7 @@
         }
         for (id, facts) in last {
             if let Some(job) = self.jobs.get_mut(&id) {
-                job.tasks.done_count = job.tasks.done.count();
-                job.tasks.started = true;
+                job.tasks.mark_started();
                 job.writes.page_of_task = vec![0; job.spec.tasks as usize];
                 for (task, (number, _)) in &facts {
                     job.writes.page_of_task[*task as usize] = *number;
--- a/crates/core/src/model/mod.rs
+++ b/crates/core/src/model/mod.rs
@@ -4,15 +4,17 @@
 mod job;
 mod machine;
 mod placement;
+mod task_progress;
 mod task_set;
 
 pub use block::Block;
-pub use job::{Job, JobFailures, JobRecordState, PendingWrites, RunTimes, SchedulingState, TaskProgress};
+pub use job::{Job, JobFailures, JobRecordState, PendingWrites, SchedulingState};
 pub use machine::{
     Agent, CachedImage, Capacity, DirectCall, HeartbeatOrder, ImageCache, Lifecycle, Machine, MachineHealth,
     MachineRecordState, UnexpectedTask,
 };
 pub use placement::{Placement, PlacementState, TaskPlacement};
+pub use task_progress::{RunTimes, TaskProgress};
 pub use task_set::TaskSet;
 
 use serde::{Deserialize, Serialize};
--- a/crates/core/src/model/placement.rs
+++ b/crates/core/src/model/placement.rs
@@ -18,6 +18,13 @@
     Checkpointing,
 }
 
+impl PlacementState {
+    /// Whether the task runs or saves a checkpoint.
+    pub fn is_running(self) -> bool {
+        matches!(self, PlacementState::Running | PlacementState::Checkpointing)
+    }
+}
+
 /// A task on a machine, from the plan until it is proven gone.
 #[derive(Debug, Clone)]
 pub struct Placement {
