--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -164,9 +164,8 @@
         for placement_id in slots {
             self.release_placement(ctx.now.monotonic_ms, id, placement_id, false);
         }
-        if let Some(m) = self.fleet.machines.remove(id) {
+        if let Some(m) = self.fleet.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
-            self.fleet.confirmations_in_flight -= u32::from(m.call.confirms_token);
             if let Some(b) = m.record.block.and_then(|n| self.store.blocks.get_mut(&n)) {
                 b.machines.remove(id);
                 self.store.thinned_blocks.extend(m.record.block);
@@ -386,7 +385,7 @@
             // What boots in a zone that is cut off is of no use before that is over.
             let coming = m.agent.last_heard.is_none()
                 && !m.lifecycle.scale_in_wanted
-                && !self.fleet.partitioned_zones.contains(&m.zone);
+                && !self.fleet.reachability.is_partitioned(&m.zone);
             let free = m.free();
             if free.cores > 0 && free.memory > 0 && (coming || m.is_schedulable(now, &ctx.settings)) {
                 let (machine_type, zone) = (m.machine_type.clone(), m.zone.clone());
@@ -518,7 +517,7 @@
     ) -> Option<Place> {
         let mut best: Option<((i64, u32), Place)> = None;
         for f in catalog.machine_types.iter().filter(|f| f.resources().fits(&job.need)) {
-            for zone in f.zones.iter().filter(|h| !self.fleet.partitioned_zones.contains(*h)) {
+            for zone in f.zones.iter().filter(|h| !self.fleet.reachability.is_partitioned(h)) {
                 for spot in [true, false] {
                     let place = (f.name.clone(), zone.clone(), spot);
                     let refused =
@@ -573,7 +572,7 @@
                                 set.lease_renewal_window_ms() + set.lease_expiry_ms()
                             }
                     } else {
-                        let asked = m.agent.unacknowledged_commands > 0 && self.fleet.few_overdue;
+                        let asked = m.agent.unacknowledged_commands > 0 && self.fleet.reachability.few_overdue();
                         quiet > if asked { silence / 2 } else { silence }
                     };
                     m.lifecycle.scale_in_wanted |= m.placements.is_empty()
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -1,116 +1,134 @@
-//! Machines on which tasks fail or take too long, told from jobs that fail everywhere.
-
-use crate::controller::Context;
-use crate::event::Event;
-use crate::leader::Leader;
-use crate::model::*;
-use std::collections::BTreeSet;
-
-/// A task that has run for so many times what its job's tasks usually take overruns.
-const OVERRUN: f64 = 1.5;
-
-/// A machine is slow if at least so many of its tasks overrun, and a third of them.
-const LEAST_OVERRUNS: usize = 3;
-
-/// Run times of so many ended tasks say what a job's tasks usually take.
-const LEAST_RUN_TIMES: u32 = 3;
-
-impl Leader {
-    /// A task failed after it had run for `ran` ms. Tells machines that fail everything from jobs
-    /// that fail everywhere: a job of which other tasks have run for longer elsewhere is fine, so it
-    /// is the machine; it is left alone for a while, then tried with one task. A job that failed on
-    /// several machines without any such sign is held back and counts against no machine. With
-    /// dozens of machines failing at once, a large job fails many times before its first task ends.
-    pub(crate) fn failed_on(&mut self, ctx: &mut Context, machine: &Id, job: &Id, runtime: u64) {
-        let now = ctx.now.monotonic_ms;
-        let Some(j) = self.jobs.get_mut(job) else { return };
-        j.failures.count += 1;
-        j.failures.machines.insert(machine.clone());
-        let long = runtime + ctx.settings.heartbeat_interval_ms() / 2;
-        let steady = |l: &TaskPlacement| {
-            let place = self
-                .fleet
-                .machines
-                .get(&l.machine)
-                .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
-            l.machine != *machine && place.is_some_and(|p| p.running.is_some_and(|r| now - r > long))
-        };
-        let does_well = j.tasks.done_count() > 0 || j.tasks.placements().any(steady);
-        // Tasks that have only just begun elsewhere are no sign yet, but a job of which some run is
-        // not called broken: a large one loses many tasks at once to a few machines.
-        let runs = |l: &TaskPlacement| {
-            let place = self
-                .fleet
-                .machines
-                .get(&l.machine)
-                .and_then(|m| m.placements.iter().find(|p| p.placement_id == l.placement_id));
-            !j.failures.machines.contains(&l.machine) && place.is_some_and(|p| p.running.is_some())
-        };
-        let many = (j.failures.machines.len() >= 3 || j.failures.count >= 6) && !does_well;
-        let broken = many && !j.tasks.placements().any(runs);
-        if many && !broken {
-            j.scheduling.not_before = now + ctx.settings.heartbeat_interval_ms() / 4;
-        }
-        if broken {
-            let wait = ctx.tuning.quarantine_s * 1000.0 / 8.0 * f64::from(1u32 << (j.failures.count.min(8) - 3).min(4));
-            j.scheduling.not_before = now + wait as u64;
-            for m in self.fleet.machines.values_mut() {
-                m.health.failed_jobs.retain(|f| f != job);
-            }
-        }
-        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        m.health.failed_at = now;
-        if !broken {
-            m.health.failed_jobs.push(job.clone());
-        }
-        let kinds: BTreeSet<&Id> = m.health.failed_jobs.iter().collect();
-        if (kinds.len() >= 2 || does_well || m.health.quarantine_count > 0) && !broken {
-            self.quarantine(ctx, machine);
-        }
-        self.scheduler.pass_wanted = true;
-    }
+//! Whether it is the machine or the job that fails.
+//!
+//! Machines that fail everything are told from jobs that fail everywhere: a job of which other tasks
+//! have run for longer elsewhere is fine, so it is the machine; it is put in quarantine, then tried
+//! with one task. A job that failed on several machines without any such sign is held back and
+//! counts against no machine. With dozens of machines failing at once, a large job fails many times
+//! before its first task ends.
+
+use crate::leader::fleet::machines::MachineIndex;
+use crate::model::{Job, MachineHealth, Placement, TaskPlacement};
+
+/// A job that failed on so many machines, or so many times, fails often.
+const OFTEN_MACHINES: usize = 3;
+const OFTEN_FAILURES: u32 = 6;
+
+/// Failures of tasks of so many jobs in a row are the machine's fault.
+const FAILED_JOBS: usize = 2;
+
+/// A broken job's pause begins at so small a part of a quarantine, and doubles at most so many times.
+const FIRST_PAUSE_PART: f64 = 8.0;
+const MOST_DOUBLINGS: u32 = 4;
+
+/// Failures from which on a broken job's pause doubles, and up to which they are counted.
+const FIRST_DOUBLING: u32 = 3;
+const COUNTED_FAILURES: u32 = 8;
+
+/// What a failure tells of its job.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum JobVerdict {
+    /// Its tasks do well elsewhere.
+    Sound,
+    /// It has not failed often.
+    Unknown,
+    /// It fails often, but some of its tasks run on machines where none failed.
+    Suspect,
+    /// It fails everywhere.
+    Broken,
+}
+
+/// What a failure tells of its machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum MachineVerdict {
+    /// Nothing yet.
+    Unknown,
+    /// It fails tasks that would do well elsewhere.
+    Failing,
+}
+
+/// A task of the job that failed, on another machine.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct MateEvidence {
+    /// It has run for longer than the failed one had.
+    pub outlasted: bool,
+    /// It runs, on a machine where none of the job's tasks failed.
+    pub runs_on_sound_machine: bool,
+}
 
-    /// A machine fails its tasks: it is not used for a while, longer each time.
-    pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
-        let now = ctx.now.monotonic_ms;
-        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| now >= m.health.quarantined_until) else {
-            return;
-        };
-        m.health.quarantine_count += 1;
-        let pause = ctx.tuning.quarantine_s * 1000.0 * f64::from(1u32 << (m.health.quarantine_count - 1).min(3));
-        m.health.quarantined_until = now + pause as u64;
-        m.health.failed_jobs.clear();
-        ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause / 1000.0 });
+/// What is known of a job when one of its tasks has failed, that failure included.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct JobFailureEvidence {
+    /// A task of it is done.
+    pub any_done: bool,
+    /// Machines on which tasks failed.
+    pub failed_machines: usize,
+    /// Failures since a task succeeded.
+    pub failures: u32,
+}
+
+/// Judges a job of which a task failed, given its other tasks that are on machines.
+pub(crate) fn judge_job(job: JobFailureEvidence, mates: impl Iterator<Item = MateEvidence> + Clone) -> JobVerdict {
+    if job.any_done || mates.clone().any(|mate| mate.outlasted) {
+        return JobVerdict::Sound;
     }
+    let often = job.failed_machines >= OFTEN_MACHINES || job.failures >= OFTEN_FAILURES;
+    if !often {
+        return JobVerdict::Unknown;
+    }
+    // Tasks that have only just begun elsewhere are no sign that the job is sound, but a job of
+    // which some run is not called broken: a large one loses many tasks at once to a few machines.
+    let some_run = mates.clone().any(|mate| mate.runs_on_sound_machine);
+    if some_run { JobVerdict::Suspect } else { JobVerdict::Broken }
+}
 
-    /// Machines that are slow, told by tasks that overrun: the design's slack counts queued work
-    /// only. What a job's tasks take is known from those that ended, else from its estimate with
-    /// more doubt. One task may be long by itself; several at once on one machine are its doing.
-    /// Nothing but replicas goes there for half a lease. What runs there stays: it has a part of
-    /// its way behind it, and the machine may be well again at any time. Looked at with each report.
-    pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
-        let now = ctx.now.monotonic_ms;
-        let Some(m) = self.fleet.machines.get(machine) else { return };
-        if m.placements.len() < LEAST_OVERRUNS {
-            return;
+/// Judges a machine on which a task failed. Its health already counts the failure, unless that is
+/// the job's fault.
+pub(crate) fn judge_machine(health: &MachineHealth, job: JobVerdict) -> MachineVerdict {
+    let failing = match job {
+        JobVerdict::Broken => false,
+        JobVerdict::Sound => true,
+        JobVerdict::Unknown | JobVerdict::Suspect => {
+            health.quarantine_count > 0 || health.failed_job_count() >= FAILED_JOBS
         }
-        ctx.work.speed_examined();
-        let (mut runs, mut over) = (0, 0);
-        for p in &m.placements {
-            let Some(since) = p.running.filter(|_| p.stop_grace_s.is_none()) else { continue };
-            let Some(job) = self.jobs.get(&p.job).filter(|j| !j.is_service()) else { continue };
-            runs += 1;
-            let usual = job.tasks.run_times.mean_ms(LEAST_RUN_TIMES).unwrap_or_else(|| self.estimate(job) * 1500.0);
-            let elapsed = now.saturating_sub(since) as f64;
-            over += usize::from(elapsed > usual * OVERRUN + ctx.settings.heartbeat_interval_s * 100.0);
-        }
-        if over < LEAST_OVERRUNS || over * 3 < runs {
-            return;
-        }
-        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if now >= m.health.slow_until {
-            ctx.emit(Event::MachineSlow { machine: machine.clone() });
+    };
+    if failing { MachineVerdict::Failing } else { MachineVerdict::Unknown }
+}
+
+/// For how long a broken job is held back after so many failures, given the length of a machine's
+/// quarantine; both in ms.
+pub(crate) fn broken_job_pause_ms(failures: u32, quarantine_ms: f64) -> f64 {
+    let doublings = (failures.min(COUNTED_FAILURES) - FIRST_DOUBLING).min(MOST_DOUBLINGS);
+    quarantine_ms / FIRST_PAUSE_PART * f64::from(1u32 << doublings)
+}
+
+/// A task that failed.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct FailedTask<'a> {
+    /// The machine that it was on.
+    pub machine: &'a str,
+    /// For how long it had run, with allowance for late heartbeats, in ms.
+    pub ran_ms: u64,
+}
+
+/// What the placements of a job's other tasks tell.
+pub(crate) fn mates_evidence<'a>(
+    job: &'a Job,
+    failed: FailedTask<'a>,
+    machines: &'a MachineIndex,
+    now: u64,
+) -> impl Iterator<Item = MateEvidence> + Clone + 'a {
+    job.tasks.placements().map(move |mate| {
+        let running_since = placement_of(mate, machines).and_then(|placement| placement.running);
+        MateEvidence {
+            outlasted: *mate.machine != *failed.machine && running_since.is_some_and(|at| now - at > failed.ran_ms),
+            runs_on_sound_machine: running_since.is_some() && !job.failures.machines.contains(&mate.machine),
         }
-        m.health.slow_until = now + (ctx.settings.lease_s * 500.0) as u64;
-    }
+    })
+}
+
+fn placement_of<'a>(mate: &TaskPlacement, machines: &'a MachineIndex) -> Option<&'a Placement> {
+    machines.get(&mate.machine)?.placement(mate.placement_id)
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -1,156 +1,105 @@
-//! Machines, zones and whole fleets that do not report: who is asked, what is not used, what is given up.
-
-use crate::controller::Context;
-use crate::event::Event;
-use crate::leader::Leader;
-use crate::leader::step_down::StepDown;
-use crate::model::*;
-use shaleshunt_wire::AgentEpoch;
+//! What zones' heartbeats show: when a zone was last heard, and which zones are cut off.
+
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many overdue reports of a zone show that it is cut off, or those of all its machines if it has fewer.
-const MISSED_REPORTS: usize = 8;
-
-/// A report comes at the latest so many hundredths of the interval after the one before: a quarter late, and some
-/// time on its way.
-const LATEST_REPORT: u64 = 130;
-
-impl Leader {
-    /// A zone from which nobody reports while others do, though reports are due, is cut off: nothing new goes there. Where
-    /// many machines report, that shows long before any one of them is overdue.
-    pub(crate) fn detect_zone_partitions(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic_ms;
-        let interval = ctx.settings.heartbeat_interval_ms();
-        let gap = |n: u32| (interval / 5).max(interval * 8 / u64::from(n.max(1)));
-        let newest = self.fleet.zone_activity.values().map(|z| z.0).max().unwrap_or(0);
-        if now.saturating_sub(newest) > interval / 10 {
-            // Nobody reports at all: it is us. A leader that the machines do not reach is no use to
-            // them, though the state service may still take it for one.
-            let all: u32 = self.fleet.zone_activity.values().map(|z| z.1).sum();
-            let patience = (interval / 2).max(interval * 8 / u64::from(all.max(1)));
-            // Machines that hang on to a lost leader need a while to come.
-            let last_heard = newest.max(self.elected_at + interval * 2);
-            let long = !self.fleet.machines.is_empty()
-                && !ctx.peer_lease_reports.is_empty()
-                && now.saturating_sub(last_heard) > patience;
-            if long && self.heartbeats_missing(ctx, None, all) {
-                self.down = Some(StepDown::Unheard);
-            }
-            return;
-        }
-        let silent: BTreeSet<String> = self
-            .fleet
-            .zone_activity
-            .iter()
-            .filter(|(zone, (at, n))| now.saturating_sub(*at) > gap(*n) && self.heartbeats_missing(ctx, Some(zone), *n))
-            .map(|(z, _)| z.clone())
-            .collect();
-        if silent == self.fleet.partitioned_zones {
-            return;
-        }
-        for z in silent.difference(&self.fleet.partitioned_zones) {
-            ctx.emit(Event::ZoneUnreachable { zone: z.clone() });
+/// A heartbeat comes at the latest so many hundredths of the interval after the one before: a
+/// quarter late, and some time on its way.
+const LATEST_HEARTBEAT: u64 = 130;
+
+/// Checks of silent machines come so many times in a heartbeat interval.
+const CHECKS_PER_INTERVAL: u64 = 8;
+
+/// For how long a machine may be silent before its heartbeat is overdue.
+pub(crate) fn latest_heartbeat_after(interval: u64) -> u64 {
+    interval * LATEST_HEARTBEAT / 100
+}
+
+/// A zone's heartbeats.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct ZoneActivity {
+    /// When the last one came, or later while a new leader gives the zone time to be heard.
+    pub last_heard: u64,
+    /// How many machines send them.
+    pub machines: u32,
+}
+
+/// What zones' heartbeats show.
+#[derive(Debug)]
+pub(crate) struct Reachability {
+    zones: BTreeMap<String, ZoneActivity>,
+    partitioned_zones: BTreeSet<String>,
+    few_overdue: bool,
+    next_check: u64,
+}
+
+impl Reachability {
+    /// That of a leader that has heard nobody.
+    pub(crate) fn new(now: u64) -> Reachability {
+        Reachability { zones: BTreeMap::new(), partitioned_zones: BTreeSet::new(), few_overdue: false, next_check: now }
+    }
+
+    /// Whether a check of silent machines is due; the next one is due an eighth of an interval later.
+    pub(crate) fn take_due_check(&mut self, now: u64, interval: u64) -> bool {
+        let due = now >= self.next_check;
+        if due {
+            self.next_check = now + interval / CHECKS_PER_INTERVAL;
         }
-        self.fleet.partitioned_zones = silent;
-        for m in self.fleet.machines.values_mut() {
-            let cut = self.fleet.partitioned_zones.contains(&m.zone) && m.agent.last_heard.is_some();
-            if cut && !m.agent.partitioned && m.placements.iter().any(|p| !p.sent) {
-                self.fleet.machines_to_call.insert(m.id.clone());
+        due
+    }
+
+    /// A machine in this zone has been heard.
+    pub(crate) fn zone_heard(&mut self, zone: &str, now: u64) {
+        match self.zones.get_mut(zone) {
+            // Later than now while a new leader gives the zone time to be heard: one machine that
+            // answers at once does not end that for the others, who only just change over.
+            Some(activity) => activity.last_heard = activity.last_heard.max(now),
+            None => {
+                self.zones.insert(zone.to_string(), ZoneActivity { last_heard: now, machines: 1 });
             }
-            m.agent.partitioned = cut;
         }
-        self.scheduler.pass_wanted = true;
     }
 
-    /// Whether reports are missing from a zone, or from all, with so many machines: enough of them are overdue.
-    /// Where all came at once, or tasks end together, reports come in waves: between two nobody's is due.
-    fn heartbeats_missing(&self, ctx: &Context, zone: Option<&str>, machines: u32) -> bool {
-        let (now, interval) = (ctx.now.monotonic_ms, ctx.settings.heartbeat_interval_ms());
-        // A machine known from records has two reporting intervals after a takeover to be heard.
-        let last = |m: &Machine| {
-            m.agent.last_heard.or((m.agent.epoch > AgentEpoch::NONE).then_some(self.elected_at + interval))
-        };
-        let overdue = |m: &&Machine| last(m).is_some_and(|at| now.saturating_sub(at) > interval * LATEST_REPORT / 100);
-        let here = self.fleet.machines.values().filter(|m| zone.is_none_or(|zone| m.zone == zone));
-        here.filter(overdue).take(MISSED_REPORTS).count() >= MISSED_REPORTS.min(machines as usize)
+    /// A machine of this zone is known from its record: the zone has until this time to be heard.
+    pub(crate) fn expect_machine(&mut self, zone: &str, until: u64) {
+        let activity = self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heard: until, machines: 0 });
+        activity.machines += 1;
     }
 
-    /// Asks hired machines whose report is overdue whether they live: one that was taken without
-    /// notice is found out in half the time that its silence alone would need. Where many are
-    /// overdue at once it is the network, or us.
-    pub(crate) fn probe_overdue(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic_ms;
-        let late = ctx.settings.heartbeat_interval_ms() * LATEST_REPORT / 100;
-        let overdue = |m: &&Machine| {
-            m.agent.last_heard.is_some_and(|h| now.saturating_sub(h) > late)
-                && !m.lifecycle.scale_in_wanted
-                && !m.agent.partitioned
-        };
-        let all: Vec<Id> = self.fleet.machines.values().filter(overdue).map(|m| m.id.clone()).collect();
-        self.fleet.few_overdue = all.len() <= (self.fleet.machines.len() / 50).max(2);
-        if !self.fleet.few_overdue {
-            return;
-        }
-        for id in all {
-            let asks = |m: &Machine| {
-                !m.owned && !m.placements.is_empty() && m.call.in_flight.is_none() && now >= m.call.not_before
-            };
-            if self.fleet.machines.get(&id).is_some_and(asks) {
-                self.call(ctx, &id, true);
-            }
+    /// So many machines of each zone have been heard lately; none of a zone that is not named.
+    pub(crate) fn set_machine_counts(&mut self, counts: &BTreeMap<&str, u32>) {
+        for (zone, activity) in &mut self.zones {
+            activity.machines = counts.get(zone.as_str()).copied().unwrap_or(0);
         }
     }
 
-    /// Whether no controller in a zone can still keep the lease of a machine last heard at a time:
-    /// each has said, a lease later, that it kept none since; or it has not heard from us for so
-    /// long that its term is over, and a lease as well.
-    fn leases_surely_expired(ctx: &Context, zone: &str, last_heard: u64) -> bool {
-        let (now, lease) = (ctx.now.monotonic_ms, ctx.settings.lease_expiry_ms());
-        ctx.peer_lease_reports.values().filter(|k| k.zone == zone || zone.is_empty()).all(|k| {
-            let said = k.sent_after >= last_heard.max(k.kept) + lease;
-            let over = now > last_heard.max(k.last_heard + ctx.settings.lease_renewal_window_ms()) + lease;
-            said || over
-        })
+    /// Each zone's heartbeats.
+    pub(crate) fn zones(&self) -> &BTreeMap<String, ZoneActivity> {
+        &self.zones
     }
 
-    /// Machines that have gone silent.
-    pub(crate) fn expire_silent_machines(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic_ms;
-        let set = ctx.settings.clone();
-        let mut silent: Vec<Id> = Vec::new();
-        let mut there: BTreeMap<&str, u32> = BTreeMap::new();
-        for m in
-            self.fleet.machines.values().filter(|m| m.agent.last_heard.is_some_and(|h| now - h < set.lease_expiry_ms()))
-        {
-            *there.entry(&m.zone).or_default() += 1;
-        }
-        for (zone, z) in &mut self.fleet.zone_activity {
-            z.1 = there.get(zone.as_str()).copied().unwrap_or(0);
-        }
-        for m in self.fleet.machines.values() {
-            if m.placements.is_empty() {
-                continue;
-            }
-            // Until it has shown our token, an earlier leader may have answered it for as long as
-            // that leader could go without news of this epoch.
-            let last_heard = m.agent.last_heard.unwrap_or(0);
-            let last = if m.agent.token_confirmed {
-                last_heard
-            } else {
-                last_heard.max(self.elected_at + set.lease_renewal_window_ms())
-            };
-            if now.saturating_sub(last) > set.lease_expiry_ms() && Self::leases_surely_expired(ctx, &m.zone, last_heard)
-            {
-                silent.push(m.id.clone());
-            }
-        }
-        for id in silent {
-            let Some(m) = self.fleet.machines.get(&id) else { continue };
-            let slots: Vec<u64> = m.placements.iter().map(|p| p.placement_id).collect();
-            ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: slots.len() });
-            for placement_id in slots {
-                self.release_placement(now, &id, placement_id, false);
-            }
+    /// Whether nobody in a zone can be heard though others are.
+    pub(crate) fn is_partitioned(&self, zone: &str) -> bool {
+        self.partitioned_zones.contains(zone)
+    }
+
+    /// These zones, and no others, are cut off. Returns those that were not before, or nothing if
+    /// all is as it was.
+    pub(crate) fn set_partitioned_zones(&mut self, zones: BTreeSet<String>) -> Option<Vec<String>> {
+        if zones == self.partitioned_zones {
+            return None;
         }
+        let new = zones.difference(&self.partitioned_zones).cloned().collect();
+        self.partitioned_zones = zones;
+        Some(new)
+    }
+
+    /// Whether the machines whose heartbeats are overdue are few: then it is them and not us.
+    pub(crate) fn few_overdue(&self) -> bool {
+        self.few_overdue
+    }
+
+    /// Notes how many of all machines are overdue.
+    pub(crate) fn set_overdue(&mut self, overdue: usize, machines: usize) {
+        self.few_overdue = overdue <= (machines / 50).max(2);
     }
 }
--- /dev/null
+++ b/crates/core/src/leader/fleet/reconciliation/tests.rs
@@ -0,0 +1,135 @@
+use super::*;
+use crate::model::samples::{AGENT, attempt, placement};
+
+const PROOF: Evidence = Evidence { agent_epoch: AGENT, token_is_current: true, commands_under_way: false };
+const OLD_TOKEN: Evidence = Evidence { token_is_current: false, ..PROOF };
+const COMMANDS_UNDER_WAY: Evidence = Evidence { commands_under_way: true, ..PROOF };
+
+fn report(task: &str, number: u64, status: TaskStatus, cause: Option<ExitCause>) -> TaskReport {
+    TaskReport { task: task.into(), attempt: attempt(number), status, cause, checkpointed: None }
+}
+
+fn shown(status: TaskStatus) -> Vec<TaskReport> {
+    vec![report("wk-1/3", 9, status, None)]
+}
+
+fn finding_for(placement: Placement, tasks: &[TaskReport], evidence: Evidence) -> Finding {
+    reconcile(&[placement], tasks, evidence).findings[0]
+}
+
+#[test]
+fn what_a_heartbeat_lacks_is_gone_only_if_nothing_can_still_start_it() {
+    use PlacementState::{Checkpointing, Committed, Fetching, Planned, Running};
+    let stopping = |stage| Placement { stop_grace_s: Some(0.0), ..placement(stage) };
+    let unsent = Placement { sent: false, ..placement(Committed) };
+    let cases = [
+        ("planned, so nothing has left", placement(Planned), Finding::Nothing),
+        ("planned and to stop", stopping(Planned), Finding::Nothing),
+        ("committed, start command lost", placement(Committed), Finding::StartLost),
+        ("committed, start command not sent yet", unsent, Finding::Nothing),
+        ("committed and to stop", stopping(Committed), Finding::Absent),
+        ("fetched its image", placement(Fetching), Finding::Absent),
+        ("ran", placement(Running), Finding::Absent),
+        ("saved a checkpoint", placement(Checkpointing), Finding::Absent),
+        ("ran and was to stop", stopping(Running), Finding::Absent),
+    ];
+    for (name, placement, expected) in cases {
+        assert_eq!(finding_for(placement.clone(), &[], PROOF), expected, "{name}");
+        assert_eq!(finding_for(placement.clone(), &[], OLD_TOKEN), Finding::Nothing, "{name}, old token");
+        assert_eq!(finding_for(placement, &[], COMMANDS_UNDER_WAY), Finding::Nothing, "{name}, commands under way");
+    }
+}
+
+#[test]
+fn an_end_is_proven_by_the_current_token_alone() {
+    let done = [report("wk-1/3", 9, TaskStatus::Exited, Some(ExitCause::Done))];
+    let cases = [
+        ("under the current token", PROOF, Finding::Ended(ExitCause::Done)),
+        ("also while commands are under way", COMMANDS_UNDER_WAY, Finding::Ended(ExitCause::Done)),
+        ("under an older token", OLD_TOKEN, Finding::EndedUnproven),
+    ];
+    for (name, evidence, expected) in cases {
+        assert_eq!(finding_for(placement(PlacementState::Running), &done, evidence), expected, "{name}");
+    }
+    let without_cause = shown(TaskStatus::Exited);
+    let finding = finding_for(placement(PlacementState::Running), &without_cause, PROOF);
+    assert_eq!(finding, Finding::Ended(ExitCause::Unknown));
+}
+
+#[test]
+fn a_newer_agent_epoch_proves_that_earlier_placements_are_gone() {
+    let of_earlier = |stage| Placement { agent_epoch: AgentEpoch(4), ..placement(stage) };
+    for stage in [PlacementState::Planned, PlacementState::Committed, PlacementState::Running] {
+        for evidence in [PROOF, OLD_TOKEN, COMMANDS_UNDER_WAY] {
+            assert_eq!(finding_for(of_earlier(stage), &[], evidence), Finding::OfEarlierAgent, "{stage:?}");
+        }
+    }
+    // What it reports under the same name is not that placement.
+    let result = reconcile(&[of_earlier(PlacementState::Running)], &shown(TaskStatus::Running), PROOF);
+    assert_eq!(result.findings, [Finding::OfEarlierAgent]);
+    assert_eq!(result.unexpected.len(), 1);
+    assert!(!result.start_acknowledged);
+}
+
+#[test]
+fn a_reported_state_is_taken_under_any_token() {
+    let cases = [
+        (TaskStatus::Fetching, PlacementState::Fetching),
+        (TaskStatus::WaitingForGang, PlacementState::Fetching),
+        (TaskStatus::Running, PlacementState::Running),
+        (TaskStatus::Checkpointing, PlacementState::Checkpointing),
+        (TaskStatus::Unknown, PlacementState::Running),
+    ];
+    for (status, expected) in cases {
+        for evidence in [PROOF, OLD_TOKEN, COMMANDS_UNDER_WAY] {
+            let finding = finding_for(placement(PlacementState::Committed), &shown(status), evidence);
+            assert_eq!(finding, Finding::Present(expected), "{status:?}");
+        }
+    }
+}
+
+#[test]
+fn a_start_command_is_acknowledged_by_its_task_in_any_state() {
+    let cases = [
+        (PlacementState::Committed, shown(TaskStatus::Fetching), true),
+        (PlacementState::Committed, shown(TaskStatus::Exited), true),
+        (PlacementState::Committed, Vec::new(), false),
+        (PlacementState::Running, shown(TaskStatus::Running), false),
+    ];
+    for (stage, tasks, expected) in cases {
+        for evidence in [PROOF, OLD_TOKEN] {
+            let result = reconcile(&[placement(stage)], &tasks, evidence);
+            assert_eq!(result.start_acknowledged, expected, "{stage:?} {tasks:?}");
+        }
+    }
+}
+
+#[test]
+fn tasks_without_a_placement_are_unexpected() {
+    let tasks = [
+        report("wk-1/3", 9, TaskStatus::Running, None),
+        report("wk-1/3", 8, TaskStatus::Exited, Some(ExitCause::Stopped)),
+        report("wk-0/3", 9, TaskStatus::Running, None),
+        report("no task's name", 1, TaskStatus::Exited, None),
+    ];
+    let result = reconcile(&[placement(PlacementState::Running)], &tasks, PROOF);
+    assert_eq!(result.findings, [Finding::Present(PlacementState::Running)]);
+    let unexpected = |task: &str, number, exit| UnexpectedTask { task: task.into(), attempt: attempt(number), exit };
+    assert_eq!(
+        result.unexpected,
+        [
+            unexpected("no task's name", 1, Some(ExitCause::Unknown)),
+            unexpected("wk-0/3", 9, None),
+            unexpected("wk-1/3", 8, Some(ExitCause::Stopped)),
+        ]
+    );
+}
+
+#[test]
+fn findings_are_in_the_order_of_the_placements() {
+    let second = Placement { task: 1, placement_id: 2, ..placement(PlacementState::Running) };
+    let placements = [placement(PlacementState::Running), second];
+    let tasks = [report("wk-1/1", 9, TaskStatus::Checkpointing, None)];
+    let result = reconcile(&placements, &tasks, PROOF);
+    assert_eq!(result.findings, [Finding::Absent, Finding::Present(PlacementState::Checkpointing)]);
+}
--- /dev/null
+++ b/crates/core/src/leader/heartbeats.rs
@@ -0,0 +1,232 @@
+//! Machines' heartbeats: takes in what they tell, releases what they prove gone, and replies with
+//! commands.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::io::{Answer, RequestId};
+use crate::leader::Leader;
+use crate::leader::fleet::commands::CommandChannel;
+use crate::leader::fleet::heartbeat_effects::{FindingEffects, apply_findings};
+use crate::leader::fleet::interruption::stop_before_interruption;
+use crate::leader::fleet::reconciliation::{Evidence, reconcile};
+use crate::leader::step_down::StepDown;
+use crate::model::{HeartbeatOrder, Id, Machine};
+use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
+use shaleshunt_wire::{FencingToken, Resources};
+
+/// An adopted machine counts as one that let so many commands pass unseen: however many more are
+/// added, it gets no tasks before it has heard a command.
+const ADOPTED_UNACKNOWLEDGED: u32 = u32::MAX / 2;
+
+/// How a heartbeat came.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum HeartbeatSource {
+    /// The agent sent it by itself. It has one under way at a time, so the reply to its last one has
+    /// been carried out or lost.
+    Agent,
+    /// It is the answer to a direct call, and may be older than the reply to the last heartbeat,
+    /// which may still start tasks.
+    DirectCall,
+}
+
+/// What became of a heartbeat.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) enum HeartbeatOutcome {
+    /// It was taken in.
+    Taken,
+    /// It is older than one already taken in.
+    Outdated,
+}
+
+impl Leader {
+    /// A heartbeat from an agent: takes it in and replies with what the machine is to do.
+    pub(crate) fn heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
+        // A cancellation missed for too long could not be carried out in time if leases were renewed.
+        if !self.may_renew_leases(ctx) {
+            let error = "no news from the state service";
+            ctx.answer(id, Answer::Problem { status: 503, error, retry_after: None });
+            return;
+        }
+        let machine: Id = heartbeat.machine.as_str().into();
+        let outcome = self.take_heartbeat(ctx, &machine, heartbeat, HeartbeatSource::Agent);
+        let commands = match outcome {
+            HeartbeatOutcome::Taken => self.take_commands(&machine, CommandChannel::HeartbeatReply).commands,
+            HeartbeatOutcome::Outdated => Vec::new(),
+        };
+        let mut token = FencingToken::new(self.epoch, 0);
+        if let Some(m) = self.fleet.machines.get_mut(&machine) {
+            token = m.agent.token(self.epoch);
+            m.agent.reply_may_start_tasks |= commands.iter().any(|c| matches!(c, TaskCommand::Run { .. }));
+        }
+        ctx.answer(id, Answer::Heartbeat(HeartbeatReply { token, commands }));
+    }
+
+    /// Takes in a heartbeat, unless it is older than one already taken.
+    pub(crate) fn take_heartbeat(
+        &mut self,
+        ctx: &mut Context,
+        machine: &Id,
+        heartbeat: Heartbeat,
+        source: HeartbeatSource,
+    ) -> HeartbeatOutcome {
+        if !self.fleet.machines.contains_key(machine) {
+            self.adopt(ctx, machine, &heartbeat);
+        }
+        let order = HeartbeatOrder { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence };
+        if self.fleet.machines.get(machine).is_none_or(|m| m.agent.is_outdated(order)) {
+            return HeartbeatOutcome::Outdated;
+        }
+        self.note_contact(ctx, machine, order);
+        self.learn_attributes(ctx, machine, &heartbeat);
+        self.note_interruption(ctx, machine, heartbeat.preemption_notice_s);
+        let token_is_current = self.check_token(machine, heartbeat.token);
+        let effects = self.reconcile_heartbeat(ctx, machine, &heartbeat, source, token_is_current);
+        if self.fleet.machines.get(machine).is_some_and(|m| m.record.block.is_none()) {
+            self.join_block(ctx, machine);
+        }
+        self.release_proven(ctx, machine, effects);
+        self.stop_before_interruption(ctx, machine);
+        self.detect_slow_machine(ctx, machine);
+        HeartbeatOutcome::Taken
+    }
+
+    /// A machine nobody expected, such as one whose scale-out was carried out late. It is adopted.
+    /// But its heartbeat may be a late copy from a machine long returned, so it gets no tasks before
+    /// it has heard us.
+    fn adopt(&mut self, ctx: &mut Context, machine: &Id, heartbeat: &Heartbeat) {
+        let owned_machines = self.autoscaler.owned.as_ref();
+        let owned = owned_machines.is_some_and(|owned| owned.contains(&heartbeat.machine));
+        let surely_rented = owned_machines.is_some() && !owned;
+        let mut m = self.new_machine(ctx, machine, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, owned);
+        if surely_rented {
+            m.agent.unacknowledged_commands = ADOPTED_UNACKNOWLEDGED;
+        }
+        self.fleet.machines.insert(m);
+        self.fleet.calls.confirm_token(machine.clone());
+        ctx.emit(Event::MachineAdopted { machine: machine.clone() });
+    }
+
+    /// A machine has been heard, which lets its zone count as heard.
+    fn note_contact(&mut self, ctx: &Context, machine: &Id, order: HeartbeatOrder) {
+        let now = ctx.now.monotonic_ms;
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        if m.agent.last_heard.is_none() || !m.answers(now, &ctx.settings) {
+            self.scheduler.pass_wanted = true;
+        }
+        m.agent.heard(order, now);
+        self.fleet.reachability.zone_heard(&m.zone, now);
+    }
+
+    /// Takes over what a heartbeat says of the machine itself, and its room once its type is known.
+    fn learn_attributes(&mut self, ctx: &Context, machine: &Id, heartbeat: &Heartbeat) {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        let mut room = m.capacity.total;
+        if m.zone.is_empty() {
+            // Known so far only by a record of a placement.
+            m.machine_type.clone_from(&heartbeat.machine_type);
+            m.zone.clone_from(&heartbeat.zone);
+            m.spot = heartbeat.spot;
+            room = Resources::default();
+            for placement in &m.placements {
+                if let Some(job) = self.jobs.get_mut(&placement.job) {
+                    job.tasks.placement_zone_known(&m.zone);
+                }
+            }
+        }
+        if m.agent.endpoint != heartbeat.endpoint {
+            m.agent.endpoint.clone_from(&heartbeat.endpoint);
+        }
+        if room == Resources::default()
+            && let Some(machine_type) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
+        {
+            room = machine_type.resources();
+            self.scheduler.pass_wanted = true;
+        }
+        if room != m.capacity.total {
+            self.fleet.machines.set_room(machine, room);
+        }
+    }
+
+    /// Takes over whether, and in how many seconds, the cloud takes the machine away.
+    fn note_interruption(&mut self, ctx: &mut Context, machine: &Id, notice_s: Option<f64>) {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        match notice_s {
+            Some(seconds_left) if m.lifecycle.preempted_at.is_none() => {
+                let left_ms = (seconds_left.max(0.0) * 1000.0) as u64;
+                m.lifecycle.preempted_at = Some(ctx.now.monotonic_ms + left_ms);
+                ctx.emit(Event::MachineInterruptionNotice { machine: machine.clone(), seconds_left });
+            }
+            Some(_) => {}
+            None => m.lifecycle.preempted_at = None,
+        }
+    }
+
+    /// Compares the fencing token that a machine has seen with ours. Returns whether its heartbeat
+    /// was sent under the current one.
+    fn check_token(&mut self, machine: &Id, seen: FencingToken) -> bool {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return false };
+        if seen < m.agent.token(self.epoch) {
+            return false;
+        }
+        if m.agent.confirm_token() {
+            self.scheduler.pass_wanted = true;
+        }
+        if seen.epoch() > self.epoch {
+            self.down = Some(StepDown::NewerToken);
+        }
+        true
+    }
+
+    /// Compares a heartbeat with the machine's placements and takes over what it shows of them.
+    fn reconcile_heartbeat(
+        &mut self,
+        ctx: &Context,
+        machine: &Id,
+        heartbeat: &Heartbeat,
+        source: HeartbeatSource,
+        token_is_current: bool,
+    ) -> FindingEffects {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return FindingEffects::default() };
+        let reply_carried_out = source == HeartbeatSource::Agent && std::mem::take(&mut m.agent.reply_may_start_tasks);
+        let commands_under_way = !m.call.is_idle() || m.agent.reply_may_start_tasks;
+        let evidence = Evidence { agent_epoch: heartbeat.agent_epoch, token_is_current, commands_under_way };
+        let reconciliation = reconcile(&m.placements, &heartbeat.tasks, evidence);
+        let disk_gb = disk_gb(ctx, m);
+        let effects = apply_findings(m, &mut self.jobs, &reconciliation.findings, disk_gb, ctx.now.monotonic_ms);
+        m.agent.unexpected_tasks = reconciliation.unexpected;
+        if reconciliation.start_acknowledged {
+            m.agent.command_acknowledged();
+        } else if effects.start_lost && reply_carried_out {
+            m.agent.command_unacknowledged();
+        }
+        if effects.start_lost {
+            self.fleet.calls.call_soon(machine.clone());
+        }
+        effects
+    }
+
+    /// Releases what a heartbeat proves gone, and takes in what it proves ended.
+    fn release_proven(&mut self, ctx: &mut Context, machine: &Id, effects: FindingEffects) {
+        let now = ctx.now.monotonic_ms;
+        for placement_id in effects.of_earlier_agent.into_iter().chain(effects.absent) {
+            self.release_placement(now, machine, placement_id, false);
+        }
+        for ended in effects.ended {
+            self.task_ended(ctx, machine, ended.placement_id, ended.cause);
+        }
+    }
+
+    /// Stops what cannot finish before the cloud takes the machine away.
+    fn stop_before_interruption(&mut self, ctx: &Context, machine: &Id) {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        if stop_before_interruption(m, &self.jobs, ctx.now.monotonic_ms) {
+            self.fleet.calls.call_soon(machine.clone());
+        }
+    }
+}
+
+/// How much a machine's disk holds, nothing if its type is not known.
+fn disk_gb(ctx: &Context, machine: &Machine) -> f64 {
+    let machine_type = ctx.catalog.as_ref().and_then(|catalog| catalog.machine_type(&machine.machine_type));
+    machine_type.map_or(0.0, |machine_type| machine_type.local_gb)
+}
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -2,11 +2,16 @@
 //! users' changes.
 
 pub(crate) mod autoscaler;
+mod direct_calls;
 pub(crate) mod fleet;
+mod heartbeats;
+mod machine_failures;
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
+mod silent_machines;
 pub(crate) mod step_down;
 pub(crate) mod store;
+mod task_exits;
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
@@ -23,7 +28,7 @@
 use crate::submission_parts::{SplitJobRecord, StoredJob};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -230,21 +235,11 @@
         }
         // A zone may be cut off already: its machines have two reporting intervals to be heard.
         for m in self.fleet.machines.values().filter(|m| !m.zone.is_empty()) {
-            let z = self
-                .fleet
-                .zone_activity
-                .entry(m.zone.clone())
-                .or_insert((now + ctx.settings.heartbeat_interval_ms() * 2, 0));
-            z.1 += 1;
+            let until = now + ctx.settings.heartbeat_interval_ms() * 2;
+            self.fleet.reachability.expect_machine(&m.zone, until);
         }
         // All are asked, some at a time, so that the new token is confirmed before the next report.
-        self.fleet.unconfirmed = self
-            .fleet
-            .machines
-            .values()
-            .filter(|m| !m.agent.endpoint.is_empty() && m.agent.epoch > AgentEpoch::NONE)
-            .map(|m| m.id.clone())
-            .collect();
+        self.fleet.confirm_all_tokens();
         ctx.emit(Event::LeaderStateLoaded {
             epoch: self.epoch,
             jobs: self.jobs.len(),
@@ -256,8 +251,11 @@
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
         let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
-        let images: Vec<CachedImage> =
-            rec.i.iter().map(|(name, gb)| CachedImage { image: self.image(name), size_gb: *gb }).collect();
+        let images: Vec<CachedImage> = rec
+            .i
+            .iter()
+            .map(|(name, gb)| CachedImage { image: self.fleet.images.number(name), size_gb: *gb })
+            .collect();
         let mut block =
             Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
         for (name, r) in rec.m {
@@ -361,17 +359,6 @@
         }
     }
 
-    /// The number of an image.
-    pub(crate) fn image(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.fleet.image_numbers.get(name) {
-            return *n;
-        }
-        let n = self.fleet.image_names.len() as u32;
-        self.fleet.image_names.push(name.to_string());
-        self.fleet.image_numbers.insert(name.to_string(), n);
-        n
-    }
-
     /// Where records of the earlier form name a task twice, the earlier placement had been released
     /// when the later was planned, so it is gone; it must not be started again and is released by
     /// proof as any other.
@@ -436,7 +423,7 @@
         }
         self.scheduler.pass_wanted = true;
         let mut job = Job::new(rec, version);
-        job.image = self.image(&job.spec.image);
+        job.image = self.fleet.images.number(&job.spec.image);
         let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
         self.scheduler.ranks_outdated = true;
@@ -596,8 +583,7 @@
         if self.watch.retry_at.is_some_and(|t| now >= t) {
             self.watch(ctx);
         }
-        if now >= self.fleet.next_reachability_check {
-            self.fleet.next_reachability_check = now + ctx.settings.heartbeat_interval_ms() / 8;
+        if self.fleet.reachability.take_due_check(now, ctx.settings.heartbeat_interval_ms()) {
             self.expire_silent_machines(ctx);
             self.probe_overdue(ctx);
         }
@@ -669,11 +655,6 @@
         self.last_placement_id
     }
 
-    /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
-        FencingToken::new(self.epoch, m.agent.token_counter)
-    }
-
     pub(crate) fn new_machine(
         &self,
         ctx: &Context,
@@ -766,7 +747,7 @@
         let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
         if p.sent {
             p.stop_grace_s = Some(0.0);
-            self.fleet.machines_to_call.insert(machine.clone());
+            self.fleet.calls.call_soon(machine.clone());
         } else {
             self.release_placement(now, machine, placement_id, false);
         }
--- /dev/null
+++ b/crates/core/src/leader/silent_machines.rs
@@ -0,0 +1,61 @@
+//! Machines, zones and whole fleets that send no heartbeats: who is asked, what is not used, what is
+//! given up.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::leader::Leader;
+use crate::leader::fleet::lease_expiry::LeaseClock;
+use crate::leader::fleet::partitions::{PartitionCheck, PartitionFinding};
+use crate::leader::step_down::StepDown;
+use crate::model::CallPurpose;
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// Looks for zones that are cut off, so that nothing new goes there.
+    pub(crate) fn detect_zone_partitions(&mut self, ctx: &mut Context) {
+        let check = PartitionCheck {
+            now: ctx.now.monotonic_ms,
+            interval: ctx.settings.heartbeat_interval_ms(),
+            elected_at: self.elected_at,
+        };
+        match check.run(&self.fleet) {
+            // Without peers there is nobody who could lead instead.
+            PartitionFinding::LeaderUnheard if !ctx.peer_lease_reports.is_empty() => {
+                self.down = Some(StepDown::Unheard);
+            }
+            PartitionFinding::LeaderUnheard | PartitionFinding::AllQuiet => {}
+            PartitionFinding::Zones(zones) => self.set_partitioned_zones(ctx, zones),
+        }
+    }
+
+    fn set_partitioned_zones(&mut self, ctx: &mut Context, zones: BTreeSet<String>) {
+        let Some(new) = self.fleet.reachability.set_partitioned_zones(zones) else { return };
+        for zone in new {
+            ctx.emit(Event::ZoneUnreachable { zone });
+        }
+        self.fleet.mark_partitioned_machines();
+        self.scheduler.pass_wanted = true;
+    }
+
+    /// Asks machines whose heartbeats are overdue whether they live.
+    pub(crate) fn probe_overdue(&mut self, ctx: &mut Context) {
+        let interval = ctx.settings.heartbeat_interval_ms();
+        for id in self.fleet.machines_to_probe(ctx.now.monotonic_ms, interval) {
+            self.call(ctx, &id, CallPurpose::ConfirmToken);
+        }
+    }
+
+    /// Releases what is placed on machines whose lease has surely expired.
+    pub(crate) fn expire_silent_machines(&mut self, ctx: &mut Context) {
+        let clock = LeaseClock::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
+        self.fleet.count_heard_machines(clock.now, clock.lease);
+        for id in self.fleet.expired_machines(clock, ctx.peer_lease_reports.values()) {
+            let Some(m) = self.fleet.machines.get(&id) else { continue };
+            let placements: Vec<u64> = m.placements.iter().map(|placement| placement.placement_id).collect();
+            ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: placements.len() });
+            for placement_id in placements {
+                self.release_placement(clock.now, &id, placement_id, false);
+            }
+        }
+    }
+}
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -452,7 +452,7 @@
             let mut images = Vec::new();
             for cached in m.images.iter() {
                 let at = *index.entry(cached.image).or_insert_with(|| {
-                    let name = self.fleet.image_names.get(cached.image as usize).cloned().unwrap_or_default();
+                    let name = self.fleet.images.name(cached.image).to_string();
                     rec.i.push((name, cached.size_gb));
                     rec.i.len() as u32 - 1
                 });
@@ -754,7 +754,7 @@
             if let Some(job) = self.jobs.get_mut(&p.job) {
                 job.tasks.commit_placement(p.task, placement_id);
             }
-            self.fleet.machines_to_call.insert(machine);
+            self.fleet.calls.call_soon(machine);
         }
         for id in f.finals {
             if let Some(job) = self.jobs.remove(&id) {
--- /dev/null
+++ b/crates/core/src/leader/task_exits.rs
@@ -0,0 +1,89 @@
+//! Tasks that have ended on a machine, by a heartbeat under the current fencing token.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::leader::Leader;
+use crate::model::{Id, Placement, UnexpectedTask};
+use shaleshunt_wire::worker::ExitCause;
+use std::collections::BTreeSet;
+
+impl Leader {
+    /// A task has ended: releases its placement and takes in how it ended.
+    pub(crate) fn task_ended(&mut self, ctx: &mut Context, machine: &Id, placement_id: u64, cause: ExitCause) {
+        let done = cause == ExitCause::Done;
+        let Some(placement) = self.release_placement(ctx.now.monotonic_ms, machine, placement_id, done) else { return };
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
+            // Reported until it is told to forget the task, which waits for the outcome's commit.
+            let task = format!("{}/{}", placement.job, placement.task);
+            let unexpected = UnexpectedTask { task, attempt: placement.attempt, exit: Some(cause) };
+            m.agent.unexpected_tasks.push(unexpected);
+        }
+        let Some(job) = self.jobs.get(&placement.job) else { return };
+        match cause {
+            ExitCause::Done if !job.is_service() => self.task_done(ctx, machine, &placement),
+            ExitCause::Error => {
+                self.emit_task_failed(ctx, machine, &placement, cause);
+                let ran_ms = placement.running.map_or(0, |since| ctx.now.monotonic_ms.saturating_sub(since));
+                self.task_failed(ctx, machine, &placement.job, ran_ms);
+            }
+            // No fault of the machine's: the job waits for a heartbeat interval.
+            ExitCause::Done | ExitCause::UnknownTask | ExitCause::Unknown => {
+                self.emit_task_failed(ctx, machine, &placement, cause);
+                if let Some(job) = self.jobs.get_mut(&placement.job) {
+                    job.scheduling.not_before = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms();
+                }
+            }
+            ExitCause::InsufficientResources | ExitCause::AttemptConflict => self.start_refused(ctx, machine),
+            ExitCause::Stopped | ExitCause::GangIncomplete | ExitCause::GangLost => {}
+        }
+    }
+
+    fn emit_task_failed(&self, ctx: &mut Context, machine: &Id, placement: &Placement, cause: ExitCause) {
+        let task = format!("{}/{}", placement.job, placement.task);
+        ctx.emit(Event::TaskFailed { task, machine: machine.clone(), cause });
+    }
+
+    /// A task is done. Its job does well after all: machines where it failed are at fault.
+    fn task_done(&mut self, ctx: &mut Context, machine: &Id, placement: &Placement) {
+        let now = ctx.now.monotonic_ms;
+        let Some(job) = self.jobs.get_mut(&placement.job) else { return };
+        job.tasks.mark_done(placement.task);
+        let failed = std::mem::take(&mut job.failures.count) > 0;
+        let failed_on = if failed { job.failures.machines.clone() } else { BTreeSet::new() };
+        if let Some(since) = placement.running {
+            self.count_run_time(&placement.job, now.saturating_sub(since));
+        }
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
+            m.health.task_succeeded(placement.since);
+        }
+        self.record_change(now, &placement.job, placement.task, false);
+        for id in failed_on.iter().filter(|id| *id != machine) {
+            if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&placement.job)) {
+                self.quarantine(ctx, id);
+            }
+        }
+    }
+
+    /// Counts how long a task ran, for its job and for its class. A job without an estimate has
+    /// nothing to compare it with.
+    fn count_run_time(&mut self, id: &Id, ran_ms: u64) {
+        let Some(job) = self.jobs.get_mut(id) else { return };
+        let expected_s = job.spec.estimated_run_s;
+        if expected_s <= 0.0 {
+            return;
+        }
+        job.tasks.run_times.add(ran_ms);
+        let class = self.scheduler.runtimes_by_class.entry(job.spec.class.clone()).or_default();
+        class.actual += ran_ms as f64 / 1000.0;
+        class.expected += expected_s;
+    }
+
+    /// A machine refused a task for room that we did not know to be taken, such as by a stopped task
+    /// that is not gone yet.
+    fn start_refused(&mut self, ctx: &Context, machine: &Id) {
+        let until = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 3;
+        if let Some(m) = self.fleet.machines.get_mut(machine) {
+            m.health.quarantined_until = m.health.quarantined_until.max(until);
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/model/machine_health.rs
@@ -0,0 +1,54 @@
+//! How well tasks run on a machine.
+
+use super::Id;
+use std::collections::BTreeSet;
+
+/// A machine's quarantine doubles at most so many times.
+const MOST_DOUBLINGS: u32 = 3;
+
+/// How well tasks run on a machine.
+#[derive(Debug, Default)]
+pub struct MachineHealth {
+    /// Failures in a row, by job.
+    pub failed_jobs: Vec<Id>,
+    /// When last a task failed here.
+    pub failed_at: u64,
+    /// Not used before this time.
+    pub quarantined_until: u64,
+    /// Times that it was put in quarantine since a task succeeded.
+    pub quarantine_count: u32,
+    /// Its tasks take much longer than the same jobs' elsewhere: no batch work before this time.
+    pub slow_until: u64,
+}
+
+impl MachineHealth {
+    /// Whether the machine is left alone at this time because tasks failed.
+    pub fn in_quarantine(&self, now: u64) -> bool {
+        now < self.quarantined_until
+    }
+
+    /// Puts the machine in quarantine for a base time, which doubles with each time since a task
+    /// succeeded, up to eight times the base. Returns how long, in ms.
+    pub fn quarantine(&mut self, now: u64, base_ms: f64) -> f64 {
+        self.quarantine_count += 1;
+        let doublings = (self.quarantine_count - 1).min(MOST_DOUBLINGS);
+        let pause_ms = base_ms * f64::from(1u32 << doublings);
+        self.quarantined_until = now + pause_ms as u64;
+        self.failed_jobs.clear();
+        pause_ms
+    }
+
+    /// A task that was planned at this time has succeeded. One planned before the last failure
+    /// tells nothing of the machine since.
+    pub fn task_succeeded(&mut self, planned_at: u64) {
+        if planned_at > self.failed_at {
+            self.failed_jobs.clear();
+            self.quarantine_count = 0;
+        }
+    }
+
+    /// Tasks of how many jobs have failed in a row.
+    pub fn failed_job_count(&self) -> usize {
+        self.failed_jobs.iter().collect::<BTreeSet<_>>().len()
+    }
+}
--- /dev/null
+++ b/crates/core/src/model/samples.rs
@@ -0,0 +1,65 @@
+//! Jobs, machines and placements for unit tests.
+
+use super::{Job, JobRecord, Machine, Placement, PlacementState};
+use crate::io::Timestamp;
+use shaleshunt_wire::user::{JobKind, Priority, Submission};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
+
+/// An agent's epoch, which sample placements are for.
+pub(crate) const AGENT: AgentEpoch = AgentEpoch(5);
+
+/// An attempt of the first leader.
+pub(crate) fn attempt(number: u64) -> Attempt {
+    Attempt::new(Epoch(1), number)
+}
+
+/// A machine of which nothing is known.
+pub(crate) fn machine(name: &str) -> Machine {
+    Machine::new(name.into(), Timestamp { monotonic_ms: 1, wall_ms: 1 })
+}
+
+/// Attempt 9 at task 3 of job `wk-1`; its start command has left unless it is only planned.
+pub(crate) fn placement(stage: PlacementState) -> Placement {
+    Placement {
+        job: "wk-1".into(),
+        task: 3,
+        attempt: attempt(9),
+        agent_epoch: AGENT,
+        placement_id: 7,
+        need: Resources::default(),
+        image: 0,
+        stage,
+        sent: stage != PlacementState::Planned,
+        since: 0,
+        running: None,
+        stop_grace_s: None,
+    }
+}
+
+/// Job `wk-1` with so many tasks that need 1 CPU and 60 s.
+pub(crate) fn job(tasks: u32) -> Job {
+    let submission = Submission {
+        id: "wk-1".into(),
+        class: "class".into(),
+        team: "team".into(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        tasks,
+        cores: 1.0,
+        accelerators: 0.0,
+        memory_gb: 1.0,
+        image: "image".into(),
+        image_gb: 2.0,
+        machine_types: None,
+        zone: None,
+        single_zone: false,
+        spread_zones: false,
+        spot: true,
+        estimated_run_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    };
+    Job::new(JobRecord { s: submission, at: 1, x: false, k: false }, Revision(1))
+}
--- a/crates/core/src/model/task_progress.rs
+++ b/crates/core/src/model/task_progress.rs
@@ -194,7 +194,7 @@
     }
 
     /// All placements, by task.
-    pub fn placements(&self) -> impl Iterator<Item = &TaskPlacement> {
+    pub fn placements(&self) -> impl Iterator<Item = &TaskPlacement> + Clone {
         self.placements.values().flatten()
     }
 
