--- a/crates/core/src/leader/fleet/lease_expiry.rs
+++ b/crates/core/src/leader/fleet/lease_expiry.rs
@@ -30,11 +30,7 @@
     }
 
     /// Whether nobody can have renewed the lease of a machine's agent for longer than it lasts.
-    pub(crate) fn has_expired<'a>(
-        &self,
-        machine: &Machine,
-        peers: impl IntoIterator<Item = &'a PeerLeaseReport>,
-    ) -> bool {
+    pub(crate) fn has_expired(&self, machine: &Machine, peers: &[&PeerLeaseReport]) -> bool {
         let last_heard = machine.agent.last_heard.unwrap_or(0);
         // Until it has shown our token, an earlier leader may have answered it for as long as that
         // leader could go without news of this epoch.
@@ -45,7 +41,7 @@
         };
         self.now.saturating_sub(last_renewal) > self.lease
             && peers
-                .into_iter()
+                .iter()
                 .filter(|peer| peer.zone == machine.zone || machine.zone.is_empty())
                 .all(|peer| self.cannot_be_kept_by(peer, last_heard))
     }
@@ -73,13 +69,9 @@
     }
 
     /// Machines with placements whose lease has surely expired.
-    pub(crate) fn expired_machines<'a>(
-        &self,
-        clock: LeaseClock,
-        peers: impl IntoIterator<Item = &'a PeerLeaseReport> + Clone,
-    ) -> Vec<Id> {
+    pub(crate) fn expired_machines(&self, clock: LeaseClock, peers: &[&PeerLeaseReport]) -> Vec<Id> {
         let with_placements = self.machines.values().filter(|machine| !machine.placements.is_empty());
-        let expired = with_placements.filter(|machine| clock.has_expired(machine, peers.clone()));
+        let expired = with_placements.filter(|machine| clock.has_expired(machine, peers));
         expired.map(|machine| machine.id.clone()).collect()
     }
 }
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -111,7 +111,7 @@
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         if m.agent.last_heard.is_none() || !m.answers(now, &ctx.settings) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         m.agent.heard(order, now);
         self.fleet.reachability.zone_heard(&m.zone, now);
@@ -140,7 +140,7 @@
             && let Some(machine_type) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
         {
             room = machine_type.resources();
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         if room != m.capacity.total {
             self.fleet.machines.set_room(machine, room);
@@ -169,7 +169,7 @@
             return false;
         }
         if m.agent.confirm_token() {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
         }
         if seen.epoch() > self.epoch {
             self.down = Some(StepDown::NewerToken);
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -17,7 +17,7 @@
         let Some(verdict) = self.judge_failed_job(ctx, machine, job, ran_ms) else { return };
         self.hold_back_job(ctx, job, verdict);
         self.count_failure(ctx, machine, job, verdict);
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// Counts a failure at the job, and judges it.
@@ -101,7 +101,7 @@
         let mean = job.tasks.run_times.mean_ms(LEAST_RUN_TIMES);
         Some(RunningTask {
             elapsed_ms: now.saturating_sub(since) as f64,
-            usual_ms: mean.unwrap_or_else(|| self.estimate(job) * 1500.0),
+            usual_ms: mean.unwrap_or_else(|| self.scheduler.estimated_run_s(job) * 1500.0),
         })
     }
 }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -21,11 +21,12 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::Recovery;
 use crate::leader::scheduler::Scheduler;
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
 use crate::model::*;
-use crate::submission_parts::{SplitJobRecord, StoredJob};
+use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
@@ -72,20 +73,6 @@
     pub answer: Option<Vec<Id>>,
 }
 
-/// Actual and estimated run time of a class's tasks.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RuntimeStatistics {
-    pub actual: f64,
-    pub expected: f64,
-}
-
-/// What a class has on machines.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct ClassUsage {
-    pub all: i64,
-    pub owned: i64,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
@@ -249,26 +236,26 @@
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
+        let Some(n) = keys::machine_block_number(&pair.path) else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
         let images: Vec<CachedImage> = rec
-            .i
+            .images
             .iter()
-            .map(|(name, gb)| CachedImage { image: self.fleet.images.number(name), size_gb: *gb })
+            .map(|image| CachedImage { image: self.fleet.images.number(&image.name), size_gb: image.gb })
             .collect();
         let mut block =
-            Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
-        for (name, r) in rec.m {
+            Block { zone: rec.zone.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
+        for (name, r) in rec.machines {
             let id: Id = name.as_str().into();
             // In two blocks only if its move between them was not finished: either will do.
             if self.fleet.machines.contains_key(&id) {
                 continue;
             }
-            let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
-            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.e, r.s, r.t);
-            m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
+            let mut m = self.new_machine(ctx, &id, &r.machine_type, &rec.zone, r.spot, r.owned);
+            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.endpoint, r.agent_epoch, r.rented_at_ms);
+            m.images = r.images.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
             (m.record.block, m.record.committed) = (Some(n), true);
-            block.owned = r.o;
+            block.owned = r.owned;
             block.machines.insert(id.clone());
             self.fleet.machines.insert(m);
         }
@@ -341,15 +328,15 @@
             self.store.v0_1_keys.insert(pair.path, pair.version);
             let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
             if !self.fleet.machines.contains_key(&name) {
-                let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
-                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                let mut m = self.new_machine(ctx, &name, &rec.machine_type, &rec.zone, rec.spot, rec.owned);
+                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.endpoint, rec.agent_epoch, rec.rented_at_ms);
                 self.fleet.machines.insert(m);
                 self.join_block(ctx, &name);
             }
-            for (job, task, attempt) in rec.p {
+            for V01PlacementRecord { job, task, attempt } in rec.placements {
                 let unknown = |j: &&Job| j.writes.page_of_task.get(task as usize).is_none_or(|at| *at == 0);
                 if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
-                    self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
+                    self.restore_placement(ctx, &id, &name, rec.agent_epoch, attempt, task);
                     touched.push((id, task));
                 }
             }
@@ -391,15 +378,12 @@
             ctx.emit(Event::RecordUnreadable { key: path.into() });
             return;
         };
-        let (cancelled, _) = rec.cancelled();
+        let cancelled = rec.is_cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
             job.record.version = version;
             job.record.stale = false;
-            job.record.has_cancellation_key = match &rec {
-                StoredJob::Whole(r) => r.k,
-                StoredJob::SplitSubmission(r) => r.k,
-            };
+            job.record.has_cancellation_key = rec.has_cancellation_key();
             let id = job.id.clone();
             if cancelled && !job.cancelled {
                 job.cancelled = true;
@@ -418,15 +402,15 @@
 
     /// A job that was not known has come.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
-        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.record.version >= version) {
+        if self.jobs.get(rec.submission.id.as_str()).is_some_and(|j| j.record.version >= version) {
             return;
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         let mut job = Job::new(rec, version);
         job.image = self.fleet.images.number(&job.spec.image);
         let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
-        self.scheduler.ranks_outdated = true;
+        self.scheduler.jobs_changed();
         if self.active {
             self.add_dependencies(ctx, &id);
             if cancelled {
@@ -441,7 +425,7 @@
     /// A job that may run has come: as much may come again.
     pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
         let Some(j) = self.jobs.get(id) else { return };
-        let rec = JobRecord { s: j.spec.clone(), at: j.accepted_at, x: false, k: false };
+        let rec = JobRecord::new(j.spec.clone(), j.accepted_at);
         self.autoscaler.arrivals.push_back((now, Job::new(rec, j.record.version)));
         if self.autoscaler.arrivals.len() > ARRIVALS {
             self.autoscaler.arrivals.pop_front();
@@ -472,8 +456,8 @@
                 self.remove_dependencies(&job);
             }
             self.dependency_vanished(ctx.now.monotonic_ms, &id);
-            self.scheduler.ranks_outdated = true;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.jobs_changed();
+            self.scheduler.request_pass();
         }
     }
 
@@ -599,13 +583,12 @@
             }
         }
         self.run_autoscaler(ctx);
-        if self.scheduler.pass_wanted && now >= self.scheduler.next_pass_at {
-            self.scheduler.pass_wanted = false;
+        if self.scheduler.begin_pass(now) {
             self.detect_zone_partitions(ctx);
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            self.scheduler.next_pass_at =
-                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            let lag_ms = (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            self.scheduler.delay_next_pass(now + apart + lag_ms);
             self.schedule(ctx);
         }
         self.commit(ctx);
@@ -687,10 +670,8 @@
             planned: p.stage == PlacementState::Planned,
         };
         job.tasks.add_placement(p.task, of_task, &m.zone);
-        self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
-        let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
-        usage_by_class.all += 1;
-        usage_by_class.owned += i64::from(m.owned);
+        let ownership = Ownership::from_owned(m.owned);
+        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
     }
 
@@ -710,16 +691,11 @@
         }
         self.fleet.machines.give_room(machine, &p.need);
         let m = self.fleet.machines.get(machine)?;
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
             job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
-            if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
-                t.add(&p.need, -1);
-            }
-            if let Some(usage_by_class) = self.scheduler.usage_by_class.get_mut(&job.spec.class) {
-                usage_by_class.all -= 1;
-                usage_by_class.owned -= i64::from(m.owned);
-            }
+            let ownership = Ownership::from_owned(m.owned);
+            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
             if !done {
                 self.record_change(now, &p.job, p.task, false);
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -1,7 +1,7 @@
 //! Machines, zones and whole fleets that send no heartbeats: who is asked, what is not used, what is
 //! given up.
 
-use crate::controller::Context;
+use crate::controller::{Context, PeerLeaseReport};
 use crate::event::Event;
 use crate::leader::Leader;
 use crate::leader::fleet::lease_expiry::LeaseClock;
@@ -34,7 +34,7 @@
             ctx.emit(Event::ZoneUnreachable { zone });
         }
         self.fleet.mark_partitioned_machines();
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// Asks machines whose heartbeats are overdue whether they live.
@@ -49,7 +49,8 @@
     pub(crate) fn expire_silent_machines(&mut self, ctx: &mut Context) {
         let clock = LeaseClock::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
         self.fleet.count_heard_machines(clock.now, clock.lease);
-        for id in self.fleet.expired_machines(clock, ctx.peer_lease_reports.values()) {
+        let peers: Vec<&PeerLeaseReport> = ctx.peer_lease_reports.values().collect();
+        for id in self.fleet.expired_machines(clock, &peers) {
             let Some(m) = self.fleet.machines.get(&id) else { continue };
             let placements: Vec<u64> = m.placements.iter().map(|placement| placement.placement_id).collect();
             ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: placements.len() });
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -73,9 +73,7 @@
             return;
         }
         job.tasks.run_times.add(ran_ms);
-        let class = self.scheduler.runtimes_by_class.entry(job.spec.class.clone()).or_default();
-        class.actual += ran_ms as f64 / 1000.0;
-        class.expected += expected_s;
+        self.scheduler.record_runtime(&job.spec.class, ran_ms as f64 / 1000.0, expected_s);
     }
 
     /// A machine refused a task for room that we did not know to be taken, such as by a stopped task
--- a/crates/core/src/model/job.rs
+++ b/crates/core/src/model/job.rs
@@ -1,6 +1,7 @@
 //! An unfinished job: what was submitted, how far its tasks are, what is to be written about it.
 
-use super::{Id, JobRecord, TaskProgress};
+use super::{Id, TaskProgress};
+use crate::records::JobRecord;
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
 use shaleshunt_wire::{Resources, Revision};
 use std::collections::{BTreeMap, BTreeSet};
@@ -89,26 +90,26 @@
 impl Job {
     /// A job from its record.
     pub fn new(mut rec: JobRecord, version: Revision) -> Job {
-        let dependencies = std::mem::take(&mut rec.s.dependencies);
+        let dependencies = std::mem::take(&mut rec.submission.dependencies);
         Job {
-            id: rec.s.id.as_str().into(),
-            need: rec.s.need(),
+            id: rec.submission.id.as_str().into(),
+            need: rec.submission.need(),
             image: 0,
-            accepted_at: rec.at,
-            cancelled: rec.x,
+            accepted_at: rec.accepted_at_ms,
+            cancelled: rec.cancelled,
             open_dependencies: dependencies.into_iter().map(Id::from).collect(),
-            record: JobRecordState { version, has_cancellation_key: rec.k, stale: false },
-            tasks: TaskProgress::new(rec.s.tasks),
+            record: JobRecordState { version, has_cancellation_key: rec.has_cancellation_key, stale: false },
+            tasks: TaskProgress::new(rec.submission.tasks),
             writes: PendingWrites::default(),
             scheduling: SchedulingState {
                 not_before: 0,
                 offloaded: false,
-                ready_at: rec.at,
+                ready_at: rec.accepted_at_ms,
                 inherited_deadline: None,
-                priority: rec.s.priority,
+                priority: rec.submission.priority,
             },
             failures: JobFailures::default(),
-            spec: rec.s,
+            spec: rec.submission,
         }
     }
 
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -1,7 +1,8 @@
 //! Jobs, machines and placements for unit tests.
 
-use super::{Job, JobRecord, Machine, Placement, PlacementState};
+use super::{Job, Machine, Placement, PlacementState};
 use crate::io::Timestamp;
+use crate::records::JobRecord;
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 
@@ -61,5 +62,5 @@
         deadline_s: None,
         dependencies: Vec::new(),
     };
-    Job::new(JobRecord { s: submission, at: 1, x: false, k: false }, Revision(1))
+    Job::new(JobRecord::new(submission, 1), Revision(1))
 }
