--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -27,6 +27,7 @@
 mod zone_leases;
 
 pub(crate) use context::{BatchTime, Context};
+pub(crate) use peer_lease_reports::PeerLeaseReport;
 pub(crate) use pending::PendingRequest;
 
 use crate::api::{Api, ApiRequest};
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -100,11 +100,11 @@
 fn rank(view: &SchedulingView, job: &Job) -> Rank {
     let start_within_ms = view.tuning.start_within_s * 1000.0;
     let unstarted_ms =
-        if job.tasks.started { 0.0 } else { view.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 };
+        if job.tasks.started() { 0.0 } else { view.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 };
     let without_deadline = job.deadline().is_none();
     let inputs = &view.scheduler.ranks;
     Rank {
-        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.tasks.placed_count == 0),
+        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.tasks.placed_count() == 0),
         priority: Reverse(job.scheduling.priority),
         aged: Reverse(unstarted_ms > start_within_ms * AGED_SHARE),
         guaranteed: Reverse(inputs.guaranteed.contains(&job.id)),
@@ -155,7 +155,7 @@
     let mut cores_left = on_demand.cores;
     let mut spot_work = Vec::new();
     for job in view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()) {
-        let cores = job.need.cores * i64::from(job.spec.tasks - job.tasks.done_count.min(job.spec.tasks));
+        let cores = job.need.cores * i64::from(job.spec.tasks - job.tasks.done_count().min(job.spec.tasks));
         if !job.spec.spot {
             cores_left -= cores;
         } else if !job.scheduling.offloaded {
