--- /dev/null
+++ b/crates/core/src/api/admission.rs
@@ -0,0 +1,42 @@
+//! Admission control: whether a submission can ever run, by the team's limit and the machine types.
+
+use crate::api::answers::RefusalReason;
+use crate::settings::Settings;
+use shaleshunt_wire::Resources;
+use shaleshunt_wire::cloud::{Catalog, MachineType};
+use shaleshunt_wire::user::{JobKind, Submission};
+
+/// Checks that a job can run on an otherwise empty cluster.
+///
+/// # Errors
+/// The reason why it never can.
+pub(super) fn check(settings: &Settings, catalog: &Catalog, submission: &Submission) -> Result<(), RefusalReason> {
+    let team = settings.teams.get(&submission.team).ok_or(RefusalReason::UnknownTeam)?;
+    let need = submission.need();
+    let fits = |machine_type: &MachineType| allows(submission, machine_type) && machine_type.resources().fits(&need);
+    if !catalog.machine_types.iter().any(fits) {
+        return Err(RefusalReason::NoMachineTypeFits);
+    }
+    let mut total = Resources::default();
+    total.add(&need, least_concurrent_tasks(submission));
+    if !team.allows(&total) {
+        return Err(RefusalReason::OverTeamLimit);
+    }
+    Ok(())
+}
+
+/// Whether the job may use machines of a type.
+fn allows(submission: &Submission, machine_type: &MachineType) -> bool {
+    let named = submission.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name));
+    // A type without zones is to be had in all of them.
+    let zone = |zone: &String| machine_type.zones.is_empty() || machine_type.zones.contains(zone);
+    named && submission.zone.as_ref().is_none_or(zone)
+}
+
+/// How many tasks must at least run at the same time: an array makes progress one by one.
+fn least_concurrent_tasks(submission: &Submission) -> i64 {
+    match submission.kind {
+        JobKind::Array => 1,
+        JobKind::Service | JobKind::Gang => i64::from(submission.tasks),
+    }
+}
--- /dev/null
+++ b/crates/core/src/api/submissions.rs
@@ -0,0 +1,240 @@
+//! Submissions: admission, the queue of acceptances, and the replies to them.
+
+use crate::api::acceptance::PendingSubmission;
+use crate::api::answers::{self, RefusalReason, UnavailableReason};
+use crate::api::dependencies::{self, DependencyState};
+use crate::api::known_jobs::{FinalState, UnfinishedJob};
+use crate::api::lookups::DeferredRequest;
+use crate::api::queries::{JobQuery, QueryPurpose, recent_enough};
+use crate::api::requests::{self, ApiRequest};
+use crate::api::split_submission::SplitSubmission;
+use crate::api::{Api, SUBMIT_PATIENCE_MS, admission};
+use crate::controller::{BatchTime, Context};
+use crate::event::Event;
+use crate::io::{KvReply, KvRequest, RequestError, RequestId};
+use crate::records::keys;
+use shaleshunt_wire::Revision;
+use shaleshunt_wire::user::{JobStatus, JobView, Submission};
+
+/// What is done with a submission that has come.
+enum Decision {
+    /// The job has ended: its state is the answer.
+    AlreadyFinal(FinalState),
+    /// The user shall come back.
+    Unavailable(UnavailableReason),
+    /// It is refused, unless the job was accepted before.
+    Refuse(RefusalReason),
+    /// It may be accepted.
+    Admit,
+}
+
+impl Api {
+    /// Takes in a submission.
+    pub fn submit(&mut self, ctx: &mut Context, request: RequestId, submission: Submission) {
+        match self.decide(ctx, &submission) {
+            Decision::AlreadyFinal(state) => {
+                ctx.answer(request, answers::job(answers::final_view(&submission.id, state)));
+            }
+            Decision::Unavailable(reason) => ctx.answer(request, answers::unavailable(reason)),
+            Decision::Refuse(reason) => {
+                self.read(ctx, JobQuery::new(request, submission.id, QueryPurpose::Refusal(reason)));
+            }
+            Decision::Admit => {
+                let pending = PendingSubmission {
+                    request,
+                    submission,
+                    submitted_at_ms: ctx.now.wall_ms,
+                    received_at_ms: ctx.now.monotonic_ms,
+                    sequence: self.next_sequence(),
+                    cancelled_by_dependency: false,
+                };
+                self.admit(ctx, pending);
+            }
+        }
+    }
+
+    fn decide(&self, ctx: &Context, submission: &Submission) -> Decision {
+        if let Some(state) = self.known.final_state(&submission.id) {
+            return Decision::AlreadyFinal(state);
+        }
+        let Some(catalog) = &ctx.catalog else {
+            return Decision::Unavailable(UnavailableReason::CatalogUnknown);
+        };
+        if ctx.kv_unavailable() {
+            return Decision::Unavailable(UnavailableReason::StoreUnavailable);
+        }
+        if let Err(reason) = admission::check(&ctx.settings, catalog, submission) {
+            return Decision::Refuse(reason);
+        }
+        if self.split_submissions.contains(&submission.id) {
+            return Decision::Unavailable(UnavailableReason::SubmissionInProgress);
+        }
+        if submission.dependencies.contains(&submission.id) {
+            // It had not been accepted when its user named it.
+            return Decision::Refuse(RefusalReason::DependencyNeverAccepted);
+        }
+        Decision::Admit
+    }
+
+    /// Queues a submission for acceptance, unless its dependencies must be looked up first.
+    pub(super) fn admit(&mut self, ctx: &mut Context, mut pending: PendingSubmission) {
+        let report = dependencies::resolve(&self.known, &pending.submission.dependencies, recent_enough(ctx));
+        match report.state {
+            DependencyState::Unknown(jobs) => {
+                self.look_up(ctx, jobs);
+                self.lookups.defer(DeferredRequest::Submit(Box::new(pending)));
+                return;
+            }
+            DependencyState::Cancelled => pending.cancelled_by_dependency = true,
+            // What is done by now need not be waited for, nor found out again by each leader.
+            DependencyState::Clear => {
+                pending.submission.dependencies.retain(|job| self.known.final_state(job).is_none());
+            }
+        }
+        self.acceptances.push(pending);
+    }
+
+    /// Tells users to come back whose submissions have waited too long.
+    pub(super) fn answer_overdue_submissions(&mut self, ctx: &mut Context) {
+        let now_ms = ctx.now.monotonic_ms;
+        while let Some(overdue) = self.acceptances.pop_overdue(now_ms, SUBMIT_PATIENCE_MS) {
+            ctx.answer(overdue.request, answers::unavailable(UnavailableReason::TooManyRequests));
+        }
+        for request in self.split_submissions.take_overdue_requests(now_ms, SUBMIT_PATIENCE_MS) {
+            ctx.answer(request, answers::unavailable(UnavailableReason::SubmissionInProgress));
+        }
+    }
+
+    /// Goes on with one split submission.
+    pub(super) fn send_split_submission(&mut self, ctx: &mut Context) {
+        if ctx.now.monotonic_ms >= self.retry_writes_at_ms
+            && let Some(mut split) = self.split_submissions.pop()
+        {
+            let transaction = split.next_transaction(ctx.limits.ops());
+            requests::send(ctx, KvRequest::Transaction(transaction), ApiRequest::WriteSplitSubmission(split));
+        }
+    }
+
+    /// Sends the acceptances that wait, many in one transaction.
+    pub(super) fn send_acceptances(&mut self, ctx: &mut Context) {
+        while ctx.now.monotonic_ms >= self.retry_writes_at_ms
+            && let Some(batch) = self.acceptances.next_batch(&ctx.limits)
+        {
+            for duplicate in batch.duplicates {
+                self.read_resubmitted(ctx, duplicate);
+            }
+            for oversized in batch.oversized {
+                self.split_submissions.begin(SplitSubmission::new(ctx, oversized));
+            }
+            if !batch.submissions.is_empty() {
+                let request = KvRequest::Transaction(batch.transaction);
+                requests::send(ctx, request, ApiRequest::Accept(batch.submissions));
+            }
+        }
+    }
+
+    /// Some parts of a split submission, or its record, were written or not.
+    pub(super) fn handle_split_submission_reply(
+        &mut self,
+        ctx: &mut Context,
+        mut split: Box<SplitSubmission>,
+        sent: BatchTime,
+        result: Result<KvReply, RequestError>,
+    ) {
+        match result {
+            Ok(KvReply::Committed(revision)) if split.is_writing_parts() => {
+                split.commit_parts(revision);
+                self.split_submissions.push(split);
+            }
+            Err(RequestError::Throttled) => {
+                self.delay_writes(ctx);
+                self.split_submissions.push(split);
+            }
+            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
+                let smaller = SplitSubmission::new(ctx, split.into_submission());
+                self.split_submissions.push(Box::new(smaller));
+            }
+            result => self.handle_acceptance_reply(ctx, vec![split.into_answerable()], sent, result),
+        }
+    }
+
+    /// Records of jobs were created or not.
+    pub(super) fn handle_acceptance_reply(
+        &mut self,
+        ctx: &mut Context,
+        batch: Vec<PendingSubmission>,
+        sent: BatchTime,
+        result: Result<KvReply, RequestError>,
+    ) {
+        for pending in &batch {
+            self.split_submissions.finish(pending.job());
+        }
+        match result {
+            Ok(KvReply::Committed(revision)) => self.record_acceptances(ctx, batch, sent, revision),
+            Ok(KvReply::Conflict(failed)) => self.handle_acceptance_conflict(ctx, batch, &failed),
+            // Not carried out: again soon, within the users' patience.
+            Err(RequestError::Throttled) => {
+                self.delay_writes(ctx);
+                self.acceptances.retry_in_smaller_batches(batch);
+            }
+            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
+                self.acceptances.retry_in_smaller_batches(batch);
+            }
+            // The outcome is unknown. When the user repeats the submission, it finds the record if the
+            // transaction was carried out.
+            _ => {
+                for pending in batch {
+                    ctx.answer(pending.request, answers::unavailable(UnavailableReason::StoreUnavailable));
+                }
+            }
+        }
+    }
+
+    fn record_acceptances(
+        &mut self,
+        ctx: &mut Context,
+        batch: Vec<PendingSubmission>,
+        sent: BatchTime,
+        revision: Revision,
+    ) {
+        self.acceptances.grow_batches(&ctx.limits);
+        for pending in batch {
+            ctx.emit(Event::JobAccepted { job: pending.job().into() });
+            let request = pending.request;
+            let view = self.record_acceptance(pending, sent, revision);
+            ctx.answer(request, answers::job_created(view));
+        }
+    }
+
+    fn record_acceptance(&mut self, pending: PendingSubmission, sent: BatchTime, revision: Revision) -> JobView {
+        if pending.cancelled_by_dependency {
+            self.known.record_final(pending.job(), FinalState::Cancelled);
+            return answers::final_view(pending.job(), FinalState::Cancelled);
+        }
+        let Submission { id, dependencies, .. } = pending.submission;
+        self.known.record_unfinished(&id, UnfinishedJob { revision, dependencies, confirmed_at: sent });
+        JobView { id, status: JobStatus::Queued, done: None, running: None }
+    }
+
+    /// Some jobs of a batch have records by now: these are read. The others are sent again.
+    fn handle_acceptance_conflict(&mut self, ctx: &mut Context, batch: Vec<PendingSubmission>, failed: &[String]) {
+        for pending in batch.into_iter().rev() {
+            let (job, end) = (keys::job(pending.job()), keys::final_record(pending.job()));
+            if failed.iter().any(|key| *key == job || *key == end) {
+                self.read_resubmitted(ctx, pending);
+            } else {
+                self.acceptances.push_front(pending);
+            }
+        }
+    }
+
+    /// Reads a job that was submitted again, to answer with its state.
+    fn read_resubmitted(&mut self, ctx: &mut Context, pending: PendingSubmission) {
+        self.read(ctx, JobQuery::new(pending.request, pending.submission.id, QueryPurpose::Resubmission));
+    }
+
+    /// The store throttles writes: none is sent for a while.
+    fn delay_writes(&mut self, ctx: &Context) {
+        self.retry_writes_at_ms = ctx.now.monotonic_ms + super::retry_delay_ms(&ctx.settings);
+    }
+}
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,5 +1,6 @@
 //! One node: users' requests, leadership and, while it leads, the scheduler.
 
+use self::progress::ReportedProgress;
 use crate::api::{Api, ApiRequest};
 use crate::event::Event;
 use crate::io::*;
@@ -18,6 +19,8 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::sync::Arc;
 
+mod progress;
+
 /// What a request's answer is for.
 #[derive(Debug)]
 pub(crate) enum PendingRequest {
@@ -185,6 +188,8 @@
     read_leadership_at: Option<u64>,
     lead_revision: Revision,
     via_at: u64,
+    /// When to probe the direct route to the state service next.
+    probe_at: u64,
     /// The leader's lease at the state service.
     leader_lease: Option<u64>,
     last_heard: LeaderContact,
@@ -209,6 +214,7 @@
         let keeper = |zone: &String| PeerLeaseReport { zone: zone.clone(), ..PeerLeaseReport::default() };
         let peer_lease_reports =
             settings.peers.iter().map(|(node_name, zone)| (node_name.clone(), keeper(zone))).collect();
+        let front = Api::new(&settings);
         Controller {
             ctx: Context {
                 now,
@@ -230,13 +236,14 @@
                 live_peers: 0,
                 peer_lease_reports,
             },
-            front: Api::default(),
+            front,
             leader: None,
             known_leader: None,
             epoch: Epoch::NONE,
             read_leadership_at: Some(now.monotonic_ms),
             lead_revision: Revision::ABSENT,
             via_at: 0,
+            probe_at: 0,
             leader_lease: None,
             last_heard: LeaderContact::default(),
             may_renew_leases: 0,
@@ -290,7 +297,7 @@
         match command {
             Command::Submit(id, s) => self.front.submit(&mut self.ctx, id, *s),
             Command::Status(id, job) => self.front.status(&mut self.ctx, id, job),
-            Command::Cancel(id, job) => self.front.withdraw(&mut self.ctx, id, job),
+            Command::Cancel(id, job) => self.front.cancel(&mut self.ctx, id, job),
             Command::HealthCheck(id) => self.health_check(id),
             Command::Heartbeat(id, heartbeat) => self.heartbeat(id, *heartbeat),
             Command::Kv(id, result) => self.handle_kv_reply(id, result),
@@ -432,7 +439,8 @@
         }
         match wait {
             PendingRequest::Api(w) => {
-                self.front.handle_kv_reply(&mut self.ctx, w, sent, result, &self.counts, self.leader.as_deref());
+                let progress = ReportedProgress { leader: self.leader.as_deref(), shared: &self.counts };
+                self.front.handle_kv_reply(&mut self.ctx, w, sent, result, &progress);
                 self.forward_cancellations();
             }
             PendingRequest::Election(w) => self.handle_election_reply(w, sent.at, result),
@@ -461,7 +469,7 @@
     /// What users' requests have shown to be cancelled is stopped at once, before the leader's own
     /// watch tells of it: it may be refused just then.
     fn forward_cancellations(&mut self) {
-        let cancelled = std::mem::take(&mut self.front.newly_cancelled);
+        let cancelled = self.front.take_newly_cancelled();
         if let Some(l) = &mut self.leader {
             for job in cancelled {
                 l.stop_cancelled_job(&mut self.ctx, &job);
@@ -643,7 +651,7 @@
             }
             Frame::JobProgress { epoch, jobs } => {
                 if epoch >= self.epoch && self.leader.is_none() {
-                    self.front.learn(&self.ctx, jobs.iter().map(|j| (j.0.as_str(), j.1)));
+                    self.front.learn_revisions(jobs.iter().map(|j| (j.0.as_str(), j.1)));
                     self.counts = jobs.into_iter().map(|(job, _, done, running)| (job, (done, running))).collect();
                 }
             }
@@ -664,11 +672,12 @@
             self.ctx.send_kv(KvRequest::Get { key: keys::CATALOG.into() }, PendingRequest::Catalog);
         }
         self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
-        self.front.run_due(&mut self.ctx, &self.counts, self.leader.as_deref());
+        let progress = ReportedProgress { leader: self.leader.as_deref(), shared: &self.counts };
+        self.front.run_due(&mut self.ctx, &progress);
         let fresh = self.ctx.settings.heartbeat_interval_ms() / 2;
         let live = self.peers.values().filter(|p| p.last_heard > 0 && now.saturating_sub(p.last_heard) < fresh);
         self.ctx.live_peers = live.clone().count() as u32;
-        self.ctx.accepting = self.front.waiting() > 0 || live.map(|p| p.waiting).any(|n| n > 0);
+        self.ctx.accepting = self.front.pending_submissions() > 0 || live.map(|p| p.waiting).any(|n| n > 0);
         let mut down = None;
         if let Some(l) = &mut self.leader {
             l.run_due(&mut self.ctx);
@@ -695,7 +704,7 @@
                     at: now,
                     echo,
                     kept_ms: u32::try_from(kept).unwrap_or(u32::MAX),
-                    waiting: self.front.waiting(),
+                    waiting: self.front.pending_submissions(),
                 };
                 self.ctx.effects.push(Effect::Peer(node_name, pulse));
             }
@@ -704,7 +713,7 @@
             self.counts_at = now + self.ctx.settings.heartbeat_interval_ms() / 3;
             if let Some(l) = &self.leader {
                 let jobs = l.job_progress();
-                self.front.learn(&self.ctx, jobs.iter().map(|j| (j.0.as_str(), j.1)));
+                self.front.learn_revisions(jobs.iter().map(|j| (j.0.as_str(), j.1)));
                 let counts = Frame::JobProgress { epoch: l.epoch, jobs };
                 self.broadcast(counts);
             }
@@ -721,7 +730,7 @@
                     self.ctx.emit(Event::StateServiceRelayStarted { peer: peer.clone() });
                     self.ctx.relay = Some(peer);
                     self.via_at = now;
-                    self.front.probe_at = now + self.ctx.settings.heartbeat_interval_ms();
+                    self.probe_at = now + self.ctx.settings.heartbeat_interval_ms();
                     if self.leader.is_none() {
                         self.read_leadership();
                     }
@@ -735,8 +744,8 @@
                 if lost || settled && self.ctx.kv_unavailable() {
                     self.ctx.relay = None;
                     self.ctx.state_failed_at = now;
-                } else if now >= self.front.probe_at {
-                    self.front.probe_at = now + self.ctx.settings.heartbeat_interval_ms();
+                } else if now >= self.probe_at {
+                    self.probe_at = now + self.ctx.settings.heartbeat_interval_ms();
                     let relay = self.ctx.relay.take();
                     let probe = KvRequest::Get { key: keys::EPOCH.into() };
                     self.ctx.send_kv(probe, PendingRequest::Api(ApiRequest::Probe));
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -75,7 +75,7 @@
 }
 
 /// A transaction.
-#[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
     /// What must hold.
     #[serde(rename = "if")]
