--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -218,7 +218,7 @@
 /// The direct route to the store was probed: if it works, the relay is given up.
 fn handle_probe(ctx: &mut Context, result: &KvResult) {
     if result.is_ok() {
-        ctx.relay = None;
+        ctx.relay.stop();
         ctx.emit(Event::StateServiceRelayEnded);
     }
 }
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -56,7 +56,7 @@
             keys::SUBMISSION_PARTS,
             submission.job(),
             ctx.settings.node_name,
-            ctx.process_id,
+            ctx.process_id(),
             submission.sequence
         );
         SplitSubmission {
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -44,7 +44,7 @@
                     request,
                     submission,
                     submitted_at_ms: ctx.now.wall_ms,
-                    received_at_ms: ctx.now.monotonic_ms,
+                    received_at_ms: ctx.now_ms(),
                     sequence: self.next_sequence(),
                     cancelled_by_dependency: false,
                 };
@@ -96,7 +96,7 @@
 
     /// Tells users to come back whose submissions have waited too long.
     pub(super) fn answer_overdue_submissions(&mut self, ctx: &mut Context) {
-        let now_ms = ctx.now.monotonic_ms;
+        let now_ms = ctx.now_ms();
         while let Some(overdue) = self.acceptances.pop_overdue(now_ms, SUBMIT_PATIENCE_MS) {
             ctx.answer(overdue.request, answers::unavailable(UnavailableReason::TooManyRequests));
         }
@@ -107,7 +107,7 @@
 
     /// Goes on with one split submission.
     pub(super) fn send_split_submission(&mut self, ctx: &mut Context) {
-        if ctx.now.monotonic_ms >= self.retry_writes_at_ms
+        if ctx.now_ms() >= self.retry_writes_at_ms
             && let Some(mut split) = self.split_submissions.pop()
         {
             let transaction = split.next_transaction(ctx.limits.ops());
@@ -117,7 +117,7 @@
 
     /// Sends the acceptances that wait, many in one transaction.
     pub(super) fn send_acceptances(&mut self, ctx: &mut Context) {
-        while ctx.now.monotonic_ms >= self.retry_writes_at_ms
+        while ctx.now_ms() >= self.retry_writes_at_ms
             && let Some(batch) = self.acceptances.next_batch(&ctx.limits)
         {
             for duplicate in batch.duplicates {
@@ -235,6 +235,6 @@
 
     /// The store throttles writes: none is sent for a while.
     fn delay_writes(&mut self, ctx: &Context) {
-        self.retry_writes_at_ms = ctx.now.monotonic_ms + super::retry_delay_ms(&ctx.settings);
+        self.retry_writes_at_ms = ctx.now_ms() + super::retry_delay_ms(&ctx.settings);
     }
 }
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -4,6 +4,8 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::*;
+use crate::leader::scheduler::constraints::{MachineKind, allows, zone_headroom};
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::{Leader, LeaderRequest, ScaleOutState};
 use crate::model::*;
 use shaleshunt_wire::cloud::{ListedMachine, ListedMachineStatus, ScaleOutRequest};
@@ -82,7 +84,7 @@
         self.send_scale_outs(ctx);
         if now >= self.autoscaler.next_round_at {
             self.autoscaler.next_round_at = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
             if self.autoscaler.owned.is_some() {
                 self.scale_out(ctx);
             }
@@ -107,7 +109,7 @@
                     || ctx.catalog.as_ref().is_none_or(|old| types(old) != types(&c));
                 self.fleet.machines.set_rooms(|machine_type| c.machine_type(machine_type).map(|f| f.resources()));
                 ctx.catalog = Some(c);
-                self.scheduler.pass_wanted = true;
+                self.scheduler.request_pass();
             }
             (LeaderRequest::Catalog, _) => {
                 self.autoscaler.next_catalog_at = now + ctx.settings.heartbeat_interval_ms() / 2
@@ -145,7 +147,7 @@
             (LeaderRequest::ScaleIn(names), _) => {
                 for id in names {
                     if let Some(m) = self.fleet.machines.get_mut(&id) {
-                        m.scale_in_requested = false;
+                        m.lifecycle.scale_in_requested = false;
                     }
                 }
             }
@@ -166,27 +168,25 @@
         }
         if let Some(m) = self.fleet.machines.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
-            self.fleet.confirmations_in_flight -= u32::from(m.call_confirms_token);
-            if let Some(b) = m.block.and_then(|n| self.store.blocks.get_mut(&n)) {
+            self.fleet.confirmations_in_flight -= u32::from(m.call.confirms_token);
+            if let Some(b) = m.record.block.and_then(|n| self.store.blocks.get_mut(&n)) {
                 b.machines.remove(id);
-                self.store.thinned_blocks.extend(m.block);
+                self.store.thinned_blocks.extend(m.record.block);
             }
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// Whether a machine is owned became known.
     fn set_owned(&mut self, id: &Id, owned: bool) {
         let Some(m) = self.fleet.machines.get_mut(id).filter(|m| m.owned != owned) else { return };
         m.owned = owned;
-        if let Some(n) = m.block {
+        if let Some(n) = m.record.block {
             self.store.dirty_blocks.insert(n);
         }
         for p in &m.placements {
-            if let Some(usage_by_class) =
-                self.jobs.get(&p.job).and_then(|j| self.scheduler.usage_by_class.get_mut(&j.spec.class))
-            {
-                usage_by_class.owned += if owned { 1 } else { -1 };
+            if let Some(job) = self.jobs.get(&p.job) {
+                self.scheduler.usage_mut().change_ownership(&job.spec.class, Ownership::from_owned(owned));
             }
         }
     }
@@ -233,12 +233,12 @@
             }
             self.set_owned(&id, owned);
             let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
-            m.listed = true;
-            if m.endpoint.is_empty() {
-                m.endpoint = x.endpoint;
+            m.lifecycle.listed = true;
+            if m.agent.endpoint.is_empty() {
+                m.agent.endpoint = x.endpoint;
             }
             if x.status == ListedMachineStatus::Failed {
-                m.scale_in_wanted = true;
+                m.lifecycle.scale_in_wanted = true;
             }
         }
     }
@@ -331,7 +331,7 @@
         boot_s: f64,
         known: &mut BTreeMap<(Resources, i64), i64>,
     ) -> bool {
-        if job.deadline().is_some() && job.offloaded {
+        if job.deadline().is_some() && job.scheduling.offloaded {
             return true;
         }
         // Room that is not there at all, or too little for tasks that run together, is not worth
@@ -341,8 +341,8 @@
             self.fleet
                 .machines
                 .values()
-                .filter(|m| !m.scale_in_wanted && Self::allows(job, &m.machine_type, &m.zone, m.spot))
-                .map(|m| m.resources.times(&job.need, together))
+                .filter(|m| !m.lifecycle.scale_in_wanted && allows(job, MachineKind::of(m)))
+                .map(|m| m.capacity.total.times(&job.need, together))
                 .sum()
         };
         let free_choice = job.spec.machine_types.is_none() && job.spec.zone.is_none();
@@ -361,9 +361,9 @@
             wait = wait.min(s * ctx.tuning.objective_share - boot_s);
         }
         if let Some(s) = aim.finish() {
-            wait = wait.min((s - self.estimate(job)) * ctx.tuning.objective_share - boot_s);
+            wait = wait.min((s - self.scheduler.estimated_run_s(job)) * ctx.tuning.objective_share - boot_s);
         }
-        ctx.now.wall_ms.saturating_sub(job.ready_at) as f64 / 1000.0 >= wait
+        ctx.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 / 1000.0 >= wait
     }
 
     /// Rents the cheapest fitting machines for what is sent out and not covered by rented room
@@ -384,8 +384,9 @@
         let mut spaces: Vec<Space> = Vec::new();
         for m in self.fleet.machines.values() {
             // What boots in a zone that is cut off is of no use before that is over.
-            let coming =
-                m.last_heard.is_none() && !m.scale_in_wanted && !self.fleet.partitioned_zones.contains(&m.zone);
+            let coming = m.agent.last_heard.is_none()
+                && !m.lifecycle.scale_in_wanted
+                && !self.fleet.partitioned_zones.contains(&m.zone);
             let free = m.free();
             if free.cores > 0 && free.memory > 0 && (coming || m.is_schedulable(now, &ctx.settings)) {
                 let (machine_type, zone) = (m.machine_type.clone(), m.zone.clone());
@@ -403,7 +404,7 @@
         spaces.retain(|s| s.free.cores > 0 && s.free.memory > 0);
         spaces.sort_by_key(|s| s.free.cores);
         let mut wanted: Vec<(ScaleOutRequest, Resources)> = Vec::new();
-        let mut team_used = self.scheduler.usage_by_team.clone();
+        let mut team_used = self.scheduler.usage().by_team().clone();
         let calls = (ctx.settings.cloud_rps * ctx.tuning.autoscaler_interval_s * ctx.tuning.scale_out_request_share)
             .max(1.0) as u32;
         let mut budget = calls * MAX_MACHINES_PER_SCALE_OUT;
@@ -416,7 +417,7 @@
         let window = boot_s * ctx.tuning.reserve_boot_times * 1000.0;
         self.autoscaler.arrivals.retain(|(at, _)| now.saturating_sub(*at) as f64 <= window);
         let mut room_for: BTreeMap<(Resources, i64), i64> = BTreeMap::new();
-        let real = self.jobs.values().filter(|j| !j.cancelled && j.not_before <= now && j.waiting() > 0);
+        let real = self.jobs.values().filter(|j| !j.cancelled && j.scheduling.not_before <= now && j.waiting() > 0);
         let real = real.filter(|j| self.wants_scale_out(ctx, j, boot_s, &mut room_for)).collect::<Vec<_>>();
         let ghosts = self.autoscaler.arrivals.iter().map(|(_, j)| j);
         let demand: Vec<&Job> = real.into_iter().chain(ghosts).collect();
@@ -438,14 +439,15 @@
                 if left == 0 {
                     break;
                 }
-                let fits = s.free.fits(&job.need) && Self::allows(job, &s.machine_type, &s.zone, s.spot);
+                let fits = s.free.fits(&job.need)
+                    && allows(job, MachineKind { machine_type: &s.machine_type, zone: &s.zone, spot: s.spot });
                 if !fits {
                     continue;
                 }
                 let mut n = s.free.times(&job.need, i64::from(left)) as u32;
                 if job.spec.spread_zones || job.spec.single_zone {
                     let taken = zones.get(s.zone.as_str()).copied().unwrap_or(0);
-                    n = n.min(Self::zone_room(job, &s.zone).saturating_sub(taken));
+                    n = n.min(zone_headroom(job, &s.zone).saturating_sub(taken));
                     let elsewhere = zones.iter().any(|(z, n)| *n > 0 && *z != s.zone);
                     if n == 0 || job.spec.single_zone && elsewhere {
                         continue;
@@ -460,7 +462,7 @@
             while left > 0 && budget > 0 {
                 let Some((machine_type, zone, spot)) = self.cheapest_offer(ctx, job, &catalog, &there) else { break };
                 let resources = catalog.machine_type(&machine_type).map(|f| f.resources()).unwrap_or_default();
-                let n = (resources.times(&job.need, i64::from(left)) as u32).min(Self::zone_room(job, &zone)).max(1);
+                let n = (resources.times(&job.need, i64::from(left)) as u32).min(zone_headroom(job, &zone)).max(1);
                 let mut free = resources;
                 free.add(&job.need, -i64::from(n));
                 spaces.push(Space {
@@ -488,7 +490,7 @@
         }
         for id in needed {
             if let Some(m) = self.fleet.machines.get_mut(&id) {
-                m.needed_at = now;
+                m.lifecycle.needed_at = now;
             }
         }
         for (mut request, _) in wanted {
@@ -522,7 +524,10 @@
                     let place = (f.name.clone(), zone.clone(), spot);
                     let refused =
                         self.autoscaler.unavailable_offers.get(&place).is_some_and(|r| r.0 > ctx.now.monotonic_ms);
-                    if refused || !Self::allows(job, &f.name, zone, spot) || !Self::zone_fits(job, zone) {
+                    if refused
+                        || !allows(job, MachineKind { machine_type: &f.name, zone, spot })
+                        || zone_headroom(job, zone) == 0
+                    {
                         continue;
                     }
                     let price = if spot && f.spot_price > 0.0 { f.spot_price } else { f.price };
@@ -543,23 +548,24 @@
         let silence = (set.heartbeat_interval_s * ctx.tuning.missed_heartbeats * 1000.0) as u64;
         let mut names: Vec<Id> = Vec::new();
         for m in self.fleet.machines.values_mut() {
-            if m.scale_in_requested {
+            if m.lifecycle.scale_in_requested {
                 continue;
             }
             let boot_s =
                 ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type)).map_or(set.lease_s, |f| f.boot_s);
             let age = ctx.now.wall_ms.saturating_sub(m.rented_at) as f64 / 1000.0;
             let here = now.saturating_sub(self.elected_at);
-            match m.last_heard {
+            match m.agent.last_heard {
                 None if m.owned => {}
-                None if m.agent_epoch > AgentEpoch::NONE => m.scale_in_wanted |= here > silence * 2,
+                None if m.agent.epoch > AgentEpoch::NONE => m.lifecycle.scale_in_wanted |= here > silence * 2,
                 None => {
-                    m.scale_in_wanted |= age > boot_s * NEVER_BOOTS + set.heartbeat_interval_s && here > silence * 2
+                    m.lifecycle.scale_in_wanted |=
+                        age > boot_s * NEVER_BOOTS + set.heartbeat_interval_s && here > silence * 2
                 }
                 Some(h) if !m.owned => {
                     let quiet = now.saturating_sub(h);
-                    let kept = m.partitioned && ctx.peer_lease_reports.values().any(|k| k.zone == m.zone);
-                    m.scale_in_wanted |= if kept {
+                    let kept = m.agent.partitioned && ctx.peer_lease_reports.values().any(|k| k.zone == m.zone);
+                    m.lifecycle.scale_in_wanted |= if kept {
                         // The controller there keeps its leases for a term: what it runs goes on,
                         // and is better waited for unless it has a deadline.
                         let hurry =
@@ -571,18 +577,18 @@
                                 set.lease_renewal_window_ms() + set.lease_expiry_ms()
                             }
                     } else {
-                        let asked = m.unacknowledged_commands > 0 && self.fleet.few_overdue;
+                        let asked = m.agent.unacknowledged_commands > 0 && self.fleet.few_overdue;
                         quiet > if asked { silence / 2 } else { silence }
                     };
-                    m.scale_in_wanted |= m.placements.is_empty()
-                        && (m.preempted_at.is_some()
-                            || now.saturating_sub(m.idle_since.max(m.needed_at)) as f64
+                    m.lifecycle.scale_in_wanted |= m.placements.is_empty()
+                        && (m.lifecycle.preempted_at.is_some()
+                            || now.saturating_sub(m.lifecycle.idle_since.max(m.lifecycle.needed_at)) as f64
                                 > ctx.tuning.idle_before_scale_in_s * 1000.0);
                 }
                 Some(_) => {}
             }
-            if m.scale_in_wanted && names.len() < MAX_MACHINES_PER_SCALE_IN {
-                m.scale_in_requested = true;
+            if m.lifecycle.scale_in_wanted && names.len() < MAX_MACHINES_PER_SCALE_IN {
+                m.lifecycle.scale_in_requested = true;
                 names.push(m.id.clone());
             }
         }
