--- a/crates/core/src/controller/peers.rs
+++ b/crates/core/src/controller/peers.rs
@@ -4,6 +4,7 @@
 use super::context::Context;
 use super::peer_heartbeat::PeerHeartbeat;
 use super::peer_views::PeerViews;
+use crate::api::TaskCounts;
 use crate::settings::Settings;
 use shaleshunt_peer::Frame;
 use shaleshunt_wire::{Epoch, Revision};
@@ -15,7 +16,7 @@
 const PROGRESS_PER_INTERVAL: u64 = 3;
 
 /// Done and running tasks by job, as the leader last shared them. For display only.
-pub(super) type TaskCounts = HashMap<String, (u32, u32)>;
+pub(super) type SharedTaskCounts = HashMap<String, TaskCounts>;
 
 /// Job, version of its record, done tasks, running tasks: as the frame carries it.
 pub(super) type SharedProgress = Vec<(String, Revision, u32, u32)>;
@@ -24,7 +25,7 @@
 #[derive(Debug)]
 pub(super) struct Peers {
     views: PeerViews,
-    task_counts: TaskCounts,
+    task_counts: SharedTaskCounts,
     heartbeat_due_at: u64,
     progress_due_at: u64,
 }
@@ -34,7 +35,7 @@
     pub fn new(settings: &Settings, now: u64) -> Peers {
         Peers {
             views: PeerViews::new(settings),
-            task_counts: TaskCounts::new(),
+            task_counts: SharedTaskCounts::new(),
             heartbeat_due_at: now,
             progress_due_at: now,
         }
@@ -51,13 +52,14 @@
     }
 
     /// Task counts that the leader shared.
-    pub fn task_counts(&self) -> &TaskCounts {
+    pub fn task_counts(&self) -> &SharedTaskCounts {
         &self.task_counts
     }
 
     /// Replaces the task counts by what the leader shared.
     pub fn record_progress(&mut self, jobs: SharedProgress) {
-        self.task_counts = jobs.into_iter().map(|(job, _, done, running)| (job, (done, running))).collect();
+        let counts = |(job, _, done, running)| (job, TaskCounts { done, running });
+        self.task_counts = jobs.into_iter().map(counts).collect();
     }
 
     /// Whether heartbeats are due; plans the next ones if so.
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -2,11 +2,16 @@
 //! users' changes.
 
 pub(crate) mod autoscaler;
+mod direct_calls;
 pub(crate) mod fleet;
+mod heartbeats;
+mod machine_failures;
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
+mod silent_machines;
 pub(crate) mod step_down;
 pub(crate) mod store;
+mod task_exits;
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
@@ -21,7 +26,7 @@
 use crate::leader::store::{SplitJobRead, Store, WriteUrgency};
 use crate::leader::watch::JobWatch;
 use crate::model::*;
-use shaleshunt_wire::{Attempt, Epoch, FencingToken, Resources, Revision};
+use shaleshunt_wire::{Attempt, Epoch, Resources, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -118,17 +123,6 @@
         PendingRequest::Leader(self.epoch, wait)
     }
 
-    /// The number of an image.
-    pub(crate) fn image(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.fleet.image_numbers.get(name) {
-            return *n;
-        }
-        let n = self.fleet.image_names.len() as u32;
-        self.fleet.image_names.push(name.to_string());
-        self.fleet.image_numbers.insert(name.to_string(), n);
-        n
-    }
-
     pub(crate) fn handle_kv_reply(
         &mut self,
         ctx: &mut Context,
@@ -193,8 +187,7 @@
         if self.watch.is_retry_due(now) {
             self.watch_jobs(ctx);
         }
-        if now >= self.fleet.next_reachability_check {
-            self.fleet.next_reachability_check = now + ctx.settings.heartbeat_interval_ms() / 8;
+        if self.fleet.reachability.take_due_check(now, ctx.settings.heartbeat_interval_ms()) {
             self.expire_silent_machines(ctx);
             self.probe_overdue(ctx);
         }
@@ -257,11 +250,6 @@
         self.last_placement_id
     }
 
-    /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
-        FencingToken::new(self.epoch, m.agent.token_counter)
-    }
-
     pub(crate) fn new_machine(
         &self,
         ctx: &Context,
@@ -286,18 +274,14 @@
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         self.fleet.machines.take_room(machine, &p.need);
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let list = job.tasks.placements.entry(p.task).or_default();
-        if list.is_empty() && !job.tasks.done.get(p.task) {
-            job.tasks.placed_count += 1;
-        }
-        list.push(TaskPlacement {
+        let of_task = TaskPlacement {
             machine: machine.clone(),
             placement_id: p.placement_id,
             attempt: p.attempt,
             agent_epoch: p.agent_epoch,
             planned: p.stage == PlacementState::Planned,
-        });
-        *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
+        };
+        job.tasks.add_placement(p.task, of_task, &m.zone);
         let ownership = Ownership::from_owned(m.owned);
         self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
@@ -321,22 +305,7 @@
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
-            if let Some(list) = job.tasks.placements.get_mut(&p.task) {
-                list.retain(|l| l.placement_id != placement_id);
-                if list.is_empty() {
-                    job.tasks.placements.remove(&p.task);
-                    job.tasks.first_free_hint = job.tasks.first_free_hint.min(p.task);
-                    if !job.tasks.done.get(p.task) {
-                        job.tasks.placed_count = job.tasks.placed_count.saturating_sub(1);
-                    }
-                }
-            }
-            if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
-                job.tasks.running_count = job.tasks.running_count.saturating_sub(1);
-            }
-            if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
-                *n = n.saturating_sub(1);
-            }
+            job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
             let ownership = Ownership::from_owned(m.owned);
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
@@ -353,8 +322,7 @@
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> =
-            job.tasks.placements.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        let live: Vec<(Id, u64)> = job.tasks.placements().map(|l| (l.machine.clone(), l.placement_id)).collect();
         for (machine, placement_id) in live {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
@@ -367,7 +335,7 @@
         let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
         if p.sent {
             p.stop_grace_s = Some(0.0);
-            self.fleet.machines_to_call.insert(machine.clone());
+            self.fleet.calls.call_soon(machine.clone());
         } else {
             self.release_placement(now, machine, placement_id, false);
         }
@@ -375,7 +343,7 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count, j.tasks.running_count))
+        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
     }
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
@@ -386,7 +354,7 @@
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count, j.tasks.running_count))
+            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count(), j.tasks.running_count()))
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -6,7 +6,6 @@
 use crate::leader::store::{StoredBlock, StoredPlacement};
 use crate::model::{CachedImage, Id, Job, Placement, PlacementState};
 use crate::records::{BlockRecord, MachineRecord, keys};
-use shaleshunt_wire::AgentEpoch;
 use shaleshunt_wire::kv::KeyValue;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -58,16 +57,9 @@
         let patience_ms = ctx.settings.heartbeat_interval_ms() * ZONE_PATIENCE_HEARTBEATS;
         let heard_by = ctx.now.monotonic_ms + patience_ms;
         for machine in self.fleet.machines.values().filter(|machine| !machine.zone.is_empty()) {
-            let zone = self.fleet.zone_activity.entry(machine.zone.clone()).or_insert((heard_by, 0));
-            zone.1 += 1;
+            self.fleet.reachability.expect_machine(&machine.zone, heard_by);
         }
-        self.fleet.unconfirmed = self
-            .fleet
-            .machines
-            .values()
-            .filter(|machine| !machine.agent.endpoint.is_empty() && machine.agent.epoch > AgentEpoch::NONE)
-            .map(|machine| machine.id.clone())
-            .collect();
+        self.fleet.confirm_all_tokens();
     }
 
     /// Sorts what was read of submissions' parts: jobs', and what no record refers to.
@@ -95,7 +87,7 @@
         let images: Vec<CachedImage> = record
             .images
             .iter()
-            .map(|image| CachedImage { image: self.image(&image.name), size_gb: image.gb })
+            .map(|image| CachedImage { image: self.fleet.images.number(&image.name), size_gb: image.gb })
             .collect();
         let mut owned = false;
         let mut machines = BTreeSet::new();
@@ -136,10 +128,10 @@
     /// is void.
     pub(super) fn restore_placement(&mut self, ctx: &Context, stored: StoredPlacement) {
         let StoredPlacement { job: id, task, machine, agent_epoch, attempt } = stored;
-        let is_open = |job: &&Job| !job.tasks.done.get(task) && task < job.spec.tasks;
+        let is_open = |job: &&Job| !job.tasks.is_done(task) && task < job.spec.tasks;
         let Some(job) = self.jobs.get(&id).filter(is_open) else { return };
-        let placements = job.tasks.placements.get(&task);
-        if placements.is_some_and(|list| list.iter().any(|p| p.machine == machine && p.attempt == attempt)) {
+        let mut placements = job.tasks.placements_of(task).iter();
+        if placements.any(|known| known.machine == machine && known.attempt == attempt) {
             return;
         }
         let (need, image, image_gb) = (job.need, job.image, job.spec.image_gb);
@@ -174,13 +166,10 @@
     /// other.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
-            for list in job.tasks.placements.values().filter(|list| list.len() > 1) {
-                let latest = list.iter().map(|placement| placement.attempt).max().unwrap_or_default();
-                for earlier in list.iter().filter(|placement| placement.attempt < latest) {
-                    let machine = self.fleet.machines.get_mut(&earlier.machine);
-                    if let Some(placement) = machine.and_then(|machine| machine.placement_mut(earlier.placement_id)) {
-                        placement.stop_grace_s = Some(0.0);
-                    }
+            for superseded in job.tasks.superseded_placements() {
+                let machine = self.fleet.machines.get_mut(&superseded.machine);
+                if let Some(placement) = machine.and_then(|machine| machine.placement_mut(superseded.placement_id)) {
+                    placement.stop_grace_s = Some(0.0);
                 }
             }
         }
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -42,13 +42,8 @@
         let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
         let job = parts.next().and_then(|job| self.jobs.get_mut(job));
         if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
-            let before = job.tasks.done.clone();
-            job.tasks.done.decode(chunk.saturating_mul(tasks_per_chunk), text);
-            job.tasks.done_count = job.tasks.done.count();
-            job.tasks.started = true;
-            let is_new = |task: &u32| job.tasks.done.get(*task) && !before.get(*task);
-            let new_tasks = (0..job.spec.tasks).filter(is_new);
-            read_tasks.extend(new_tasks.map(|task| ReadTask { job: job.id.clone(), task }));
+            let new_tasks = job.tasks.restore_done(chunk.saturating_mul(tasks_per_chunk), text);
+            read_tasks.extend(new_tasks.into_iter().map(|task| ReadTask { job: job.id.clone(), task }));
         }
         self.store.add_v0_1_key(pair.path, pair.version);
     }
--- a/crates/core/src/leader/store/apply.rs
+++ b/crates/core/src/leader/store/apply.rs
@@ -41,13 +41,10 @@
             return;
         };
         placement.stage = PlacementState::Committed;
-        if let Some(job) = self.jobs.get_mut(&placement.job)
-            && let Some(of_task) = job.tasks.placements.get_mut(&placement.task)
-            && let Some(entry) = of_task.iter_mut().find(|entry| entry.placement_id == placement_id)
-        {
-            entry.planned = false;
+        if let Some(job) = self.jobs.get_mut(&placement.job) {
+            job.tasks.commit_placement(placement.task, placement_id);
         }
-        self.fleet.machines_to_call.insert(machine);
+        self.fleet.calls.call_soon(machine);
     }
 
     /// A job's end is committed: what waits for it goes on.
--- a/crates/core/src/leader/store/blocks.rs
+++ b/crates/core/src/leader/store/blocks.rs
@@ -2,6 +2,7 @@
 
 use super::changes::Changes;
 use super::transaction::Space;
+use crate::leader::fleet::images::ImageNames;
 use crate::leader::fleet::machines::MachineIndex;
 use crate::model::{Id, Machine};
 use crate::records::{BlockRecord, ImageRecord, MachineRecord, keys};
@@ -58,8 +59,7 @@
 /// What a block's record is made from.
 pub(super) struct BlockMembers<'a> {
     pub machines: &'a mut MachineIndex,
-    /// Names of images by number.
-    pub image_names: &'a [String],
+    pub images: &'a ImageNames,
 }
 
 /// The blocks. A machine with `record.block` set is a member of that block and of no other; until its
@@ -263,7 +263,7 @@
         let mut images = Vec::new();
         for cached in machine.images.iter() {
             let place = place_of_image.entry(cached.image).or_insert_with(|| {
-                let name = members.image_names.get(cached.image as usize).cloned().unwrap_or_default();
+                let name = members.images.name(cached.image).to_string();
                 record.images.push(ImageRecord { name, gb: cached.size_gb });
                 record.images.len() as u32 - 1
             });
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -51,7 +51,7 @@
             value_bytes: ctx.limits.value_bytes(),
             writes: if self.store.queue.has_urgent_work() { max_writes.div_ceil(BLOCK_PART) } else { max_writes },
         };
-        let mut members = BlockMembers { machines: &mut self.fleet.machines, image_names: &self.fleet.image_names };
+        let mut members = BlockMembers { machines: &mut self.fleet.machines, images: &self.fleet.images };
         self.store.blocks.collect(now, changes, &mut members, limits);
     }
 
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -287,7 +287,7 @@
     for run in &fact.runs {
         for task in run.first..run.tasks().end.min(job.spec.tasks) {
             if fact.done {
-                job.tasks.done.insert(task);
+                job.tasks.mark_done(task);
             }
             facts_of_job.insert(task, LastFact { page, placement: placement.clone() });
         }
@@ -295,8 +295,7 @@
 }
 
 fn restore_progress(job: &mut Job, facts: &BTreeMap<u32, LastFact>) {
-    job.tasks.done_count = job.tasks.done.count();
-    job.tasks.started = true;
+    job.tasks.mark_started();
     job.writes.page_of_task = vec![0; job.spec.tasks as usize];
     for (task, fact) in facts {
         job.writes.page_of_task[*task as usize] = fact.page;
--- a/crates/core/src/leader/store/pages/draft.rs
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -135,14 +135,14 @@
         let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
         let mut planned = Vec::new();
         for task in change_of_task.keys() {
-            if job.tasks.done.get(*task) {
+            if job.tasks.is_done(*task) {
                 done.push(*task);
                 continue;
             }
-            let Some(placements) = job.tasks.placements.get(task) else {
+            let placements = job.tasks.placements_of(*task);
+            if placements.is_empty() {
                 free.push(*task);
-                continue;
-            };
+            }
             for placement in placements {
                 let key = (&placement.machine, placement.agent_epoch, placement.attempt);
                 placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -166,7 +166,7 @@
         }
         self.scheduler.request_pass();
         let mut job = Job::new(record, version);
-        job.image = self.image(&job.spec.image);
+        job.image = self.fleet.images.number(&job.spec.image);
         let (id, is_cancelled, is_blocked) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
         self.scheduler.jobs_changed();
--- a/crates/core/src/leader/watch/split_jobs.rs
+++ b/crates/core/src/leader/watch/split_jobs.rs
@@ -7,7 +7,6 @@
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::Id;
 use crate::records::SplitJobRecord;
-use crate::submission_parts::join;
 use shaleshunt_wire::Revision;
 
 /// A read without an answer is begun anew after this part of a heartbeat interval.
@@ -61,7 +60,7 @@
 
     /// All parts of a job's submission have been read.
     pub(crate) fn add_split_job(&mut self, ctx: &mut Context, read: SplitJobRead) {
-        let Some(whole) = join(&read.record, &read.parts) else {
+        let Some(whole) = read.record.join(&read.parts) else {
             ctx.emit(Event::SubmissionPartsUnreadable { prefix: read.record.parts_prefix });
             return;
         };
