--- /dev/null
+++ b/crates/core/src/leader/commit.rs
@@ -0,0 +1,230 @@
+//! Writing to the key-value store: what the leader hands to the store, and what follows for jobs and
+//! machines when it is stored or given up.
+
+use crate::controller::Context;
+use crate::event::Event;
+use crate::io::{KvReply, KvRequest, RequestError};
+use crate::leader::step_down::{ForeignWrite, StepDown};
+use crate::leader::store::{
+    Changes, CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext,
+    WriteUrgency,
+};
+use crate::leader::{Leader, LeaderRequest};
+use crate::model::{Id, PlacementState};
+use crate::records::FinalRecord;
+use shaleshunt_wire::Revision;
+
+fn store_context(ctx: &Context, epoch_version: Revision) -> StoreContext<'_> {
+    StoreContext {
+        now: ctx.now,
+        settings: &ctx.settings,
+        tuning: &ctx.tuning,
+        limits: &ctx.limits,
+        catalog: ctx.catalog.as_ref(),
+        submissions_waiting: ctx.submissions_waiting(),
+        epoch_version,
+    }
+}
+
+impl Leader {
+    /// The store, and what its records are made from.
+    fn store_and_sources(&mut self) -> (&mut Store, RecordSources<'_>) {
+        let sources = RecordSources {
+            jobs: &mut self.jobs,
+            machines: &mut self.fleet.machines,
+            images: &self.fleet.images,
+            scale_outs: &mut self.autoscaler.scale_outs,
+        };
+        (&mut self.store, sources)
+    }
+
+    /// Sends what is due, if nothing is under way.
+    pub(super) fn commit(&mut self, ctx: &mut Context) {
+        let epoch_version = self.version;
+        let (store, mut sources) = self.store_and_sources();
+        if let Some(request) = store.next_request(&store_context(ctx, epoch_version), &mut sources) {
+            self.send_commit_request(ctx, request);
+        }
+    }
+
+    fn send_commit_request(&self, ctx: &mut Context, request: CommitRequest) {
+        let wait = self.wait(LeaderRequest::Commit(request.step));
+        ctx.send_kv(request.request, wait);
+    }
+
+    /// A request about the transaction under way was answered, or not.
+    pub(super) fn handle_commit_reply(
+        &mut self,
+        ctx: &mut Context,
+        step: &CommitStep,
+        result: Result<KvReply, RequestError>,
+    ) {
+        if *step == CommitStep::Send {
+            match &result {
+                Ok(KvReply::Committed(_)) => ctx.limits.carried_out(),
+                Err(RequestError::Throttled) => ctx.write_refused(),
+                _ => {}
+            }
+        }
+        let outcome = self.store.handle_reply(&store_context(ctx, self.version), step, result);
+        self.handle_commit_outcome(ctx, outcome);
+    }
+
+    fn handle_commit_outcome(&mut self, ctx: &mut Context, outcome: CommitOutcome) {
+        match outcome {
+            CommitOutcome::Pending => {}
+            CommitOutcome::Ask(request) => self.send_commit_request(ctx, request),
+            CommitOutcome::Committed { changes, revision } => self.apply_committed(ctx, *changes, revision),
+            CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
+            CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
+            CommitOutcome::TooLarge(reason) => self.handle_too_large(ctx, reason),
+            CommitOutcome::EpochOver => self.down = Some(StepDown::NewerEpoch),
+        }
+    }
+
+    /// The limits have fallen, so they are taken to be lower; the leader steps down if they can't be.
+    fn handle_too_large(&mut self, ctx: &mut Context, reason: String) {
+        ctx.emit(Event::TransactionRejected { reason });
+        if ctx.limits.too_large() {
+            let outcome = self.store.limits_lowered();
+            self.handle_commit_outcome(ctx, outcome);
+        } else {
+            self.store.discard_in_flight();
+            self.down = Some(StepDown::TransactionRejected);
+        }
+    }
+
+    /// A key that only the leader writes has changed. It steps down as soon as the log can say to what.
+    fn look_at_foreign_write(&mut self, ctx: &mut Context, write: ForeignWrite) {
+        let key = write.key.clone();
+        let wait = self.wait(LeaderRequest::ForeignWrite(write));
+        ctx.send_kv(KvRequest::Get { key }, wait);
+    }
+
+    /// A key that somebody else has written was read, or not: the log says what is there.
+    pub(super) fn handle_foreign_write(&mut self, write: ForeignWrite, result: Result<KvReply, RequestError>) {
+        let found = match result {
+            Ok(KvReply::Found(pair)) => Some(pair.version),
+            Ok(KvReply::Missing) => Some(Revision::ABSENT),
+            _ => None,
+        };
+        self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
+    }
+
+    /// A transaction was carried out.
+    fn apply_committed(&mut self, ctx: &mut Context, changes: Changes, revision: Revision) {
+        let (store, mut sources) = self.store_and_sources();
+        let committed = store.apply_committed(changes, revision, &mut sources);
+        for placement in committed.placements {
+            self.apply_placement(placement);
+        }
+        for id in committed.ended_jobs {
+            self.apply_job_end(ctx, &id, revision);
+        }
+        for id in committed.machines {
+            self.apply_machine_record(&id);
+        }
+    }
+
+    /// A placement is committed: its machine is told.
+    fn apply_placement(&mut self, planned: PlannedPlacement) {
+        let PlannedPlacement { machine, placement_id } = planned;
+        let Some(placement) = self.fleet.machines.get_mut(&machine).and_then(|m| m.placement_mut(placement_id)) else {
+            return;
+        };
+        placement.stage = PlacementState::Committed;
+        if let Some(job) = self.jobs.get_mut(&placement.job) {
+            job.tasks.commit_placement(placement.task, placement_id);
+        }
+        self.fleet.calls.call_soon(machine);
+    }
+
+    /// A job's end is committed: what waits for it goes on.
+    fn apply_job_end(&mut self, ctx: &mut Context, id: &Id, revision: Revision) {
+        let Some(job) = self.jobs.remove(id) else { return };
+        ctx.emit(if job.cancelled {
+            Event::JobCancelled { job: id.clone() }
+        } else {
+            Event::JobCompleted { job: id.clone() }
+        });
+        self.store.job_ended(&job);
+        self.remove_dependencies(&job);
+        self.watch.job_ended(id.clone(), revision);
+        self.scheduler.jobs_changed();
+        let end = FinalRecord { cancelled: job.cancelled, tasks: 0, ended_at_ms: ctx.now.wall_ms };
+        self.dependency_ended(ctx, id, &end);
+    }
+
+    /// A machine's record is stored: tasks may be placed on it.
+    fn apply_machine_record(&mut self, id: &Id) {
+        let Some(machine) = self.fleet.machines.get_mut(id) else { return };
+        if !machine.record.committed {
+            machine.record.committed = true;
+            self.scheduler.request_pass();
+        }
+    }
+
+    /// A transaction was given up. The jobs whose records conflicted are read again, and their
+    /// placements are given up; all else waits to be written again.
+    fn apply_abandoned(&mut self, ctx: &mut Context, changes: Changes, conflicting: &[String]) {
+        let now = ctx.now.monotonic_ms;
+        let (store, mut sources) = self.store_and_sources();
+        let abandoned = store.apply_abandoned(changes, conflicting, &mut sources);
+        for id in &abandoned.stale_jobs {
+            self.mark_stale(ctx, id);
+        }
+        for planned in &abandoned.placements {
+            self.give_up_placement(now, planned, &abandoned.stale_jobs);
+        }
+        for id in abandoned.jobs_with_facts {
+            if let Some(job) = self.jobs.get_mut(&id) {
+                job.writes.urgent = true;
+            }
+            self.queue_write(now, &id);
+        }
+        for id in &abandoned.ended_jobs {
+            self.queue_write(now, id);
+        }
+    }
+
+    /// A job's record is newer than known.
+    fn mark_stale(&mut self, ctx: &mut Context, id: &Id) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            job.record.stale = true;
+            self.refresh(ctx, id.clone());
+        }
+    }
+
+    /// Gives a planned placement up if its job's record is stale.
+    fn give_up_placement(&mut self, now: u64, planned: &PlannedPlacement, stale: &[Id]) {
+        let machine = self.fleet.machines.get(&planned.machine);
+        let placement = machine.and_then(|machine| machine.placement(planned.placement_id));
+        let is_given_up = |stage, job| stage == PlacementState::Planned && stale.contains(job);
+        if let Some(placement) = placement.filter(|placement| is_given_up(placement.stage, &placement.job)) {
+            let job = placement.job.clone();
+            self.release_placement(now, &planned.machine, planned.placement_id, false);
+            self.queue_write(now, &job);
+        }
+    }
+
+    /// Something about a task of a job is to be written.
+    pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            self.store.record_change(now, job, task, urgency);
+        }
+    }
+
+    /// Queues what a job has to write, its end included.
+    pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
+        if let Some(job) = self.jobs.get_mut(id) {
+            self.store.queue_write(now, job);
+        }
+    }
+
+    /// Puts a machine into a block of its zone.
+    pub(crate) fn join_block(&mut self, ctx: &Context, id: &Id) {
+        if let Some(machine) = self.fleet.machines.get_mut(id) {
+            self.store.join_block(machine, ctx.limits.block_machines());
+        }
+    }
+}
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -2,6 +2,7 @@
 //! users' changes.
 
 pub(crate) mod autoscaler;
+mod commit;
 mod direct_calls;
 pub(crate) mod fleet;
 mod heartbeats;
@@ -23,7 +24,7 @@
 use crate::leader::scheduler::Scheduler;
 use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
-use crate::leader::store::{SplitJobRead, Store, WriteUrgency};
+use crate::leader::store::{CommitStep, SplitJobRead, Store, WriteUrgency};
 use crate::leader::watch::JobWatch;
 use crate::model::*;
 use shaleshunt_wire::{Attempt, Epoch, Resources, Revision};
@@ -38,11 +39,7 @@
     Load(ScanPosition),
     Renew,
     Watch,
-    Commit,
-    /// A key of an unanswered transaction.
-    ReadMarker,
-    /// Whether that key had this version while the epoch held.
-    CompareMarker(Revision),
+    Commit(CommitStep),
     /// The version of a key that somebody else has written, for the log.
     ForeignWrite(ForeignWrite),
     Refresh(Id),
@@ -137,9 +134,7 @@
             LeaderRequest::Refresh(id) => self.handle_refresh_reply(ctx, id, result),
             LeaderRequest::Parts(read) => self.handle_parts(ctx, *read, result),
             LeaderRequest::End(id) => self.handle_final_record(ctx, id, result),
-            LeaderRequest::Commit => self.handle_commit_reply(ctx, result),
-            LeaderRequest::ReadMarker => self.handle_marker_read(ctx, result),
-            LeaderRequest::CompareMarker(version) => self.handle_marker_comparison(ctx, version, result),
+            LeaderRequest::Commit(step) => self.handle_commit_reply(ctx, &step, result),
             LeaderRequest::ForeignWrite(write) => self.handle_foreign_write(write, result),
             // Answers of the cloud and of workers come by other ways.
             LeaderRequest::DirectCommands(_)
@@ -160,16 +155,6 @@
         }
     }
 
-    /// A key that somebody else has written was read, or not: the log says what is there.
-    fn handle_foreign_write(&mut self, write: ForeignWrite, result: Result<KvReply, RequestError>) {
-        let found = match result {
-            Ok(KvReply::Found(pair)) => Some(pair.version),
-            Ok(KvReply::Missing) => Some(Revision::ABSENT),
-            _ => None,
-        };
-        self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
-    }
-
     /// What is due by time or by what the batch brought.
     pub(crate) fn run_due(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
--- a/crates/core/src/leader/store/blocks.rs
+++ b/crates/core/src/leader/store/blocks.rs
@@ -1,7 +1,6 @@
 //! Blocks of machines: groups whose machines share one stored record.
 
-use super::changes::Changes;
-use super::transaction::Space;
+use super::transaction::{Space, TransactionBuilder};
 use crate::leader::fleet::images::ImageNames;
 use crate::leader::fleet::machines::MachineIndex;
 use crate::model::{Id, Machine};
@@ -136,51 +135,62 @@
     }
 
     /// Puts blocks that are to be written into a transaction.
-    pub(super) fn collect(&mut self, now: u64, changes: &mut Changes, members: &mut BlockMembers, limits: BlockLimits) {
+    pub(super) fn collect(
+        &mut self,
+        now: u64,
+        builder: &mut TransactionBuilder,
+        members: &mut BlockMembers,
+        limits: BlockLimits,
+    ) -> Vec<BlockWrite> {
+        let mut writes = Vec::new();
         for number in self.dirty.clone() {
-            if changes.builder.write_count() >= limits.writes {
+            if builder.write_count() >= limits.writes {
                 break;
             }
             let Some(block) = self.blocks.get(&number) else { continue };
             if block.machines.is_empty() {
-                self.collect_removal(number, changes);
+                writes.extend(self.collect_removal(number, builder));
             } else if !self.is_held_up(number, members.machines, limits.machines) {
-                self.collect_block(now, number, changes, members, limits.value_bytes);
+                writes.extend(self.collect_block(now, number, builder, members, limits.value_bytes));
             }
         }
+        writes
     }
 
     /// Removes the record of a block without machines.
-    fn collect_removal(&mut self, number: u32, changes: &mut Changes) {
-        let Some(version) = self.blocks.get(&number).map(|block| block.version) else { return };
+    fn collect_removal(&mut self, number: u32, builder: &mut TransactionBuilder) -> Option<BlockWrite> {
+        let version = self.blocks.get(&number)?.version;
         if version == Revision::ABSENT {
             self.blocks.remove(&number);
             self.dirty.remove(&number);
-        } else if changes.builder.has_space_for(Space::one_write(REMOVAL_BYTES)) {
-            changes.builder.drop_key(keys::machine_block(number), version);
-            changes.blocks.push(BlockWrite { number, machines: Vec::new() });
-            self.dirty.remove(&number);
+            return None;
         }
+        if !builder.has_space_for(Space::one_write(REMOVAL_BYTES)) {
+            return None;
+        }
+        builder.drop_key(keys::machine_block(number), version);
+        self.dirty.remove(&number);
+        Some(BlockWrite { number, machines: Vec::new() })
     }
 
     fn collect_block(
         &mut self,
         now: u64,
         number: u32,
-        changes: &mut Changes,
+        builder: &mut TransactionBuilder,
         members: &BlockMembers,
         value_bytes: usize,
-    ) {
-        let Some(block) = self.blocks.get_mut(&number) else { return };
+    ) -> Option<BlockWrite> {
+        let block = self.blocks.get_mut(&number)?;
         let stored = StoredForm::new(block, members, value_bytes);
-        if !changes.builder.has_space_for(Space::one_write(stored.bytes)) {
-            return;
+        if !builder.has_space_for(Space::one_write(stored.bytes)) {
+            return None;
         }
-        changes.builder.set(keys::machine_block(number), block.version, stored.value, stored.bytes);
-        changes.blocks.push(BlockWrite { number, machines: stored.machines });
+        builder.set(keys::machine_block(number), block.version, stored.value, stored.bytes);
         block.written_at = now;
         self.dirty.remove(&number);
         self.thinned.remove(&number);
+        Some(BlockWrite { number, machines: stored.machines })
     }
 
     /// Whether a block has to wait. One with more machines than fit into a value by now gives the rest
--- a/crates/core/src/leader/store/blocks/tests.rs
+++ b/crates/core/src/leader/store/blocks/tests.rs
@@ -19,13 +19,12 @@
     machines
 }
 
-/// The keys that a transaction with room for `writes` would write, and the writes in it.
+/// Blocks that go into a transaction with room for so many writes.
 fn collect(blocks: &mut MachineBlocks, machines: &mut MachineIndex, writes: usize) -> Vec<BlockWrite> {
-    let mut changes = Changes::new(TransactionLimits { writes, conditions: 99 });
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes, conditions: 99 });
     let mut members = BlockMembers { machines, images: &ImageNames::default() };
     let limits = BlockLimits { machines: MAX_MACHINES, value_bytes: 9999, writes };
-    blocks.collect(0, &mut changes, &mut members, limits);
-    changes.blocks
+    blocks.collect(0, &mut builder, &mut members, limits)
 }
 
 fn numbers(writes: &[BlockWrite]) -> Vec<u32> {
--- a/crates/core/src/leader/store/catalog.rs
+++ b/crates/core/src/leader/store/catalog.rs
@@ -1,11 +1,10 @@
 //! The recorded machine types, so that nodes know them in an outage of the cloud.
 
-use super::changes::Changes;
-use super::transaction::Space;
-use crate::controller::Context;
+use super::transaction::{Space, TransactionBuilder};
 use crate::records::keys;
 use serde_json::json;
 use shaleshunt_wire::Revision;
+use shaleshunt_wire::cloud::Catalog;
 
 /// Bytes that a machine type takes, as a first guess.
 const MACHINE_TYPE_BYTES: usize = 300;
@@ -33,22 +32,27 @@
     }
 
     /// Puts the record into a transaction if there is room. One that is too long for a value is not
-    /// written: each node asks the cloud for it.
-    pub(super) fn collect(&mut self, ctx: &Context, changes: &mut Changes) {
-        let Some(catalog) = ctx.catalog.as_ref().filter(|_| self.pending) else { return };
+    /// written: each node asks the cloud for it. Whether it is in the transaction.
+    pub(super) fn collect(
+        &mut self,
+        catalog: Option<&Catalog>,
+        value_bytes: usize,
+        builder: &mut TransactionBuilder,
+    ) -> bool {
+        let Some(catalog) = catalog.filter(|_| self.pending) else { return false };
         let guess = Space::one_write(catalog.machine_types.len() * MACHINE_TYPE_BYTES);
         // Pages being put together are left out of account here: the record is written once.
-        if !changes.builder.has_space_for(guess) {
-            return;
+        if !builder.has_space_without_reserved(guess) {
+            return false;
         }
         let value = json!(catalog);
         let bytes = value.to_string().len();
-        if bytes <= ctx.limits.value_bytes() {
-            let version = self.version.unwrap_or(Revision::ABSENT);
-            changes.builder.set(keys::CATALOG.into(), version, value, bytes);
-            changes.catalog = true;
-        }
         self.pending = false;
+        if bytes > value_bytes {
+            return false;
+        }
+        builder.set(keys::CATALOG.into(), self.version.unwrap_or(Revision::ABSENT), value, bytes);
+        true
     }
 
     /// The record is stored.
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -3,14 +3,13 @@
 //! A transaction that brought no answer is settled by reading a key that it writes (its marker), and
 //! is sent again as it was while that key has not changed: whichever copy comes first counts.
 
+use super::Store;
 use super::changes::Changes;
+use super::sources::{RecordSources, StoreContext};
 use super::transaction::TransactionLimits;
 use super::write_budget::{WriteDemand, leader_share};
-use crate::controller::Context;
-use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::step_down::{ForeignWrite, StepDown};
-use crate::leader::{Leader, LeaderRequest};
+use crate::leader::step_down::ForeignWrite;
 use crate::records::keys;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::{Condition, Transaction, Write};
@@ -111,34 +110,100 @@
         Some(InFlight { changes, marker, copies: EarlierCopies::Answered, awaiting_reply: true })
     }
 
-    fn send(&self) -> KvRequest {
-        KvRequest::Transaction(self.changes.builder.transaction().clone())
+    /// The next request about it, unless one is under way.
+    fn resume(&mut self) -> Option<CommitRequest> {
+        if self.awaiting_reply {
+            return None;
+        }
+        self.awaiting_reply = true;
+        Some(if self.copies == EarlierCopies::Answered { self.send() } else { self.read_marker() })
+    }
+
+    fn send(&self) -> CommitRequest {
+        let transaction = self.changes.builder.transaction().clone();
+        CommitRequest { request: KvRequest::Transaction(transaction), step: CommitStep::Send }
+    }
+
+    fn read_marker(&self) -> CommitRequest {
+        let key = self.marker.path.clone();
+        CommitRequest { request: KvRequest::Get { key }, step: CommitStep::ReadMarker }
+    }
+
+    /// Asks whether the marker has a version while the epoch holds.
+    fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
+        let conditions = vec![
+            Condition { path: keys::EPOCH.into(), version: epoch_version },
+            Condition { path: self.marker.path.clone(), version },
+        ];
+        let request = KvRequest::Transaction(Transaction { conditions, writes: Vec::new() });
+        CommitRequest { request, step: CommitStep::CompareMarker(version) }
     }
 
-    fn read_marker(&self) -> KvRequest {
-        KvRequest::Get { key: self.marker.path.clone() }
+    fn into_committed(self, revision: Revision) -> CommitOutcome {
+        CommitOutcome::Committed { changes: Box::new(self.changes), revision }
     }
+
+    fn into_abandoned(self, conflicting: Vec<String>) -> CommitOutcome {
+        CommitOutcome::Abandoned { changes: Box::new(self.changes), conflicting }
+    }
+}
+
+/// What a request about the transaction under way is for.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) enum CommitStep {
+    /// It is carried out.
+    Send,
+    /// Its marker is read.
+    ReadMarker,
+    /// Whether the marker had this version while the epoch held.
+    CompareMarker(Revision),
+}
+
+/// A request about the transaction under way. Its reply goes to [`Store::handle_reply`].
+#[derive(Debug)]
+pub(crate) struct CommitRequest {
+    pub request: KvRequest,
+    pub step: CommitStep,
 }
 
-impl Leader {
-    /// Sends what is due, if nothing is under way.
-    pub(crate) fn commit(&mut self, ctx: &mut Context) {
+/// What has become of the transaction under way.
+#[derive(Debug)]
+pub(crate) enum CommitOutcome {
+    /// That is not known yet: [`Store::next_request`] goes on with it.
+    Pending,
+    /// The next request about it.
+    Ask(CommitRequest),
+    /// It was carried out.
+    Committed { changes: Box<Changes>, revision: Revision },
+    /// It was not carried out and never will be; these keys conflicted.
+    Abandoned { changes: Box<Changes>, conflicting: Vec<String> },
+    /// A key that only the leader writes was written by somebody else. Nothing more is sent.
+    ForeignWrite(ForeignWrite),
+    /// It is too large for limits that have fallen. [`Store::limits_lowered`] goes on with it, or
+    /// [`Store::discard_in_flight`] ends it.
+    TooLarge(String),
+    /// The epoch is over.
+    EpochOver,
+}
+
+impl Store {
+    /// What is to be sent now: the next step of the transaction under way, or what is due.
+    pub(crate) fn next_request(&mut self, ctx: &StoreContext, sources: &mut RecordSources) -> Option<CommitRequest> {
         let now = ctx.now.monotonic_ms;
         let rate = self.write_rate(ctx);
-        self.store.budget.refill(now, rate);
-        if now < self.store.next_commit_at {
-            return;
+        self.budget.refill(now, rate);
+        if now < self.next_commit_at {
+            return None;
         }
-        if self.store.in_flight.is_some() {
-            self.resume_in_flight(ctx);
-        } else {
-            self.begin_transaction(ctx, rate);
+        match &mut self.in_flight {
+            Some(in_flight) => in_flight.resume(),
+            None => self.begin_transaction(ctx, sources, rate),
         }
     }
 
     /// Writes a second that are the leader's now.
-    fn write_rate(&self, ctx: &Context) -> f64 {
-        let demand = match (ctx.submissions_waiting(), self.store.queue.has_urgent_work()) {
+    fn write_rate(&self, ctx: &StoreContext) -> f64 {
+        let demand = match (ctx.submissions_waiting, self.queue.has_urgent_work()) {
             (true, _) => WriteDemand::Submissions,
             (false, true) => WriteDemand::LeaderOnly,
             (false, false) => WriteDemand::Idle,
@@ -146,186 +211,166 @@
         ctx.limits.rate() * leader_share(demand, ctx.tuning.write_share)
     }
 
-    /// Asks about the transaction under way, or sends it again, unless a request is under way.
-    fn resume_in_flight(&mut self, ctx: &mut Context) {
-        let Some(in_flight) = self.store.in_flight.as_mut().filter(|in_flight| !in_flight.awaiting_reply) else {
-            return;
-        };
-        in_flight.awaiting_reply = true;
-        let (request, step) = match in_flight.copies {
-            EarlierCopies::Answered => (in_flight.send(), LeaderRequest::Commit),
-            _ => (in_flight.read_marker(), LeaderRequest::ReadMarker),
-        };
-        let wait = self.wait(step);
-        ctx.send_kv(request, wait);
-    }
-
-    fn begin_transaction(&mut self, ctx: &mut Context, rate: f64) {
-        let writes = ctx.limits.ops().min(self.store.budget.whole_writes());
+    fn begin_transaction(
+        &mut self,
+        ctx: &StoreContext,
+        sources: &mut RecordSources,
+        rate: f64,
+    ) -> Option<CommitRequest> {
+        let writes = ctx.limits.ops().min(self.budget.whole_writes());
         if writes == 0 {
-            return;
+            return None;
         }
         let mut changes = Changes::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
-        changes.builder.require_epoch(self.version);
-        self.collect_changes(ctx, &mut changes, rate);
-        let Some(in_flight) = InFlight::new(changes) else { return };
+        changes.builder.require_epoch(ctx.epoch_version);
+        self.collect_changes(ctx, sources, &mut changes, rate);
+        let in_flight = InFlight::new(changes)?;
         // What becomes due meanwhile shares the next one.
-        let gap_ms = commit_gap_ms(ctx, self.store.budget.is_scarce(rate));
-        self.store.next_commit_at = ctx.now.monotonic_ms + gap_ms;
+        self.next_commit_at = ctx.now.monotonic_ms + commit_gap_ms(ctx, self.budget.is_scarce(rate));
         let transaction = in_flight.changes.builder.transaction();
-        self.store.budget.spend(transaction.writes.len());
-        self.store.write_counts.count(transaction);
+        self.budget.spend(transaction.writes.len());
+        self.write_counts.count(transaction);
         let request = in_flight.send();
-        self.store.in_flight = Some(in_flight);
-        let wait = self.wait(LeaderRequest::Commit);
-        ctx.send_kv(request, wait);
+        self.in_flight = Some(in_flight);
+        Some(request)
     }
 
-    /// The transaction under way was answered, or not.
-    pub(crate) fn handle_commit_reply(&mut self, ctx: &mut Context, result: Result<KvReply, RequestError>) {
-        let Some(mut in_flight) = self.store.in_flight.take() else { return };
+    /// A request about the transaction under way was answered, or not.
+    pub(crate) fn handle_reply(
+        &mut self,
+        ctx: &StoreContext,
+        step: &CommitStep,
+        result: Result<KvReply, RequestError>,
+    ) -> CommitOutcome {
+        let Some(mut in_flight) = self.in_flight.take() else { return CommitOutcome::Pending };
         in_flight.awaiting_reply = false;
-        match &result {
-            Ok(KvReply::Committed(_)) => ctx.limits.carried_out(),
-            Err(RequestError::Throttled) => ctx.write_refused(),
-            _ => {}
+        match step {
+            CommitStep::Send => self.handle_transaction_reply(ctx, in_flight, result),
+            CommitStep::ReadMarker => self.handle_marker_read(ctx, in_flight, result),
+            CommitStep::CompareMarker(version) => self.handle_marker_comparison(ctx, in_flight, *version, result),
         }
+    }
+
+    fn handle_transaction_reply(
+        &mut self,
+        ctx: &StoreContext,
+        mut in_flight: InFlight,
+        result: Result<KvReply, RequestError>,
+    ) -> CommitOutcome {
         match after_reply(&in_flight.copies, result) {
-            AfterReply::Apply(revision) => self.apply_committed(ctx, in_flight.changes, revision),
-            AfterReply::StepDown => self.down = Some(StepDown::NewerEpoch),
-            AfterReply::Abandon(conflicting) => self.abandon(ctx, in_flight, &conflicting),
+            AfterReply::Apply(revision) => in_flight.into_committed(revision),
+            AfterReply::StepDown => CommitOutcome::EpochOver,
+            AfterReply::Abandon(conflicting) => self.abandon(in_flight, conflicting),
             AfterReply::Settle(copies) => {
                 in_flight.copies = copies;
-                self.settle(ctx, in_flight);
+                let request = in_flight.read_marker();
+                self.keep(in_flight, request)
+            }
+            AfterReply::TooLarge(reason) => {
+                self.in_flight = Some(in_flight);
+                CommitOutcome::TooLarge(reason)
             }
-            AfterReply::TooLarge(reason) => self.handle_too_large(ctx, in_flight, reason),
             AfterReply::Retry => self.pause(ctx, in_flight),
             AfterReply::SettleLater => {
                 // What conflicted or was rejected before still is to be given up.
                 if in_flight.copies == EarlierCopies::Answered {
                     in_flight.copies = EarlierCopies::Unanswered;
                 }
-                self.pause(ctx, in_flight);
+                self.pause(ctx, in_flight)
             }
         }
     }
 
-    /// Reads the marker at once.
-    fn settle(&mut self, ctx: &mut Context, mut in_flight: InFlight) {
-        in_flight.awaiting_reply = true;
-        let request = in_flight.read_marker();
-        self.store.in_flight = Some(in_flight);
-        let wait = self.wait(LeaderRequest::ReadMarker);
-        ctx.send_kv(request, wait);
-    }
-
-    /// Keeps the transaction and goes on with it after a while.
-    fn pause(&mut self, ctx: &Context, in_flight: InFlight) {
-        self.store.next_commit_at = ctx.now.monotonic_ms + retry_pause_ms(ctx);
-        self.store.in_flight = Some(in_flight);
-    }
-
-    /// The limits have fallen: what follows is smaller. If an earlier copy may have been carried out,
-    /// that is settled first.
-    fn handle_too_large(&mut self, ctx: &mut Context, mut in_flight: InFlight, reason: String) {
-        ctx.emit(Event::TransactionRejected { reason });
-        if !ctx.limits.too_large() {
-            self.down = Some(StepDown::TransactionRejected);
-        } else if in_flight.copies == EarlierCopies::Answered {
-            self.apply_abandoned(ctx, in_flight.changes, &[]);
-        } else {
-            in_flight.copies = EarlierCopies::UnansweredThenRejected;
-            self.store.in_flight = Some(in_flight);
-        }
-    }
-
-    /// The marker of an unanswered transaction has been read.
-    pub(crate) fn handle_marker_read(&mut self, ctx: &mut Context, result: Result<KvReply, RequestError>) {
-        let Some(mut in_flight) = self.store.in_flight.take() else { return };
+    fn handle_marker_read(
+        &mut self,
+        ctx: &StoreContext,
+        in_flight: InFlight,
+        result: Result<KvReply, RequestError>,
+    ) -> CommitOutcome {
         let version = match result {
             Ok(KvReply::Found(pair)) => pair.version,
             Ok(KvReply::Missing) => Revision::ABSENT,
-            _ => {
-                in_flight.awaiting_reply = false;
-                self.pause(ctx, in_flight);
-                return;
-            }
+            _ => return self.pause(ctx, in_flight),
         };
         if version != in_flight.marker.version {
-            self.compare_marker(ctx, in_flight, version);
-            return;
+            // Changed: by us, if the epoch is still ours at this version of it.
+            let request = in_flight.compare_marker(ctx.epoch_version, version);
+            return self.keep(in_flight, request);
         }
         match after_unchanged_marker(in_flight.copies.clone()) {
             AfterSettling::Resend => {
                 let request = in_flight.send();
-                self.store.in_flight = Some(in_flight);
-                let wait = self.wait(LeaderRequest::Commit);
-                ctx.send_kv(request, wait);
+                self.keep(in_flight, request)
             }
-            AfterSettling::Abandon(conflicting) => self.abandon(ctx, in_flight, &conflicting),
+            AfterSettling::Abandon(conflicting) => self.abandon(in_flight, conflicting),
         }
     }
 
-    /// The marker has changed: by us, if the epoch is still ours at this version of it.
-    fn compare_marker(&mut self, ctx: &mut Context, in_flight: InFlight, version: Revision) {
-        let conditions = vec![
-            Condition { path: keys::EPOCH.into(), version: self.version },
-            Condition { path: in_flight.marker.path.clone(), version },
-        ];
-        self.store.in_flight = Some(in_flight);
-        let wait = self.wait(LeaderRequest::CompareMarker(version));
-        ctx.send_kv(KvRequest::Transaction(Transaction { conditions, writes: Vec::new() }), wait);
-    }
-
-    /// Whether the marker that was read and the epoch held at the same time.
-    pub(crate) fn handle_marker_comparison(
+    fn handle_marker_comparison(
         &mut self,
-        ctx: &mut Context,
+        ctx: &StoreContext,
+        in_flight: InFlight,
         version: Revision,
         result: Result<KvReply, RequestError>,
-    ) {
+    ) -> CommitOutcome {
         match result {
-            Ok(KvReply::Committed(_)) => {
-                if let Some(in_flight) = self.store.in_flight.take() {
-                    self.apply_committed(ctx, in_flight.changes, version);
-                }
-            }
-            Ok(KvReply::Conflict(_)) => self.down = Some(StepDown::NewerEpoch),
-            _ => {
-                if let Some(in_flight) = &mut self.store.in_flight {
-                    in_flight.awaiting_reply = false;
-                }
-                self.store.next_commit_at = ctx.now.monotonic_ms + retry_pause_ms(ctx);
+            Ok(KvReply::Committed(_)) => in_flight.into_committed(version),
+            Ok(KvReply::Conflict(_)) => {
+                // Nothing more is sent.
+                self.in_flight = Some(InFlight { awaiting_reply: true, ..in_flight });
+                CommitOutcome::EpochOver
             }
+            _ => self.pause(ctx, in_flight),
         }
     }
 
-    /// No copy was or will be carried out. Conflicts on jobs' records are users' changes; any other
-    /// key is written by the leader alone.
-    fn abandon(&mut self, ctx: &mut Context, in_flight: InFlight, conflicting: &[String]) {
-        match in_flight.changes.foreign_write(conflicting) {
-            Some(write) => self.look_at_foreign_write(ctx, in_flight, write),
-            None => self.apply_abandoned(ctx, in_flight.changes, conflicting),
+    /// The limits have been lowered after a transaction was too large: what follows is smaller. If an
+    /// earlier copy may have been carried out, that is settled first.
+    pub(crate) fn limits_lowered(&mut self) -> CommitOutcome {
+        let Some(mut in_flight) = self.in_flight.take() else { return CommitOutcome::Pending };
+        if in_flight.copies == EarlierCopies::Answered {
+            return in_flight.into_abandoned(Vec::new());
         }
+        in_flight.copies = EarlierCopies::UnansweredThenRejected;
+        self.in_flight = Some(in_flight);
+        CommitOutcome::Pending
+    }
+
+    /// The limits can't be lowered: the transaction is given up with the leadership.
+    pub(crate) fn discard_in_flight(&mut self) {
+        self.in_flight = None;
     }
 
-    /// A key that only the leader writes has changed. It steps down as soon as the log can say to what;
-    /// until then nothing is sent, since the transaction stays under way.
-    fn look_at_foreign_write(&mut self, ctx: &mut Context, mut in_flight: InFlight, write: ForeignWrite) {
+    /// Keeps the transaction while a request about it is under way.
+    fn keep(&mut self, mut in_flight: InFlight, request: CommitRequest) -> CommitOutcome {
         in_flight.awaiting_reply = true;
-        self.store.in_flight = Some(in_flight);
-        let key = write.key.clone();
-        let wait = self.wait(LeaderRequest::ForeignWrite(write));
-        ctx.send_kv(KvRequest::Get { key }, wait);
+        self.in_flight = Some(in_flight);
+        CommitOutcome::Ask(request)
+    }
+
+    /// Keeps the transaction and goes on with it after a while.
+    fn pause(&mut self, ctx: &StoreContext, in_flight: InFlight) -> CommitOutcome {
+        let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+        self.next_commit_at = ctx.now.monotonic_ms + pause_ms;
+        self.in_flight = Some(in_flight);
+        CommitOutcome::Pending
     }
-}
 
-fn retry_pause_ms(ctx: &Context) -> u64 {
-    ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT
+    /// No copy was or will be carried out. Conflicts on jobs' records are users' changes; any other
+    /// key is written by the leader alone: then the transaction stays under way, so that nothing more is
+    /// sent.
+    fn abandon(&mut self, mut in_flight: InFlight, conflicting: Vec<String>) -> CommitOutcome {
+        let Some(write) = in_flight.changes.foreign_write(&conflicting) else {
+            return in_flight.into_abandoned(conflicting);
+        };
+        in_flight.awaiting_reply = true;
+        self.in_flight = Some(in_flight);
+        CommitOutcome::ForeignWrite(write)
+    }
 }
 
 /// Time from one transaction to the next.
-fn commit_gap_ms(ctx: &Context, is_budget_scarce: bool) -> u64 {
+fn commit_gap_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
     let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
     let has_small_pages = ctx.limits.page_bytes() < ctx.settings.state.value_bytes() / 2;
     let scarce_gap = gap * if has_small_pages { SCARCE_GAP_SMALL_PAGES } else { SCARCE_GAP };
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -1,9 +1,10 @@
 //! The leader's writes to the key-value store.
 //!
 //! `Store` owns what waits to be written and what is known of the stored records: their versions, the
-//! pages of task facts, the blocks of machines, the parts of submissions. It doesn't decide anything
-//! about jobs or machines. `Leader` calls it: `record_change` and `queue_write` when something about a
-//! job has changed, `join_block` and the like for machines, `commit` once a batch.
+//! pages of task facts, the blocks of machines, the parts of submissions. It decides nothing about jobs
+//! or machines, and does not know the leader that calls it: `record_change` and `queue_write` when
+//! something about a job has changed, `join_block` and the like for machines, `next_request` once a
+//! batch, `handle_reply` with each answer. What an answer means for jobs and machines it returns.
 //!
 //! What always holds:
 //! - One transaction at a time is under way, and it holds what has become due since the last one.
@@ -28,6 +29,7 @@
 mod owned_list;
 mod pages;
 mod scale_outs;
+mod sources;
 mod split_submissions;
 mod transaction;
 mod unreferenced;
@@ -35,8 +37,10 @@
 mod write_queue;
 
 pub(crate) use blocks::StoredBlock;
-pub(crate) use commit::WriteCounts;
-pub(crate) use pages::StoredPlacement;
+pub(crate) use changes::Changes;
+pub(crate) use commit::{CommitOutcome, CommitRequest, CommitStep, WriteCounts};
+pub(crate) use pages::{PlannedPlacement, StoredPlacement};
+pub(crate) use sources::{RecordSources, StoreContext};
 pub(crate) use split_submissions::SplitJobRead;
 pub(crate) use write_queue::WriteUrgency;
 
@@ -239,6 +243,3 @@
         }
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/core/src/leader/store/owned_list.rs
+++ b/crates/core/src/leader/store/owned_list.rs
@@ -1,7 +1,6 @@
 //! The recorded list of owned machines.
 
-use super::changes::Changes;
-use super::transaction::Space;
+use super::transaction::{Space, TransactionBuilder};
 use crate::records::keys;
 use serde_json::json;
 use shaleshunt_wire::Revision;
@@ -45,19 +44,21 @@
     }
 
     /// Puts parts into a transaction while there is room.
-    pub(super) fn collect(&mut self, changes: &mut Changes) {
+    pub(super) fn collect(&mut self, builder: &mut TransactionBuilder) -> Vec<OwnedListWrite> {
+        let mut writes = Vec::new();
         while let Some((number, machines)) = self.pending.last_key_value() {
             let value = json!(machines);
             let bytes = value.to_string().len();
-            if !changes.has_space_for(Space::one_write(bytes)) {
+            if !builder.has_space_for(Space::one_write(bytes)) {
                 break;
             }
             let key = keys::owned_list_part(*number);
             let version = self.versions.get(&key).copied().unwrap_or(Revision::ABSENT);
-            changes.builder.set(key.clone(), version, value, bytes);
+            builder.set(key.clone(), version, value, bytes);
             let part = self.pending.pop_last();
-            changes.owned_list.extend(part.map(|(number, machines)| OwnedListWrite { key, number, machines }));
+            writes.extend(part.map(|(number, machines)| OwnedListWrite { key, number, machines }));
         }
+        writes
     }
 
     /// Parts are stored.
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -9,13 +9,13 @@
 
 mod draft;
 
-pub(super) use draft::{PageChanges, PageDraft};
+pub(super) use draft::PageChanges;
+pub(crate) use draft::PlannedPlacement;
 
-use super::changes::Changes;
-use super::transaction::Space;
+use super::transaction::{Space, TransactionBuilder};
 use crate::model::{Id, Job};
 use crate::records::{PageRecord, TaskFact, keys};
-use draft::{PendingFacts, RecordedFacts};
+use draft::{PageDraft, PendingFacts, RecordedFacts};
 use serde_json::json;
 use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
@@ -75,9 +75,15 @@
         self.pages.len()
     }
 
-    /// Puts facts of a job into a transaction, all that are pending or as many as find room; false if
-    /// not all fit.
-    pub(super) fn collect_facts(&self, changes: &mut Changes, job: &Job, page_bytes: usize) -> bool {
+    /// Puts facts of a job on the pages of a transaction, all that are pending or as many as find room;
+    /// false if not all fit.
+    pub(super) fn collect_facts(
+        &self,
+        builder: &mut TransactionBuilder,
+        changes: &mut PageChanges,
+        job: &Job,
+        page_bytes: usize,
+    ) -> bool {
         let mut max_tasks = MAX_TASKS.min((page_bytes / RUN_BYTES).max(1));
         loop {
             if job.writes.tasks.is_empty() {
@@ -85,12 +91,13 @@
             }
             let pending = PendingFacts::new(job, max_tasks);
             let pages = self.pages_needed(changes, page_bytes, &pending.facts);
-            let bytes = pending.max_bytes() + changes.pages.draft_bytes();
-            if changes.has_space_for(Space { writes: pages, conditions: 1 + pages, bytes }) {
+            let bytes = pending.max_bytes() + changes.draft_bytes();
+            if builder.has_space_for(Space { writes: pages, conditions: 1 + pages, bytes }) {
                 if !pending.planned.is_empty() {
-                    changes.builder.require_job_version(job);
+                    builder.require_job_version(job);
                 }
                 let is_all = pending.change_of_task.len() == job.writes.tasks.len();
+                (0..pages).for_each(|_| builder.reserve_write());
                 self.draft(changes, page_bytes, &job.id, pending);
                 return is_all;
             }
@@ -109,8 +116,8 @@
     }
 
     /// How many more pages a transaction writes with these facts.
-    fn pages_needed(&self, changes: &Changes, page_bytes: usize, facts: &[TaskFact]) -> usize {
-        let (mut pages, mut used) = match changes.pages.last_draft() {
+    fn pages_needed(&self, changes: &PageChanges, page_bytes: usize, facts: &[TaskFact]) -> usize {
+        let (mut pages, mut used) = match changes.last_draft() {
             Some(draft) => (0, draft.bytes()),
             None if self.newest_has_space(page_bytes, facts.first()) => (1, self.newest.bytes()),
             None => (1, 0),
@@ -126,38 +133,39 @@
     }
 
     /// Puts facts on the pages of a transaction.
-    fn draft(&self, changes: &mut Changes, page_bytes: usize, job: &Id, pending: PendingFacts) {
-        if changes.pages.draft_count() == 0 {
+    fn draft(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingFacts) {
+        if !changes.has_drafts() {
             let number = self.newest.number().max(1);
-            changes.pages.begin(if self.newest_has_space(page_bytes, pending.facts.first()) {
+            changes.begin(if self.newest_has_space(page_bytes, pending.facts.first()) {
                 self.newest.clone().with_number(number)
             } else {
                 PageDraft::new(number + 1)
             });
         }
         for fact in pending.facts {
-            changes.pages.push(job, fact, &pending.change_of_task, page_bytes);
+            changes.push(job, fact, &pending.change_of_task, page_bytes);
         }
-        changes.planned_placements.extend(pending.planned);
+        changes.planned.extend(pending.planned);
     }
 
     /// Writes the drafted pages into the transaction.
-    pub(super) fn collect_drafts(&self, changes: &mut Changes) {
-        for draft in changes.pages.take_drafts() {
+    pub(super) fn collect_drafts(&self, builder: &mut TransactionBuilder, changes: &mut PageChanges) {
+        builder.release_reserved();
+        for draft in changes.take_drafts() {
             let version = self.pages.get(&draft.number()).map_or(Revision::ABSENT, |page| page.version);
             let value = json!(PageRecord { facts: draft.facts().to_vec() });
-            changes.builder.set(keys::task_page(draft.number()), version, value, draft.bytes());
-            changes.pages.written.push(draft);
+            builder.set(keys::task_page(draft.number()), version, value, draft.bytes());
+            changes.written.push(draft);
         }
     }
 
     /// Removes pages that nothing refers to, as far as there is room.
-    pub(super) fn collect_unreferenced(&self, changes: &mut Changes) {
+    pub(super) fn collect_unreferenced(&self, builder: &mut TransactionBuilder, changes: &mut PageChanges) {
         for (number, page) in self.pages.range(..self.newest.number()) {
             let is_removable = page.live == 0 && page.version > Revision::ABSENT;
-            if is_removable && changes.has_space_for(Space::one_write(REMOVAL_BYTES)) {
-                changes.builder.drop_key(keys::task_page(*number), page.version);
-                changes.pages.removed.push(*number);
+            if is_removable && builder.has_space_for(Space::one_write(REMOVAL_BYTES)) {
+                builder.drop_key(keys::task_page(*number), page.version);
+                changes.removed.push(*number);
             }
         }
     }
@@ -177,8 +185,14 @@
         Some(compaction)
     }
 
-    /// The pages of a transaction are stored: the facts on them are the last of their tasks.
-    pub(super) fn apply_committed(&mut self, changes: PageChanges, jobs: &mut BTreeMap<Id, Job>, revision: Revision) {
+    /// The pages of a transaction are stored: the facts on them are the last of their tasks. Returns the
+    /// placements that are committed with them.
+    pub(super) fn apply_committed(
+        &mut self,
+        changes: PageChanges,
+        jobs: &mut BTreeMap<Id, Job>,
+        revision: Revision,
+    ) -> Vec<PlannedPlacement> {
         for draft in changes.written {
             let page = self.pages.entry(draft.number()).or_default();
             page.version = revision;
@@ -195,6 +209,7 @@
         for number in changes.removed {
             self.pages.remove(&number);
         }
+        changes.planned
     }
 
     fn apply_recorded_facts(&mut self, job: &mut Job, recorded: RecordedFacts) {
--- a/crates/core/src/leader/store/pages/draft.rs
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -1,6 +1,5 @@
 //! Pages as a transaction would leave them.
 
-use crate::leader::store::changes::PlannedPlacement;
 use crate::model::{Id, Job};
 use crate::records::{PlacementRecord, TaskFact, TaskRun};
 use shaleshunt_wire::{AgentEpoch, Attempt};
@@ -8,7 +7,7 @@
 
 /// A page as a transaction would leave it.
 #[derive(Debug, Clone, Default)]
-pub(in crate::leader::store) struct PageDraft {
+pub(super) struct PageDraft {
     number: u32,
     facts: Vec<TaskFact>,
     /// A bound on the length of the facts.
@@ -17,7 +16,7 @@
 
 impl PageDraft {
     /// An empty page.
-    pub(in crate::leader::store) fn new(number: u32) -> PageDraft {
+    pub(super) fn new(number: u32) -> PageDraft {
         PageDraft { number, ..PageDraft::default() }
     }
 
@@ -45,12 +44,19 @@
 /// Facts in a transaction: tasks of a job, with the number of the change that each fact shows, and the
 /// page that they are on.
 #[derive(Debug)]
-pub(in crate::leader::store) struct RecordedFacts {
+pub(super) struct RecordedFacts {
     pub job: Id,
     pub change_of_task: Vec<(u32, u64)>,
     pub page: u32,
 }
 
+/// A placement that counts once the transaction is committed.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(crate) struct PlannedPlacement {
+    pub machine: Id,
+    pub placement_id: u64,
+}
+
 /// What a transaction changes about pages.
 #[derive(Debug, Default)]
 pub(in crate::leader::store) struct PageChanges {
@@ -59,14 +65,16 @@
     /// Pages that are in the transaction.
     pub(super) written: Vec<PageDraft>,
     pub(super) recorded: Vec<RecordedFacts>,
+    /// Placements among the facts that are not committed yet.
+    pub(super) planned: Vec<PlannedPlacement>,
     /// Pages that are removed.
     pub(super) removed: Vec<u32>,
 }
 
 impl PageChanges {
-    /// Pages being put together.
-    pub(in crate::leader::store) fn draft_count(&self) -> usize {
-        self.drafts.len()
+    /// Whether pages are being put together.
+    pub(in crate::leader::store) fn has_drafts(&self) -> bool {
+        !self.drafts.is_empty()
     }
 
     /// Bytes of the pages being put together.
@@ -79,13 +87,14 @@
         self.recorded.iter().any(|recorded| recorded.job == *job)
     }
 
-    /// Jobs with facts in the transaction; one may come several times.
-    pub(in crate::leader::store) fn into_jobs(self) -> impl Iterator<Item = Id> {
-        self.recorded.into_iter().map(|recorded| recorded.job)
+    /// The transaction is given up: jobs with facts in it, where one may come several times, and the
+    /// placements that are not committed.
+    pub(in crate::leader::store) fn into_abandoned(self) -> (Vec<Id>, Vec<PlannedPlacement>) {
+        (self.recorded.into_iter().map(|recorded| recorded.job).collect(), self.planned)
     }
 
     /// Begins a page, or the next writing of one.
-    pub(in crate::leader::store) fn begin(&mut self, draft: PageDraft) {
+    pub(super) fn begin(&mut self, draft: PageDraft) {
         self.drafts.push(draft);
     }
 
--- a/crates/core/src/leader/store/scale_outs.rs
+++ b/crates/core/src/leader/store/scale_outs.rs
@@ -1,8 +1,7 @@
 //! Records of scale-out requests: written before the cloud is asked, removed when all machines that
 //! it named are recorded.
 
-use super::changes::Changes;
-use super::transaction::Space;
+use super::transaction::{Space, TransactionBuilder};
 use crate::leader::ScaleOutState;
 use crate::leader::fleet::machines::MachineIndex;
 use crate::records::keys;
@@ -23,30 +22,32 @@
 
 /// Puts records of scale-out requests into a transaction, and removes those that are done with.
 pub(super) fn collect(
-    changes: &mut Changes,
+    builder: &mut TransactionBuilder,
     scale_outs: &mut BTreeMap<String, ScaleOutState>,
     machines: &MachineIndex,
-) {
+) -> ScaleOutWrites {
+    let mut writes = ScaleOutWrites::default();
     let is_recorded = |id| machines.get(id).is_none_or(|machine| machine.record.committed);
     for (name, state) in scale_outs {
-        if state.writing || !changes.builder.has_space_for(Space::one_write(RECORD_SPACE_BYTES)) {
+        if state.writing || !builder.has_space_for(Space::one_write(RECORD_SPACE_BYTES)) {
             continue;
         }
         let key = keys::scale_out(name);
         match &state.answer {
             None if state.version == Revision::ABSENT => {
-                changes.builder.set(key, Revision::ABSENT, json!(state.request), RECORD_BYTES);
-                changes.scale_outs.recorded.push(name.clone());
+                builder.set(key, Revision::ABSENT, json!(state.request), RECORD_BYTES);
+                writes.recorded.push(name.clone());
                 state.writing = true;
             }
             Some(named) if named.iter().all(is_recorded) => {
-                changes.builder.drop_key(key, state.version);
-                changes.scale_outs.removed.push(name.clone());
+                builder.drop_key(key, state.version);
+                writes.removed.push(name.clone());
                 state.writing = true;
             }
             _ => {}
         }
     }
+    writes
 }
 
 /// The records are stored or removed.
--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -42,6 +42,8 @@
     /// Jobs whose record's version is required.
     jobs: BTreeSet<Id>,
     bytes: usize,
+    /// Writes that will come for certain, with conditions on their own keys; their bytes are not known yet.
+    reserved_writes: usize,
     limits: TransactionLimits,
 }
 
@@ -52,21 +54,47 @@
     /// An empty transaction.
     pub(super) fn new(limits: TransactionLimits) -> TransactionBuilder {
         let transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
-        TransactionBuilder { transaction, jobs: BTreeSet::new(), bytes: 0, limits }
+        TransactionBuilder { transaction, jobs: BTreeSet::new(), bytes: 0, reserved_writes: 0, limits }
     }
 
-    /// Whether a change fits in. One that is too large for any transaction goes alone.
+    /// Whether a change fits in beside the reserved writes. While there are none, a change that is too
+    /// large for any transaction goes alone.
     pub(super) fn has_space_for(&self, space: Space) -> bool {
+        let reserved = self.reserved_writes;
+        (reserved == 0 || self.fits_bytes(space.bytes))
+            && self.has_space_without_reserved(Space {
+                writes: space.writes + reserved,
+                conditions: space.conditions + reserved,
+                bytes: space.bytes,
+            })
+    }
+
+    /// Whether a change fits in if the reserved writes are left out of account.
+    pub(super) fn has_space_without_reserved(&self, space: Space) -> bool {
         self.transaction.writes.len() + space.writes <= self.limits.writes
             && self.transaction.conditions.len() + space.conditions <= self.limits.conditions
             && (self.fits_bytes(space.bytes) || self.transaction.writes.is_empty())
     }
 
-    /// Whether so many more bytes stay below the limit.
-    pub(super) fn fits_bytes(&self, bytes: usize) -> bool {
+    fn fits_bytes(&self, bytes: usize) -> bool {
         self.bytes + bytes <= Self::MAX_BYTES
     }
 
+    /// One more write will come for certain.
+    pub(super) fn reserve_write(&mut self) {
+        self.reserved_writes += 1;
+    }
+
+    /// The reserved writes are put in now.
+    pub(super) fn release_reserved(&mut self) {
+        self.reserved_writes = 0;
+    }
+
+    /// Writes so far, the reserved ones included.
+    pub(super) fn write_count_with_reserved(&self) -> usize {
+        self.write_count() + self.reserved_writes
+    }
+
     pub(super) fn limits(&self) -> TransactionLimits {
         self.limits
     }
@@ -148,3 +176,6 @@
         Some(Condition { path: key.clone(), version: self.required_version(key) })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/store/unreferenced.rs
+++ b/crates/core/src/leader/store/unreferenced.rs
@@ -1,8 +1,7 @@
 //! Records that nothing refers to any more: they are removed when there is room.
 
-use super::changes::Changes;
 use super::split_submissions::{SubmissionParts, VersionedKey};
-use super::transaction::Space;
+use super::transaction::{Space, TransactionBuilder};
 use crate::model::{Id, Job};
 use crate::records::keys;
 use shaleshunt_wire::Revision;
@@ -41,27 +40,33 @@
     }
 
     /// Removes the first part of each submission that no record refers to; the others follow alone.
-    pub(super) fn collect_submission_parts(&mut self, changes: &mut Changes, jobs: &BTreeMap<Id, Job>) {
+    /// Returns the submissions' parts.
+    pub(super) fn collect_submission_parts(
+        &mut self,
+        builder: &mut TransactionBuilder,
+        jobs: &BTreeMap<Id, Job>,
+    ) -> Vec<SubmissionParts> {
+        let mut removed = Vec::new();
         while let Some(parts) = self.submission_parts.last()
             && let Some(first) = parts.first()
         {
-            if !changes.has_space_for(PART_SPACE) {
-                return;
+            if !builder.has_space_for(PART_SPACE) {
+                break;
             }
             let job = keys::job_of_submission_part(&first.key);
-            changes.builder.drop_key(first.key.clone(), first.version);
+            builder.drop_key(first.key.clone(), first.version);
             if !jobs.contains_key(job) {
-                changes.builder.require_absent(keys::job(job));
+                builder.require_absent(keys::job(job));
             }
-            changes.submission_parts.extend(self.submission_parts.pop());
+            removed.extend(self.submission_parts.pop());
         }
+        removed
     }
 
-    /// Removes the first of the keys that can go; false if there is none.
-    pub(super) fn collect_next_key(&mut self, changes: &mut Changes) -> bool {
-        let Some((key, version)) = self.keys.pop_first() else { return false };
-        changes.builder.drop_key(key.clone(), version);
-        changes.obsolete_keys.push(key);
-        true
+    /// Removes the first of the keys that can go, and returns it.
+    pub(super) fn collect_next_key(&mut self, builder: &mut TransactionBuilder) -> Option<String> {
+        let (key, version) = self.keys.pop_first()?;
+        builder.drop_key(key.clone(), version);
+        Some(key)
     }
 }
