--- a/crates/core/src/leader.rs
+++ b/crates/core/src/leader.rs
@@ -919,13 +919,18 @@
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
     /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn counts(&self) -> Vec<(String, u64, u32, u32)> {
+    pub(crate) fn counts(&self) -> Vec<shaleshunt_peer::JobProgress> {
         // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
         // shown by the leader alone and read at each poll.
         self.jobs
             .values()
             .filter(|j| !j.aborted && !j.awaits())
-            .map(|j| (j.id.to_string(), j.version, j.done_count, j.running))
+            .map(|j| shaleshunt_peer::JobProgress {
+                job: j.id.to_string(),
+                record_version: j.version,
+                done: j.done_count,
+                running: j.running,
+            })
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -9,7 +9,7 @@
 use crate::step_down::StepDown;
 use crate::work::{Work, WorkCounter};
 use serde_json::{Value, json};
-use shaleshunt_peer::Frame;
+use shaleshunt_peer::{Frame, HeartbeatEcho, PeerHeartbeat};
 use shaleshunt_wire::cloud::Catalog;
 use shaleshunt_wire::state::{Condition, Txn, Write};
 use shaleshunt_wire::worker::{Order, Report, ReportReply, TaskStatus, split_task_name};
@@ -150,7 +150,7 @@
     heard: u64,
     state_age_ms: u32,
     /// Its process and clock at its last pulse.
-    pulse: (u64, u64),
+    pulse: HeartbeatEcho,
     /// Acceptances that wait there.
     waiting: u32,
 }
@@ -582,15 +582,21 @@
     fn peer(&mut self, from: String, frame: Frame) {
         let now = self.ctx.now.mono;
         match frame {
-            Frame::Pulse { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
+            Frame::Heartbeat(heartbeat) => {
+                let PeerHeartbeat { epoch, leader, is_leader: leads, echo, .. } = heartbeat;
                 let Some(p) = self.peers.get_mut(&from) else { return };
-                *p = PeerView { heard: now, state_age_ms, pulse: (born, at), waiting };
-                let answers_us = echo.0 == self.ctx.process && echo.1 <= now;
+                *p = PeerView {
+                    heard: now,
+                    state_age_ms: heartbeat.store_contact_age_ms,
+                    pulse: HeartbeatEcho { process_id: heartbeat.process_id, sent_at_ms: heartbeat.sent_at_ms },
+                    waiting: heartbeat.pending_submissions,
+                };
+                let answers_us = echo.process_id == self.ctx.process && echo.sent_at_ms <= now;
                 if let Some(k) = self.ctx.keepers.get_mut(&from) {
                     k.heard = now;
-                    k.kept = now.saturating_sub(u64::from(kept_ms));
+                    k.kept = now.saturating_sub(u64::from(heartbeat.lease_extension_age_ms));
                     if answers_us {
-                        k.sent_after = k.sent_after.max(echo.1);
+                        k.sent_after = k.sent_after.max(echo.sent_at_ms);
                     }
                 }
                 if leads && leader == from && epoch >= self.epoch {
@@ -599,7 +605,7 @@
                     }
                     self.heard.at = now;
                     if answers_us {
-                        self.heard.sure = self.heard.sure.max(echo.1);
+                        self.heard.sure = self.heard.sure.max(echo.sent_at_ms);
                     }
                 }
                 if leads && epoch > self.epoch {
@@ -611,14 +617,14 @@
                     self.foreman = Some(leader);
                 }
             }
-            Frame::Counts { epoch, jobs } => {
+            Frame::Progress { epoch, jobs } => {
                 if epoch >= self.epoch && self.leader.is_none() {
-                    self.front.learn(&self.ctx, jobs.iter().map(|j| (j.0.as_str(), j.1)));
-                    self.counts = jobs.into_iter().map(|(job, _, done, running)| (job, (done, running))).collect();
+                    self.front.learn(&self.ctx, jobs.iter().map(|j| (j.job.as_str(), j.record_version)));
+                    self.counts = jobs.into_iter().map(|j| (j.job, (j.done, j.running))).collect();
                 }
             }
-            // Hello belongs to the connection, Relay and Relayed to the clients of the state service.
-            Frame::Hello { .. } | Frame::Relay { .. } | Frame::Relayed { .. } => {}
+            // A hello belongs to the connection, what is forwarded to the clients of the state service.
+            Frame::Hello { .. } | Frame::ForwardedRequest { .. } | Frame::ForwardedResponse { .. } => {}
         }
     }
 
@@ -653,28 +659,28 @@
             // Through a peer is not served: nobody shall pass requests on through us.
             let age = if self.ctx.via.is_some() { u64::from(u32::MAX) } else { now - self.ctx.state_ok.min(now) };
             let kept = now.saturating_sub(self.kept.unwrap_or(0));
-            let peers: Vec<(String, (u64, u64))> = self.peers.iter().map(|(l, p)| (l.clone(), p.pulse)).collect();
+            let peers: Vec<(String, HeartbeatEcho)> = self.peers.iter().map(|(l, p)| (l.clone(), p.pulse)).collect();
             for (label, echo) in peers {
-                let pulse = Frame::Pulse {
+                let heartbeat = PeerHeartbeat {
                     epoch: self.epoch,
                     leader: self.foreman.clone().unwrap_or_default(),
-                    leads: self.leader.is_some(),
-                    state_age_ms: u32::try_from(age).unwrap_or(u32::MAX),
-                    born: self.ctx.process,
-                    at: now,
+                    is_leader: self.leader.is_some(),
+                    store_contact_age_ms: u32::try_from(age).unwrap_or(u32::MAX),
+                    process_id: self.ctx.process,
+                    sent_at_ms: now,
                     echo,
-                    kept_ms: u32::try_from(kept).unwrap_or(u32::MAX),
-                    waiting: self.front.waiting(),
+                    lease_extension_age_ms: u32::try_from(kept).unwrap_or(u32::MAX),
+                    pending_submissions: self.front.waiting(),
                 };
-                self.ctx.out.push(Effect::Peer(label, pulse));
+                self.ctx.out.push(Effect::Peer(label, Frame::Heartbeat(heartbeat)));
             }
         }
         if self.counts_at <= now {
             self.counts_at = now + self.ctx.set.report_ms() / 3;
             if let Some(l) = &self.leader {
                 let jobs = l.counts();
-                self.front.learn(&self.ctx, jobs.iter().map(|j| (j.0.as_str(), j.1)));
-                let counts = Frame::Counts { epoch: l.epoch, jobs };
+                self.front.learn(&self.ctx, jobs.iter().map(|j| (j.job.as_str(), j.record_version)));
+                let counts = Frame::Progress { epoch: l.epoch, jobs };
                 self.tell_peers(counts);
             }
         }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -197,7 +197,7 @@
     fn hear(&mut self, heard: Heard) -> Option<Command> {
         match heard {
             Heard::Lost(from) => Some(Command::PeerLost(from)),
-            Heard::Frame(from, Frame::Relay { id, body }) => {
+            Heard::Frame(from, Frame::ForwardedRequest { id, body }) => {
                 let (state, link) = (self.state.clone(), self.links.get(&from).cloned());
                 let (address, patience) = (self.wiring.state.clone(), self.patience);
                 tokio::task::spawn_local(async move {
@@ -216,12 +216,12 @@
                         Err(_) => (0, Bytes::new()),
                     };
                     if let Some(link) = link {
-                        let _ = link.try_send(Frame::Relayed { id, status, body });
+                        let _ = link.try_send(Frame::ForwardedResponse { id, status, body });
                     }
                 });
                 None
             }
-            Heard::Frame(_, Frame::Relayed { id, status, body }) => {
+            Heard::Frame(_, Frame::ForwardedResponse { id, status, body }) => {
                 if let Some(tell) = self.relays.borrow_mut().remove(&id) {
                     let _ = tell.send((status, body));
                 }
@@ -310,7 +310,7 @@
                 let (tell, told) = oneshot::channel();
                 relays.borrow_mut().insert(number, tell);
                 let body = serde_json::to_vec(&request).map(Bytes::from).unwrap_or_default();
-                let result = if link.try_send(Frame::Relay { id: number, body }).is_err() {
+                let result = if link.try_send(Frame::ForwardedRequest { id: number, body }).is_err() {
                     Err(IoError::NotSent)
                 } else {
                     match tokio::time::timeout(patience, told).await {
