--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -69,7 +69,7 @@
         for warning in machines.iter().flat_map(|n| shaleshunt_core::capacity::too_small(&loaded.settings, *n)) {
             println!("warning: {warning}");
         }
-        println!("settings are fine: node {}, {} peers", loaded.settings.label, loaded.wiring.peers.len());
+        println!("settings are fine: node {}, {} peers", loaded.settings.label, loaded.network.peers.len());
         return ExitCode::SUCCESS;
     }
     let level = match std::env::var("LOG_LEVEL").as_deref() {
@@ -99,13 +99,17 @@
     // scheduler. As the outermost future it would be polled only after another look for input, a system
     // call for each request.
     let node = async {
-        let node = shaleshunt_net::run(loaded.settings, loaded.tuning, loaded.wiring);
-        tokio::task::spawn_local(node).await.map_err(std::io::Error::other)?
+        let node = shaleshunt_net::run(loaded.settings, loaded.tuning, loaded.network);
+        tokio::task::spawn_local(node).await
     };
     match local.block_on(&runtime, node) {
-        Ok(()) => ExitCode::SUCCESS,
+        Ok(Ok(never)) => match never {},
+        Ok(Err(e)) => {
+            eprintln!("shaleshunt: {e}");
+            ExitCode::FAILURE
+        }
         Err(e) => {
-            eprintln!("shaleshunt: cannot listen: {e}");
+            eprintln!("shaleshunt: the event loop stopped: {e}");
             ExitCode::FAILURE
         }
     }
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -2,7 +2,7 @@
 
 use serde::Deserialize;
 use shaleshunt_core::settings::{Aim, Limits, Settings, Team, Tuning, renamed_key};
-use shaleshunt_net::Wiring;
+use shaleshunt_net::{NetworkConfig, PeerAddress};
 use std::collections::BTreeMap;
 use std::net::SocketAddrV4;
 use std::path::Path;
@@ -15,7 +15,7 @@
     /// The operators' settings.
     pub tuning: Tuning,
     /// Addresses.
-    pub wiring: Wiring,
+    pub network: NetworkConfig,
     /// What an operator should change, though it works.
     pub warnings: Vec<String>,
 }
@@ -157,7 +157,7 @@
         },
     };
     match parse(&text) {
-        Ok((settings, wiring)) if problems.is_empty() => Ok(Loaded { settings, tuning, wiring, warnings }),
+        Ok((settings, network)) if problems.is_empty() => Ok(Loaded { settings, tuning, network, warnings }),
         Ok(_) => Err(problems),
         Err(more) => {
             problems.extend(more);
@@ -193,7 +193,7 @@
 }
 
 /// Reads the platform's settings.
-pub fn parse(text: &str) -> Result<(Settings, Wiring), Vec<String>> {
+pub fn parse(text: &str) -> Result<(Settings, NetworkConfig), Vec<String>> {
     let file: File = toml::from_str(text).map_err(|e| {
         let line = e.span().map_or(0, |s| text[..s.start.min(text.len())].lines().count());
         vec![format!("line {line}: {}", e.message())]
@@ -295,15 +295,15 @@
         core_share: p.resources.core_share,
         sockets: p.resources.fd_limit,
     };
-    let wiring = Wiring {
-        front: file.front,
-        back: file.back,
-        peers: file.seeds.into_iter().map(|s| (s.label, s.address)).collect(),
-        state: file.endpoints.state,
-        cloud: file.endpoints.cloud,
-        sockets: p.resources.fd_limit,
+    let network = NetworkConfig {
+        client_address: file.front,
+        peer_address: file.back,
+        peers: file.seeds.into_iter().map(|s| PeerAddress { name: s.label, address: s.address }).collect(),
+        kv_address: file.endpoints.state,
+        cloud_address: file.endpoints.cloud,
+        max_sockets: p.resources.fd_limit,
     };
-    Ok((settings, wiring))
+    Ok((settings, network))
 }
 
 #[cfg(test)]
--- a/crates/core/src/node.rs
+++ b/crates/core/src/node.rs
@@ -617,7 +617,7 @@
                     self.foreman = Some(leader);
                 }
             }
-            Frame::Progress { epoch, jobs } => {
+            Frame::JobProgress { epoch, jobs } => {
                 if epoch >= self.epoch && self.leader.is_none() {
                     self.front.learn(&self.ctx, jobs.iter().map(|j| (j.job.as_str(), j.record_version)));
                     self.counts = jobs.into_iter().map(|j| (j.job, (j.done, j.running))).collect();
@@ -680,7 +680,7 @@
             if let Some(l) = &self.leader {
                 let jobs = l.counts();
                 self.front.learn(&self.ctx, jobs.iter().map(|j| (j.job.as_str(), j.record_version)));
-                let counts = Frame::Progress { epoch: l.epoch, jobs };
+                let counts = Frame::JobProgress { epoch: l.epoch, jobs };
                 self.tell_peers(counts);
             }
         }
--- a/crates/loopback/src/http.rs
+++ b/crates/loopback/src/http.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use shaleshunt_net::client::Call;
-use shaleshunt_net::permits::Urgency;
+use shaleshunt_net::semaphore::CallPriority;
 use std::convert::Infallible;
 use std::rc::Rc;
 use std::time::Duration;
@@ -91,6 +91,6 @@
 }
 
 /// A request of a stand-in.
-pub fn call<'a>(address: &'a str, method: Method, path: &'a str, body: Bytes, patience: Duration) -> Call<'a> {
-    Call { address, method, path, body, patience, urgency: Urgency::Normal }
+pub fn call<'a>(address: &'a str, method: Method, path: &'a str, body: Bytes, timeout: Duration) -> Call<'a> {
+    Call { address, method, path, body, timeout, priority: CallPriority::Normal }
 }
--- a/crates/loopback/src/machines.rs
+++ b/crates/loopback/src/machines.rs
@@ -5,8 +5,8 @@
 use hyper::Method;
 use rand::Rng;
 use shaleshunt_core::IoError;
-use shaleshunt_net::client::Client;
-use shaleshunt_net::sockets::Sockets;
+use shaleshunt_net::client::{Client, HttpResponse};
+use shaleshunt_net::socket_budget::SocketBudget;
 use shaleshunt_testkit::worker::Worker;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::user::Submission;
@@ -157,9 +157,9 @@
     Move { to: usize, pause: Duration },
 }
 
-fn outcome(fleet: &Fleet, node: usize, answer: Result<(u16, Bytes), IoError>) -> Outcome {
+fn outcome(fleet: &Fleet, node: usize, answer: Result<HttpResponse, IoError>) -> Outcome {
     let next = Outcome::Move { to: (node + 1) % fleet.controllers.len(), pause: RETRY };
-    let Ok((status, body)) = answer else { return next };
+    let Ok(HttpResponse { status, body }) = answer else { return next };
     match status {
         200 => serde_json::from_slice(&body).map_or(next, Outcome::Answered),
         421 => {
@@ -174,5 +174,5 @@
 }
 
 fn new_client() -> Client {
-    Client::new(&Sockets::new(64), 1, PATIENCE)
+    Client::new(&SocketBudget::new(64), 1, PATIENCE)
 }
--- a/crates/loopback/src/users.rs
+++ b/crates/loopback/src/users.rs
@@ -5,8 +5,8 @@
 use bytes::Bytes;
 use hyper::Method;
 use rand::Rng;
-use shaleshunt_net::client::Client;
-use shaleshunt_net::sockets::Sockets;
+use shaleshunt_net::client::{Client, HttpResponse};
+use shaleshunt_net::socket_budget::SocketBudget;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::user::{JobStatus, JobView, Shape, Submission, Urgency};
 use std::cell::Cell;
@@ -73,13 +73,13 @@
 }
 
 async fn follow(fleet: Rc<Fleet>, jobs: Rc<Jobs>, submission: Submission) {
-    let client = Client::new(&Sockets::new(64), 1, PATIENCE);
+    let client = Client::new(&SocketBudget::new(64), 1, PATIENCE);
     let pick = || fleet.controllers[rand::rng().random_range(0..fleet.controllers.len())].1.clone();
     let body = Bytes::from(serde_json::to_vec(&submission).unwrap_or_default());
     let mut address = pick();
     loop {
         let answer = client.send(call(&address, Method::POST, paths::SUBMISSIONS, body.clone(), PATIENCE)).await;
-        if matches!(answer, Ok((200 | 201, _))) {
+        if matches!(answer, Ok(HttpResponse { status: 200 | 201, .. })) {
             break;
         }
         tokio::time::sleep(RETRY).await;
@@ -89,7 +89,7 @@
     loop {
         tokio::time::sleep(POLL).await;
         let answer = client.send(call(&address, Method::GET, &path, Bytes::new(), PATIENCE)).await;
-        let Ok((200, body)) = answer else {
+        let Ok(HttpResponse { status: 200, body }) = answer else {
             address = pick();
             continue;
         };
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,12 +1,13 @@
-//! One kind of HTTP client for all outside services: kept connections, one request on each at a
-//! time, and a clear word on whether a request may have been carried out.
+//! An HTTP client for all services that a controller calls: kept connections, one request at a time on
+//! each, and errors that tell whether a request may have been executed.
 
-use crate::permits::{Permits, Urgency};
-use crate::sockets::Sockets;
+use crate::semaphore::{CallPriority, PrioritySemaphore};
+use crate::socket_budget::SocketBudget;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+use hyper::body::Incoming;
 use hyper::client::conn::http1::SendRequest;
-use hyper::{Method, Request};
+use hyper::{Method, Request, Response};
 use hyper_util::rt::TokioIo;
 use shaleshunt_core::IoError;
 use std::cell::RefCell;
@@ -16,15 +17,18 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Largest answer taken.
-const MAX_ANSWER: usize = 8 * 1024 * 1024;
+/// Largest body of a response that is accepted, in bytes.
+const MAX_RESPONSE_BODY: usize = 8 * 1024 * 1024;
+
+/// Largest buffer of a connection, in bytes.
+const MAX_CONNECTION_BUFFER: usize = 1024 * 1024;
 
 type Sender = SendRequest<Full<Bytes>>;
 
 /// A request to another service.
 #[derive(Debug, Clone)]
 pub struct Call<'a> {
-    /// The service's address.
+    /// The service's `host:port`.
     pub address: &'a str,
     /// HTTP method.
     pub method: Method,
@@ -32,131 +36,168 @@
     pub path: &'a str,
     /// Body, empty for none.
     pub body: Bytes,
-    /// Longest time to wait for room here, and then for the answer.
-    pub patience: Duration,
+    /// Longest time to wait for a permit, and then again for the response.
+    pub timeout: Duration,
     /// Who goes first where some have to wait.
-    pub urgency: Urgency,
+    pub priority: CallPriority,
+}
+
+/// A service's response.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct HttpResponse {
+    /// HTTP status.
+    pub status: u16,
+    /// Body, empty for none.
+    pub body: Bytes,
 }
 
-/// A connection that is not in use, since when.
-type Idle = (Instant, Sender);
+/// A connection that is not in use.
+struct IdleConnection {
+    since: Instant,
+    sender: Sender,
+}
 
-/// Connections to any number of addresses.
+/// Connections to any number of addresses, shared by clones.
 #[derive(Clone)]
 pub struct Client {
-    idle: Rc<RefCell<HashMap<String, Vec<Idle>>>>,
-    sockets: Sockets,
-    permits: Permits,
-    connect: Duration,
+    idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
+    sockets: SocketBudget,
+    permits: PrioritySemaphore,
+    connect_timeout: Duration,
 }
 
 impl Client {
-    /// A client that has at most `most` requests under way.
-    pub fn new(sockets: &Sockets, most: usize, connect: Duration) -> Client {
-        Client { idle: Rc::default(), sockets: sockets.clone(), permits: Permits::new(most), connect }
+    /// A client that executes at most `max_calls` calls at the same time.
+    pub fn new(sockets: &SocketBudget, max_calls: usize, connect_timeout: Duration) -> Client {
+        Client {
+            idle: Rc::default(),
+            sockets: sockets.clone(),
+            permits: PrioritySemaphore::new(max_calls),
+            connect_timeout,
+        }
     }
 
-    /// Sends a request; the answer's status and body.
-    pub async fn send(&self, call: Call<'_>) -> Result<(u16, Bytes), IoError> {
-        let Call { address, method, path, body, patience, urgency } = call;
-        let Ok(_permit) = tokio::time::timeout(patience, self.permits.acquire(urgency)).await else {
-            return Err(IoError::Busy);
-        };
-        let mut sender = self.connection(address).await?;
-        let request = Request::builder()
-            .method(method)
-            .uri(path)
-            .header("host", address)
-            .header("content-type", "application/json")
-            .body(Full::new(body))
-            .map_err(|_| IoError::NotSent)?;
-        let exchange = async {
-            let answer = sender.send_request(request).await.map_err(|e| {
-                // Never written: the connection had been closed before.
-                if e.is_canceled() { IoError::NotSent } else { IoError::Unknown }
-            })?;
-            let status = answer.status().as_u16();
-            let body = Limited::new(answer.into_body(), MAX_ANSWER).collect().await;
-            let body = body.map_err(|e| match e.downcast_ref::<LengthLimitError>() {
-                Some(_) => IoError::TooLong,
-                None => IoError::Unknown,
-            })?;
-            Ok((status, body.to_bytes()))
-        };
-        let answer = tokio::time::timeout(patience, exchange).await.map_err(|_| IoError::Unknown)??;
-        if !sender.is_closed() && self.sockets.roomy() {
-            self.idle.borrow_mut().entry(address.to_string()).or_default().push((Instant::now(), sender));
-        }
-        Ok(answer)
+    /// Sends a request and waits for the response, whatever its status.
+    ///
+    /// # Errors
+    ///
+    /// - [`IoError::Busy`]: no permit within the timeout;
+    /// - [`IoError::NotSent`]: no connection, so the request was surely not executed;
+    /// - [`IoError::Unknown`]: no complete response, so the request may have been executed;
+    /// - [`IoError::TooLong`]: the response's body is larger than 8 MiB.
+    pub async fn send(&self, call: Call<'_>) -> Result<HttpResponse, IoError> {
+        let timeout = call.timeout;
+        let acquire = self.permits.acquire(call.priority);
+        let _permit = tokio::time::timeout(timeout, acquire).await.map_err(|_| IoError::Busy)?;
+        let mut sender = self.connection(call.address).await?;
+        let address = call.address;
+        let request = build_request(call)?;
+        let exchange = exchange(&mut sender, request);
+        let response = tokio::time::timeout(timeout, exchange).await.map_err(|_| IoError::Unknown)??;
+        self.keep(address, sender);
+        Ok(response)
     }
 
-    /// Closes connections that have not been used for `age`: the other side may be long gone
-    /// without a word. While sockets are scarce the oldest go first, whatever their age.
-    pub fn tidy(&self, age: Duration) {
+    /// Closes connections that have not been used for `max_idle`: the other side may be long gone without
+    /// a word. While sockets are scarce the oldest are closed first, whatever their age.
+    pub fn close_idle(&self, max_idle: Duration) {
         let now = Instant::now();
-        let mut idle = self.idle.borrow_mut();
-        for list in idle.values_mut() {
-            list.retain(|(since, sender)| !sender.is_closed() && now.duration_since(*since) < age);
-        }
-        idle.retain(|_, list| !list.is_empty());
+        self.retain_idle(|connection| {
+            !connection.sender.is_closed() && now.duration_since(connection.since) < max_idle
+        });
         let excess = self.sockets.excess();
         if excess > 0 {
-            let mut since: Vec<Instant> = idle.values().flatten().map(|(since, _)| *since).collect();
-            since.sort_unstable();
-            // The oldest, as many as there are too many.
-            let Some(last) = since.get(excess.min(since.len()).saturating_sub(1)).copied() else { return };
-            idle.retain(|_, list| {
-                list.retain(|(since, _)| *since > last);
-                !list.is_empty()
-            });
+            self.close_oldest(excess);
         }
     }
 
-    async fn connection(&self, addr: &str) -> Result<Sender, IoError> {
-        loop {
-            let kept = self.idle.borrow_mut().get_mut(addr).and_then(Vec::pop);
-            let Some((_, mut sender)) = kept else { break };
+    /// Closes `count` idle connections, or all if there are fewer.
+    fn close_oldest(&self, count: usize) {
+        let mut since: Vec<Instant> = self.idle.borrow().values().flatten().map(|idle| idle.since).collect();
+        since.sort_unstable();
+        let newest_to_close = since.get(count.min(since.len()).saturating_sub(1)).copied();
+        if let Some(newest_to_close) = newest_to_close {
+            self.retain_idle(|connection| connection.since > newest_to_close);
+        }
+    }
+
+    fn retain_idle(&self, keep: impl Fn(&IdleConnection) -> bool) {
+        self.idle.borrow_mut().retain(|_, connections| {
+            connections.retain(&keep);
+            !connections.is_empty()
+        });
+    }
+
+    /// Keeps a connection for the next request, unless sockets are scarce.
+    fn keep(&self, address: &str, sender: Sender) {
+        if sender.is_closed() || !self.sockets.has_room() {
+            return;
+        }
+        let connection = IdleConnection { since: Instant::now(), sender };
+        self.idle.borrow_mut().entry(address.to_string()).or_default().push(connection);
+    }
+
+    /// A kept connection that still works, or a new one.
+    async fn connection(&self, address: &str) -> Result<Sender, IoError> {
+        while let Some(mut kept) = self.take_idle(address) {
             // A connection that the other side has closed is found out here, before the request.
-            if !sender.is_closed() && sender.ready().await.is_ok() {
-                return Ok(sender);
+            if !kept.sender.is_closed() && kept.sender.ready().await.is_ok() {
+                return Ok(kept.sender);
             }
         }
-        let open = self.sockets.open();
-        let stream = tokio::time::timeout(self.connect, TcpStream::connect(addr)).await;
-        let stream = stream.map_err(|_| IoError::NotSent)?.map_err(|_| IoError::NotSent)?;
+        self.connect(address).await
+    }
+
+    fn take_idle(&self, address: &str) -> Option<IdleConnection> {
+        self.idle.borrow_mut().get_mut(address)?.pop()
+    }
+
+    async fn connect(&self, address: &str) -> Result<Sender, IoError> {
+        let socket = self.sockets.open();
+        let connect = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
+        let stream = connect.await.map_err(|_| IoError::NotSent)?.map_err(|_| IoError::NotSent)?;
+        // Only a matter of speed.
         let _ = stream.set_nodelay(true);
-        let shake =
-            hyper::client::conn::http1::Builder::new().max_buf_size(1024 * 1024).handshake(TokioIo::new(stream));
-        let (sender, connection) = shake.await.map_err(|_| IoError::NotSent)?;
+        let (sender, connection) = hyper::client::conn::http1::Builder::new()
+            .max_buf_size(MAX_CONNECTION_BUFFER)
+            .handshake(TokioIo::new(stream))
+            .await
+            .map_err(|_| IoError::NotSent)?;
+        // Ends, and gives the socket back, when the sender is dropped or the other side closes.
         tokio::task::spawn_local(async move {
-            let _open = open;
+            let _socket = socket;
+            // Errors reach the caller through its sender.
             let _ = connection.await;
         });
         Ok(sender)
     }
 }
 
-/// A budget of requests per second, with bursts of one second's worth.
-pub struct Budget {
-    rate: f64,
-    left: f64,
-    at: tokio::time::Instant,
+fn build_request(call: Call<'_>) -> Result<Request<Full<Bytes>>, IoError> {
+    Request::builder()
+        .method(call.method)
+        .uri(call.path)
+        .header("host", call.address)
+        .header("content-type", "application/json")
+        .body(Full::new(call.body))
+        .map_err(|_| IoError::NotSent)
 }
 
-impl Budget {
-    /// A budget that is full at first.
-    pub fn new(rate: f64) -> Budget {
-        Budget { rate, left: rate, at: tokio::time::Instant::now() }
-    }
-    /// Takes one; false if there is none left.
-    pub fn take(&mut self) -> bool {
-        let now = tokio::time::Instant::now();
-        self.left = (self.left + now.duration_since(self.at).as_secs_f64() * self.rate).min(self.rate.max(1.0));
-        self.at = now;
-        let ok = self.left >= 1.0;
-        if ok {
-            self.left -= 1.0;
-        }
-        ok
+async fn exchange(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<HttpResponse, IoError> {
+    let response = sender.send_request(request).await.map_err(|error| {
+        // Never written: the connection had been closed before.
+        if error.is_canceled() { IoError::NotSent } else { IoError::Unknown }
+    })?;
+    let status = response.status().as_u16();
+    let body = read_body(response).await?;
+    Ok(HttpResponse { status, body })
+}
+
+async fn read_body(response: Response<Incoming>) -> Result<Bytes, IoError> {
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY).collect().await;
+    match body {
+        Ok(body) => Ok(body.to_bytes()),
+        Err(error) if error.is::<LengthLimitError>() => Err(IoError::TooLong),
+        Err(_) => Err(IoError::Unknown),
     }
 }
--- a/crates/net/src/connections.rs
+++ b/crates/net/src/connections.rs
@@ -1,41 +1,43 @@
-//! Open connections of the HTTP server, and the closing of those that nobody uses or that have to make room.
+//! Open connections of the HTTP server, and the closing of those that nobody uses or that have to make
+//! room.
 //!
-//! A fleet may have more machines than there are sockets. Then connections are closed with the answer to a
-//! request, so that nothing is lost: first those whose next request is expected last. One clock for all
+//! A fleet may have more machines than there are sockets. Then connections are closed with the response to
+//! a request, so that nothing is lost: first those whose next request is expected last. One clock for all
 //! idle connections is cheaper than a timer for each request.
 
-use crate::idle_times::{IdleTimes, RequestKind};
-use crate::sockets::Open;
+use crate::idle_time::{IdleTimeEstimator, RequestKind};
+use crate::socket_budget::OpenSocket;
+use crate::task::AbortOnDrop;
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
-use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// Parts into which the longest idle time is divided.
-const STEPS: u32 = 8;
+/// Steps of the idle clock in the longest idle time.
+const IDLE_CLOCK_STEPS: u32 = 8;
 
 /// Share of the connections that is kept open between requests; the rest is for those that come.
-const KEPT: f64 = 7.0 / 8.0;
+const KEPT_SHARE: f64 = 7.0 / 8.0;
 
 /// How many connections there may be.
 #[derive(Debug, Clone, Copy)]
-pub struct Capacity {
+pub struct ConnectionLimits {
     /// For everybody.
-    pub most: usize,
+    pub max: usize,
     /// Beyond those, for users and health checks.
     pub reserved: usize,
 }
 
-impl Capacity {
+impl ConnectionLimits {
     /// Connections that are kept between requests, whatever they bring.
     fn kept(&self) -> usize {
-        (self.most as f64 * KEPT) as usize
+        (self.max as f64 * KEPT_SHARE) as usize
     }
-    /// Connections beyond which only those are kept that bring the next request first.
+
+    /// Connections beyond which none is kept.
     fn crowded(&self) -> usize {
-        self.kept().midpoint(self.most)
+        self.kept().midpoint(self.max)
     }
 }
 
@@ -50,151 +52,187 @@
     Refused,
 }
 
-/// All open connections.
-#[derive(Clone)]
-pub struct Connections(Rc<Shared>);
-
-struct Shared {
-    capacity: Capacity,
-    idle_times: IdleTimes,
-    /// Steps of the clock so far.
-    clock: Cell<u32>,
-    next: Cell<u64>,
-    open: RefCell<HashMap<u64, Connection>>,
+/// What becomes of a connection once a response is written.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum AfterResponse {
+    /// It stays open for the next request.
+    KeepAlive,
+    /// It is closed.
+    Close,
 }
 
-struct Connection {
-    activity: Activity,
-    task: AbortHandle,
-    _socket: Open,
+/// All open connections of a server; they are closed when this is dropped.
+pub struct Connections {
+    table: Rc<Table>,
+    _idle_check: AbortOnDrop,
 }
 
-/// When a connection was last used.
-#[derive(Clone)]
-pub struct Activity {
-    connections: Connections,
-    admission: Admission,
-    state: Rc<Cell<State>>,
-    /// The last request and when it was answered, while that is of interest.
-    last: Rc<Cell<Option<(RequestKind, Instant)>>>,
+struct Table {
+    limits: ConnectionLimits,
+    idle_times: IdleTimeEstimator,
+    /// Steps of the idle clock so far.
+    idle_clock: Cell<u32>,
+    next_number: Cell<u64>,
+    open: RefCell<HashMap<u64, Connection>>,
+}
+
+struct Connection {
+    usage: Rc<Cell<Usage>>,
+    _socket: OpenSocket,
+    _task: AbortOnDrop,
 }
 
+/// Whether a connection is in use.
 #[derive(Debug, Clone, Copy)]
-enum State {
-    /// No request is being handled since this step of the clock.
+enum Usage {
+    /// No request is being handled since this step of the idle clock.
     IdleSince(u32),
     /// A request is being handled.
     Busy,
 }
 
-impl Activity {
+/// A request whose response has been written, and when.
+#[derive(Debug, Clone, Copy)]
+struct FinishedRequest {
+    kind: RequestKind,
+    at: Instant,
+}
+
+/// What the handler of a connection tells of its requests.
+#[derive(Clone)]
+pub struct ConnectionActivity {
+    table: Rc<Table>,
+    admission: Admission,
+    usage: Rc<Cell<Usage>>,
+    /// The last request, while the time to the next one is of interest.
+    last: Rc<Cell<Option<FinishedRequest>>>,
+}
+
+impl ConnectionActivity {
     /// Whom this connection may serve.
     pub fn admission(&self) -> Admission {
         self.admission
     }
 
-    /// A request has arrived.
+    /// Notes that a request has arrived.
     pub fn begin_request(&self) {
-        self.state.set(State::Busy);
-        if let Some((kind, answered)) = self.last.take() {
-            self.connections.0.idle_times.note(kind, answered.elapsed());
-        }
-    }
-
-    /// Its response is ready. True if the connection is to be closed with it.
-    pub fn end_request(&self, kind: RequestKind) -> bool {
-        self.state.set(State::IdleSince(self.connections.0.clock.get()));
-        if self.connections.under_pressure() {
-            self.last.set(Some((kind, Instant::now())));
+        self.usage.set(Usage::Busy);
+        if let Some(last) = self.last.take() {
+            self.table.idle_times.record(last.kind, last.at.elapsed());
         }
-        self.connections.closes_after(kind, self.admission)
     }
 
-    fn expired(&self) -> bool {
-        match self.state.get() {
-            State::IdleSince(step) => self.connections.0.clock.get().wrapping_sub(step) > STEPS,
-            State::Busy => false,
+    /// Notes that the response is ready; says what becomes of the connection.
+    pub fn end_request(&self, kind: RequestKind) -> AfterResponse {
+        self.usage.set(Usage::IdleSince(self.table.idle_clock.get()));
+        if self.table.under_pressure() {
+            self.last.set(Some(FinishedRequest { kind, at: Instant::now() }));
         }
+        self.table.after_response(kind, self.admission)
     }
 }
 
 impl Connections {
-    /// No connections; a report is expected `report` after the last one.
-    pub fn new(capacity: Capacity, report: Duration) -> Connections {
-        Connections(Rc::new(Shared {
-            capacity,
-            idle_times: IdleTimes::new(report),
-            clock: Cell::default(),
-            next: Cell::default(),
+    /// No connections yet. Those idle for longer than `idle_timeout` will be closed; a head that arrives
+    /// more slowly counts as idle too.
+    pub fn new(limits: ConnectionLimits, heartbeat_interval: Duration, idle_timeout: Duration) -> Connections {
+        let table = Rc::new(Table {
+            limits,
+            idle_times: IdleTimeEstimator::new(heartbeat_interval),
+            idle_clock: Cell::default(),
+            next_number: Cell::default(),
             open: RefCell::default(),
-        }))
+        });
+        let idle_check = tokio::task::spawn_local(close_idle(table.clone(), idle_timeout));
+        Connections { table, _idle_check: idle_check.into() }
     }
 
     /// Whether a new connection finds room.
     pub fn admit(&self) -> Admission {
-        match self.open() {
-            open if open < self.0.capacity.most => Admission::Open,
-            open if open < self.0.capacity.most + self.0.capacity.reserved => Admission::Reserved,
+        let limits = self.table.limits;
+        match self.open_count() {
+            open if open < limits.max => Admission::Open,
+            open if open < limits.max + limits.reserved => Admission::Reserved,
             _ => Admission::Refused,
         }
     }
 
-    /// The activity of a connection that is opened now.
-    pub fn activity(&self, admission: Admission) -> Activity {
-        let state = Rc::new(Cell::new(State::IdleSince(self.0.clock.get())));
-        Activity { connections: self.clone(), admission, state, last: Rc::default() }
+    /// How many are open.
+    pub fn open_count(&self) -> usize {
+        self.table.open_count()
+    }
+
+    /// Serves a new connection in a task of its own; it counts as open until the future ends.
+    pub fn spawn<F, S>(&self, socket: OpenSocket, admission: Admission, serve: S)
+    where
+        F: Future<Output = ()> + 'static,
+        S: FnOnce(ConnectionActivity) -> F,
+    {
+        let usage = Rc::new(Cell::new(Usage::IdleSince(self.table.idle_clock.get())));
+        let activity =
+            ConnectionActivity { table: self.table.clone(), admission, usage: usage.clone(), last: Rc::default() };
+        let number = self.table.next_number.get();
+        self.table.next_number.set(number + 1);
+        let table = Rc::downgrade(&self.table);
+        let serving = serve(activity);
+        let task = tokio::task::spawn_local(async move {
+            serving.await;
+            if let Some(table) = table.upgrade() {
+                table.open.borrow_mut().remove(&number);
+            }
+        });
+        let connection = Connection { usage, _socket: socket, _task: task.into() };
+        self.table.open.borrow_mut().insert(number, connection);
+    }
+}
+
+impl Drop for Connections {
+    fn drop(&mut self) {
+        // Their tasks hold the table too, so it would outlive this.
+        self.table.open.borrow_mut().clear();
+    }
+}
+
+impl Table {
+    fn open_count(&self) -> usize {
+        self.open.borrow().len()
     }
 
     /// Whether so many are open that some will soon have to go.
     fn under_pressure(&self) -> bool {
-        self.open() * 2 > self.0.capacity.kept()
+        self.open_count() * 2 > self.limits.kept()
+    }
+
+    fn after_response(&self, kind: RequestKind, admission: Admission) -> AfterResponse {
+        if self.is_kept(kind, admission) { AfterResponse::KeepAlive } else { AfterResponse::Close }
     }
 
-    /// Whether a connection is closed with the answer to a request of this kind.
-    fn closes_after(&self, kind: RequestKind, admission: Admission) -> bool {
+    fn is_kept(&self, kind: RequestKind, admission: Admission) -> bool {
         if kind == RequestKind::HealthCheck {
+            return true;
+        }
+        if admission == Admission::Reserved {
             return false;
         }
-        let open = self.open();
-        let last = self.0.idle_times.expected_last(kind);
-        admission == Admission::Reserved || open > self.0.capacity.crowded() || open > self.0.capacity.kept() && last
-    }
-
-    /// Serves a connection in a task of its own; it counts as open until `serving` ends.
-    pub fn spawn<F: Future<Output = ()> + 'static>(&self, socket: Open, activity: Activity, serving: F) {
-        let number = self.0.next.get();
-        self.0.next.set(number + 1);
-        let shared = Rc::downgrade(&self.0);
-        let task = tokio::task::spawn_local(async move {
-            serving.await;
-            if let Some(shared) = shared.upgrade() {
-                shared.open.borrow_mut().remove(&number);
-            }
-        });
-        let connection = Connection { activity, task: task.abort_handle(), _socket: socket };
-        self.0.open.borrow_mut().insert(number, connection);
+        let open = self.open_count();
+        open <= self.limits.kept() || open <= self.limits.crowded() && !self.idle_times.is_longest(kind)
     }
 
-    /// How many are open.
-    pub fn open(&self) -> usize {
-        self.0.open.borrow().len()
+    fn is_expired(&self, connection: &Connection) -> bool {
+        match connection.usage.get() {
+            Usage::IdleSince(step) => self.idle_clock.get().wrapping_sub(step) > IDLE_CLOCK_STEPS,
+            Usage::Busy => false,
+        }
     }
+}
 
-    /// Closes connections that have been idle for this time, until the process ends. A head that arrives
-    /// more slowly counts as idle too.
-    pub async fn close_idle(self, idle: Duration) {
-        let mut interval = tokio::time::interval(idle / STEPS);
-        interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-        loop {
-            interval.tick().await;
-            self.0.clock.set(self.0.clock.get().wrapping_add(1));
-            self.0.open.borrow_mut().retain(|_, connection| {
-                let expired = connection.activity.expired();
-                if expired {
-                    connection.task.abort();
-                }
-                !expired
-            });
-        }
+/// Closes connections that have been idle for too long, for ever.
+async fn close_idle(table: Rc<Table>, idle_timeout: Duration) {
+    let mut interval = tokio::time::interval(idle_timeout / IDLE_CLOCK_STEPS);
+    interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
+    loop {
+        interval.tick().await;
+        table.idle_clock.set(table.idle_clock.get().wrapping_add(1));
+        table.open.borrow_mut().retain(|_, connection| !table.is_expired(connection));
     }
 }
--- /dev/null
+++ b/crates/net/src/event_loop.rs
@@ -0,0 +1,165 @@
+//! The event loop: collects commands into batches, steps the owner of all state with each, and executes
+//! the effects.
+
+mod inbox;
+
+use crate::clock::Clock;
+use crate::config::NetworkConfig;
+use crate::effects::EffectExecutor;
+use crate::error::{Listener, RunError};
+use crate::loop_metrics::{self, LoopMetrics};
+use crate::peer_links;
+use crate::server::{self, ServerConfig};
+use crate::socket_budget::SocketBudget;
+use crate::task::AbortOnDrop;
+use inbox::{Inbox, Input};
+use shaleshunt_core::{Batch, Command, Node, Settings, Tuning};
+use std::convert::Infallible;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+/// Most commands in one batch, so that health checks never wait for long.
+const MAX_BATCH: usize = 256;
+/// Results and frames that may wait for the event loop. Whoever brings more waits with it, so nothing is lost.
+const QUEUE_CAPACITY: usize = 4096;
+/// Idle connections are looked for so many times in a heartbeat interval.
+const IDLE_CHECKS_PER_HEARTBEAT: u32 = 10;
+
+/// Runs a controller until the process ends. Must be called within a [`tokio::task::LocalSet`].
+///
+/// # Errors
+///
+/// [`RunError::Bind`] if one of the two addresses cannot be listened on.
+pub async fn run(settings: Settings, tuning: Tuning, config: NetworkConfig) -> Result<Infallible, RunError> {
+    let listeners = Listeners::bind(&config).await?;
+    let node_name = &settings.label;
+    tracing::info!("{node_name}: serves on {}, peers on {}", config.client_address, config.peer_address);
+    EventLoop::new(settings, tuning, &config, listeners).run().await
+}
+
+/// The sockets that a controller listens on.
+struct Listeners {
+    clients: TcpListener,
+    peers: TcpListener,
+}
+
+impl Listeners {
+    async fn bind(config: &NetworkConfig) -> Result<Listeners, RunError> {
+        let clients = bind(Listener::Clients, &config.client_address).await?;
+        let peers = bind(Listener::Peers, &config.peer_address).await?;
+        Ok(Listeners { clients, peers })
+    }
+}
+
+async fn bind(listener: Listener, address: &str) -> Result<TcpListener, RunError> {
+    let bound = TcpListener::bind(address).await;
+    bound.map_err(|source| RunError::Bind { listener, address: address.to_string(), source })
+}
+
+/// A controller: the owner of all state with all that surrounds it.
+struct EventLoop {
+    node_name: String,
+    node: Node,
+    inbox: Inbox,
+    effects: EffectExecutor,
+    clock: Clock,
+    metrics: LoopMetrics,
+    heartbeat_interval: Duration,
+    idle_checked_at: Instant,
+    /// The HTTP server and the acceptor of peers.
+    _servers: [AbortOnDrop; 2],
+}
+
+impl EventLoop {
+    fn new(settings: Settings, tuning: Tuning, config: &NetworkConfig, listeners: Listeners) -> EventLoop {
+        let sockets = SocketBudget::new(config.max_sockets);
+        let server_config = ServerConfig::new(&settings, &sockets);
+        let (requests_sender, requests) = mpsc::channel(server_config.max_concurrent_requests());
+        let (results_sender, results) = mpsc::channel(QUEUE_CAPACITY);
+        let (peer_events_sender, peer_events) = mpsc::channel(QUEUE_CAPACITY);
+        let server = server::serve(listeners.clients, requests_sender, server_config, sockets.clone());
+        let peer_acceptor = peer_links::accept_peers(listeners.peers, peer_events_sender, sockets.clone());
+        let servers = [tokio::task::spawn_local(server).into(), tokio::task::spawn_local(peer_acceptor).into()];
+        let effects = EffectExecutor::new(&settings, config, &sockets, results_sender);
+        let tick_interval = Duration::from_millis(settings.tick_ms().max(1));
+        let clock = Clock::start();
+        EventLoop {
+            node_name: settings.label.clone(),
+            heartbeat_interval: Duration::from_secs_f64(settings.report_s),
+            node: Node::new(settings, tuning, clock.now(), rand::random()),
+            inbox: Inbox::new(results, peer_events, requests, tick_interval),
+            effects,
+            clock,
+            metrics: LoopMetrics::new(),
+            idle_checked_at: Instant::now(),
+            _servers: servers,
+        }
+    }
+
+    async fn run(mut self) -> ! {
+        loop {
+            let batch = self.collect_batch().await;
+            self.process(batch);
+            self.log_metrics();
+            self.close_idle_connections();
+        }
+    }
+
+    /// Waits for one input and takes with it what else has arrived: first results, then what peers say,
+    /// then clients' requests.
+    async fn collect_batch(&mut self) -> Batch {
+        let mut batch = Batch::new();
+        let mut first_request = None;
+        match self.inbox.wait().await {
+            Input::Result(command) => batch.push(command),
+            Input::PeerEvent(event) => batch.extend(self.effects.handle_peer_event(event)),
+            Input::Request(request) => first_request = Some(request),
+            Input::Tick => batch.push(Command::Tick),
+        }
+        while batch.len() < MAX_BATCH
+            && let Some(command) = self.inbox.try_result()
+        {
+            batch.push(command);
+        }
+        while batch.len() < MAX_BATCH
+            && let Some(event) = self.inbox.try_peer_event()
+        {
+            batch.extend(self.effects.handle_peer_event(event));
+        }
+        while batch.len() < MAX_BATCH
+            && let Some(request) = first_request.take().or_else(|| self.inbox.try_request())
+        {
+            batch.push(self.effects.accept(request));
+        }
+        batch
+    }
+
+    /// Steps the owner of all state with a batch and executes the effects, in order.
+    fn process(&mut self, batch: Batch) {
+        self.node.begin(self.clock.now());
+        for command in batch {
+            let kind = loop_metrics::command_kind(&command);
+            self.metrics.measure(kind, || self.node.take(command));
+        }
+        let effects = self.metrics.measure(loop_metrics::DUE_WORK, || self.node.finish());
+        for effect in effects {
+            let kind = loop_metrics::effect_kind(&effect);
+            self.metrics.measure(kind, || self.effects.execute(effect));
+        }
+    }
+
+    fn log_metrics(&mut self) {
+        if let Some(line) = self.metrics.take_line(self.heartbeat_interval) {
+            tracing::debug!("{}: {line}", self.node_name);
+        }
+    }
+
+    fn close_idle_connections(&mut self) {
+        if self.idle_checked_at.elapsed() > self.heartbeat_interval / IDLE_CHECKS_PER_HEARTBEAT {
+            self.idle_checked_at = Instant::now();
+            self.effects.close_idle_connections();
+        }
+    }
+}
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,348 +1,40 @@
-//! Input and output of a node: HTTP servers and clients, links between controllers, and the loop
-//! that hands batches to the owner and carries out its effects.
+//! Input and output of a controller: HTTP servers and clients, links to the other controllers, and the
+//! event loop that hands batches of commands to the owner of all state and executes its effects.
+//!
+//! The crate decides nothing about jobs and machines. It runs on one thread, in a
+//! [`tokio::task::LocalSet`]; tasks talk to the event loop through bounded channels, so whoever brings
+//! more than it takes waits.
+//!
+//! | module | job |
+//! | --- | --- |
+//! | `event_loop` | collects batches, steps the owner, hands out effects |
+//! | `effects` | executes effects: requests to other services, responses, frames, log lines |
+//! | [`server`], [`connections`], [`idle_time`] | HTTP for users, workers and health checks |
+//! | [`client`], [`semaphore`], [`protocol`] | HTTP to the key-value store, the cloud and workers |
+//! | `peer_links`, `forwarding` | frames between controllers, and requests forwarded in them |
+//! | [`socket_budget`], [`rate_limiter`] | limits that hold for the whole process |
 
 pub mod client;
 pub mod connections;
-pub mod idle_times;
-pub mod meter;
-pub mod outside;
-pub mod peers;
-pub mod permits;
+pub mod idle_time;
+pub mod protocol;
+pub mod rate_limiter;
+pub mod semaphore;
 pub mod server;
-pub mod sockets;
-
-use bytes::Bytes;
-use client::{Budget, Call, Client};
-use peers::{Heard, Link};
-use permits::Urgency;
-use server::Ask;
-use shaleshunt_core::io::{Answer, Command, Effect, RequestId};
-use shaleshunt_core::{IoError, Node, Now, Settings, Severity, StateReply, StateRequest, Tuning};
-use shaleshunt_peer::Frame;
-use sockets::Sockets;
-use std::cell::RefCell;
-use std::collections::HashMap;
-use std::rc::Rc;
-use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use tokio::net::TcpListener;
-use tokio::sync::{mpsc, oneshot};
-use tokio::time::Instant;
-
-/// Addresses and limits of a node.
-#[derive(Debug, Clone)]
-pub struct Wiring {
-    /// Where users, workers and health checks come in.
-    pub front: String,
-    /// Where the other controllers come in.
-    pub back: String,
-    /// The other controllers' addresses by name.
-    pub peers: Vec<(String, String)>,
-    /// The state service.
-    pub state: String,
-    /// The cloud.
-    pub cloud: String,
-    /// Most open sockets.
-    pub sockets: usize,
-}
-
-/// Most commands in one batch, so that health checks never wait for long.
-const BATCH: usize = 256;
-/// Answers and frames waiting for the owner. Whoever brings more waits with it, so nothing is lost.
-const QUEUE: usize = 4096;
-/// Longest answer that is passed on to a peer: a frame, less what goes around it.
-const MAX_RELAYED: usize = shaleshunt_peer::MAX_FRAME - 1024;
-/// Memory that one connection may come to, in KiB.
-const CONNECTION_KIB: f64 = 20.0;
-/// Frames waiting for a peer, at the least; more than a second's requests are dropped, as in a network.
-const LEAST_FRAMES: usize = 64;
-/// A connection that brings nothing for so many reporting intervals is closed: its machine or user
-/// is gone or cut off.
-const IDLE_REPORTS: f64 = 4.0;
-
-type Relays = Rc<RefCell<HashMap<u64, oneshot::Sender<(u16, Bytes)>>>>;
-
-/// A node with its connections.
-struct Hands {
-    me: Rc<Settings>,
-    wiring: Wiring,
-    state: Client,
-    cloud: Client,
-    workers: Client,
-    links: HashMap<String, Link>,
-    relays: Relays,
-    /// Frames dropped since a peer's link last took one.
-    dropped: HashMap<String, u64>,
-    /// Number of the last request passed on through a peer. It begins anywhere, so that an answer to
-    /// an earlier process, which may come just after a restart, is not taken for one to this one.
-    relay_count: u64,
-    cloud_budget: Budget,
-    done: mpsc::Sender<Command>,
-    asked: HashMap<RequestId, oneshot::Sender<Answer>>,
-    patience: Duration,
-}
-
-/// Runs a node until the process ends. Fails only if it cannot listen.
-pub async fn run(settings: Settings, tuning: Tuning, wiring: Wiring) -> std::io::Result<()> {
-    let front = TcpListener::bind(&wiring.front).await?;
-    let back = TcpListener::bind(&wiring.back).await?;
-    tracing::info!("{}: serves on {}, peers on {}", settings.label, wiring.front, wiring.back);
-    let report = Duration::from_secs_f64(settings.report_s);
-    let patience = report.mul_f64(0.4);
-    let by_memory = (settings.mem_mb * 1024.0 / 2.0 / CONNECTION_KIB) as usize;
-    let sockets = Sockets::new(wiring.sockets);
-    let limits = server::Limits {
-        connections: sockets.incoming().min(by_memory).max(16),
-        reserved: sockets.reserved(),
-        report,
-        idle: report.mul_f64(IDLE_REPORTS),
-        patience: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_PATIENCE_S),
-        answer: Duration::from_secs_f64(shaleshunt_wire::REPORT_PATIENCE_S),
-    };
-    // A connection has one request under way, so there is room for all.
-    let (asks, mut asked) = mpsc::channel(limits.connections + limits.reserved);
-    let (done, mut results) = mpsc::channel(QUEUE);
-    let (hear, mut heard) = mpsc::channel(QUEUE);
-    tokio::task::spawn_local(server::serve(front, asks, limits, sockets.clone()));
-    tokio::task::spawn_local(peers::listen(back, hear, sockets.clone()));
-    // Requests that are passed on come at the rate of the state service; they leave with each batch.
-    let frames = (settings.state_rps as usize).max(LEAST_FRAMES);
-    let links = wiring
-        .peers
-        .iter()
-        .map(|(label, address)| (label.clone(), peers::dial(settings.label.clone(), address.clone(), patience, frames)))
-        .collect();
-    let began = Instant::now();
-    let mut node = Node::new(settings.clone(), tuning, now(began), rand::random());
-    let mut hands = Hands {
-        state: Client::new(&sockets, sockets.state(), patience),
-        cloud: Client::new(&sockets, sockets.cloud(), patience),
-        workers: Client::new(&sockets, sockets.calls(), patience / 2),
-        links,
-        relays: Relays::default(),
-        dropped: HashMap::new(),
-        relay_count: rand::random(),
-        cloud_budget: Budget::new(settings.cloud_rps * 0.9),
-        done,
-        asked: HashMap::new(),
-        patience,
-        me: Rc::new(settings),
-        wiring,
-    };
-    let unused = Duration::from_secs_f64(hands.me.lease_s);
-    let mut tidied = Instant::now();
-    let mut meter = meter::Meter::new();
-    let mut asks_taken: RequestId = 1 << 63;
-    let mut tick = tokio::time::interval(Duration::from_millis(hands.me.tick_ms().max(1)));
-    tick.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    loop {
-        let mut batch = Vec::new();
-        let mut first_ask = None;
-        tokio::select! {
-            biased;
-            Some(command) = results.recv() => batch.push(command),
-            Some(h) = heard.recv() => batch.extend(hands.hear(h)),
-            Some(ask) = asked.recv() => first_ask = Some(ask),
-            _ = tick.tick() => batch.push(Command::Tick),
-        }
-        while batch.len() < BATCH
-            && let Ok(command) = results.try_recv()
-        {
-            batch.push(command);
-        }
-        while batch.len() < BATCH
-            && let Ok(h) = heard.try_recv()
-        {
-            batch.extend(hands.hear(h));
-        }
-        while batch.len() < BATCH
-            && let Some((ask, tell)) = first_ask.take().or_else(|| asked.try_recv().ok())
-        {
-            asks_taken += 1;
-            hands.asked.insert(asks_taken, tell);
-            batch.push(match ask {
-                Ask::Submit(s) => Command::Submit(asks_taken, s),
-                Ask::Status(job) => Command::Status(asks_taken, job),
-                Ask::Withdraw(job) => Command::Withdraw(asks_taken, job),
-                Ask::Up => Command::Up(asks_taken),
-                Ask::Checkin(r) => Command::Checkin(asks_taken, r),
-            });
-        }
-        node.begin(now(began));
-        for command in batch {
-            meter.time(meter::command(&command), || node.take(command));
-        }
-        for effect in meter.time("due", || node.finish()) {
-            meter.time(meter::effect(&effect), || hands.carry_out(effect));
-        }
-        if let Some(line) = meter.line(report) {
-            tracing::debug!("{}: {line}", hands.me.label);
-        }
-        if tidied.elapsed() > report / 10 {
-            tidied = Instant::now();
-            for client in [&hands.workers, &hands.state, &hands.cloud] {
-                client.tidy(unused);
-            }
-        }
-    }
-}
-
-fn now(began: Instant) -> Now {
-    let wall = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |d| d.as_millis() as u64);
-    // Never 0, so that 0 can stand for "never".
-    Now { mono: began.elapsed().as_millis() as u64 + 1, wall }
-}
-
-impl Hands {
-    /// What came from a peer: requests to pass on are the clients' business, not the owner's.
-    fn hear(&mut self, heard: Heard) -> Option<Command> {
-        match heard {
-            Heard::Lost(from) => Some(Command::PeerLost(from)),
-            Heard::Frame(from, Frame::ForwardedRequest { id, body }) => {
-                let (state, link) = (self.state.clone(), self.links.get(&from).cloned());
-                let (address, patience) = (self.wiring.state.clone(), self.patience);
-                tokio::task::spawn_local(async move {
-                    let Ok(request) = serde_json::from_slice::<StateRequest>(&body) else { return };
-                    let (method, path, body) = outside::state_request(&request);
-                    let patience = patience + hold(&request);
-                    let call =
-                        Call { address: &address, method, path: &path, body, patience, urgency: Urgency::Normal };
-                    let (status, body) = match state.send(call).await {
-                        // What no frame holds is no answer; of a watch it means to read anew.
-                        Ok((_, body)) if body.len() > MAX_RELAYED => {
-                            (if matches!(request, StateRequest::Watch { .. }) { 410 } else { 0 }, Bytes::new())
-                        }
-                        Ok(answer) => answer,
-                        Err(IoError::NotSent | IoError::Busy) => (503, Bytes::new()),
-                        Err(_) => (0, Bytes::new()),
-                    };
-                    if let Some(link) = link {
-                        let _ = link.try_send(Frame::ForwardedResponse { id, status, body });
-                    }
-                });
-                None
-            }
-            Heard::Frame(_, Frame::ForwardedResponse { id, status, body }) => {
-                if let Some(tell) = self.relays.borrow_mut().remove(&id) {
-                    let _ = tell.send((status, body));
-                }
-                None
-            }
-            Heard::Frame(from, frame) => Some(Command::Peer(from, frame)),
-        }
-    }
-
-    fn carry_out(&mut self, effect: Effect) {
-        match effect {
-            Effect::Answer(id, answer) => {
-                if let Some(tell) = self.asked.remove(&id) {
-                    let _ = tell.send(answer);
-                }
-            }
-            Effect::Log(severity, text) => {
-                let node = self.me.label.as_str();
-                match severity {
-                    Severity::Error => tracing::error!("{node}: {text}"),
-                    Severity::Info => tracing::info!("{node}: {text}"),
-                    Severity::Debug => tracing::debug!("{node}: {text}"),
-                }
-            }
-            Effect::Peer(label, frame) => {
-                self.tell_peer(label, frame);
-            }
-            Effect::State(id, request, via) => self.ask_state(id, request, via),
-            Effect::Cloud(id, request) => {
-                let affordable = self.cloud_budget.take();
-                let (cloud, address, done) = (self.cloud.clone(), self.wiring.cloud.clone(), self.done.clone());
-                let patience = self.patience * 3;
-                tokio::task::spawn_local(async move {
-                    let result = if affordable {
-                        let (method, path, body) = outside::cloud_request(&request);
-                        let urgency = Urgency::Normal;
-                        let call = Call { address: &address, method, path: &path, body, patience, urgency };
-                        let answer = cloud.send(call).await;
-                        answer.and_then(|(status, body)| outside::cloud_reply(&request, status, &body))
-                    } else {
-                        Err(IoError::Throttled)
-                    };
-                    let _ = done.send(Command::Cloud(id, result)).await;
-                });
-            }
-            Effect::Orders(id, address, orders) => {
-                let (workers, done, patience) = (self.workers.clone(), self.done.clone(), self.patience);
-                let urgency = outside::orders_urgency(&orders);
-                tokio::task::spawn_local(async move {
-                    let body = serde_json::to_vec(&orders).map(Bytes::from).unwrap_or_default();
-                    let path = shaleshunt_wire::paths::ORDERS;
-                    let method = hyper::Method::POST;
-                    let call = Call { address: &address, method, path, body, patience, urgency };
-                    let answer = workers.send(call).await;
-                    let result = answer.and_then(|(status, body)| outside::orders_reply(status, &body));
-                    let _ = done.send(Command::Orders(id, result)).await;
-                });
-            }
-        }
-    }
-
-    /// Hands a frame to a peer's link. What a link does not take is dropped, as a network would.
-    fn tell_peer(&mut self, label: String, frame: Frame) {
-        let Some(link) = self.links.get(&label) else { return };
-        if link.try_send(frame).is_ok() {
-            if let Some(frames) = self.dropped.remove(&label) {
-                tracing::info!("{}: {frames} frames to {label} were dropped", self.me.label);
-            }
-            return;
-        }
-        let frames = self.dropped.entry(label.clone()).or_default();
-        *frames += 1;
-        if *frames == 1 {
-            tracing::info!("{}: frames to {label} are dropped: its link takes no more", self.me.label);
-        }
-    }
-
-    fn ask_state(&mut self, id: RequestId, request: StateRequest, via: Option<String>) {
-        let done = self.done.clone();
-        let patience = self.patience + hold(&request);
-        let link = via.and_then(|peer| self.links.get(&peer).cloned());
-        if let Some(link) = link {
-            self.relay_count = self.relay_count.wrapping_add(1);
-            let (number, relays) = (self.relay_count, self.relays.clone());
-            tokio::task::spawn_local(async move {
-                let (tell, told) = oneshot::channel();
-                relays.borrow_mut().insert(number, tell);
-                let body = serde_json::to_vec(&request).map(Bytes::from).unwrap_or_default();
-                let result = if link.try_send(Frame::ForwardedRequest { id: number, body }).is_err() {
-                    Err(IoError::NotSent)
-                } else {
-                    match tokio::time::timeout(patience, told).await {
-                        Ok(Ok((status, body))) => outside::state_reply(&request, status, &body),
-                        _ => Err(IoError::Unknown),
-                    }
-                };
-                relays.borrow_mut().remove(&number);
-                let _ = done.send(Command::State(id, result)).await;
-            });
-            return;
-        }
-        let (state, address) = (self.state.clone(), self.wiring.state.clone());
-        tokio::task::spawn_local(async move {
-            let (method, path, body) = outside::state_request(&request);
-            let urgency = Urgency::Normal;
-            let call = Call { address: &address, method, path: &path, body, patience, urgency };
-            let answer = state.send(call).await;
-            let result = match answer {
-                // More changes than are taken at once: to be read anew.
-                Err(IoError::TooLong) if matches!(request, StateRequest::Watch { .. }) => Ok(StateReply::TooOld),
-                answer => answer.and_then(|(status, body)| outside::state_reply(&request, status, &body)),
-            };
-            let _ = done.send(Command::State(id, result)).await;
-        });
-    }
-}
-
-/// Time that a request waits at the state service by itself.
-fn hold(request: &StateRequest) -> Duration {
-    match request {
-        StateRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
-        _ => Duration::ZERO,
-    }
-}
+pub mod socket_budget;
+
+mod clock;
+mod config;
+mod effects;
+mod error;
+mod event_loop;
+mod forwarding;
+mod http_status;
+mod loop_metrics;
+mod peer_links;
+mod pending_responses;
+mod task;
+
+pub use config::{NetworkConfig, PeerAddress};
+pub use error::{Listener, RunError};
+pub use event_loop::run;
--- /dev/null
+++ b/crates/net/src/loop_metrics.rs
@@ -0,0 +1,102 @@
+//! Where a controller's time goes, for operators who log at `debug`: now and then a line with the time
+//! taken by each kind of command and of effect, by what is due after a batch, and by all else (HTTP, JSON,
+//! links). The owner of all state has no clock; this measures around it.
+
+use shaleshunt_core::io::{Command, Effect};
+use std::cmp::Reverse;
+use std::collections::BTreeMap;
+use std::time::{Duration, Instant};
+
+/// What is done after the commands of a batch.
+pub(crate) const DUE_WORK: &str = "due";
+
+/// Counts and times since the last line.
+pub(crate) struct LoopMetrics {
+    is_enabled: bool,
+    totals: BTreeMap<&'static str, Total>,
+    since: Instant,
+}
+
+/// How often one kind of work was done, and how long it took altogether.
+#[derive(Debug, Clone, Copy, Default)]
+struct Total {
+    count: u64,
+    time: Duration,
+}
+
+impl LoopMetrics {
+    /// Measures only if its lines will be seen.
+    pub(crate) fn new() -> LoopMetrics {
+        LoopMetrics {
+            is_enabled: tracing::enabled!(tracing::Level::DEBUG),
+            totals: BTreeMap::new(),
+            since: Instant::now(),
+        }
+    }
+
+    /// Does work, and counts its time for this kind.
+    pub(crate) fn measure<T>(&mut self, kind: &'static str, work: impl FnOnce() -> T) -> T {
+        if !self.is_enabled {
+            return work();
+        }
+        let started = Instant::now();
+        let result = work();
+        let total = self.totals.entry(kind).or_default();
+        total.count += 1;
+        total.time += started.elapsed();
+        result
+    }
+
+    /// The line, if `interval` has passed since the last one.
+    pub(crate) fn take_line(&mut self, interval: Duration) -> Option<String> {
+        let elapsed = self.since.elapsed();
+        if !self.is_enabled || elapsed < interval {
+            return None;
+        }
+        self.since = Instant::now();
+        let totals = std::mem::take(&mut self.totals);
+        Some(format_line(totals, elapsed))
+    }
+}
+
+fn format_line(totals: BTreeMap<&'static str, Total>, elapsed: Duration) -> String {
+    let mut totals: Vec<(&str, Total)> = totals.into_iter().collect();
+    totals.sort_by_key(|(_, total)| Reverse(total.time));
+    let measured: Duration = totals.iter().map(|(_, total)| total.time).sum();
+    let milliseconds = |time: Duration| time.as_secs_f64() * 1e3;
+    let kinds: Vec<String> = totals
+        .iter()
+        .map(|(kind, total)| format!("{kind} {} in {:.1}", total.count, milliseconds(total.time)))
+        .collect();
+    let elapsed_s = elapsed.as_secs_f64();
+    let percent = measured.as_secs_f64() / elapsed_s * 100.0;
+    format!("the owner's loop took {percent:.1}% of {elapsed_s:.1} s (ms by kind: {})", kinds.join(", "))
+}
+
+/// The kind of a command.
+pub(crate) fn command_kind(command: &Command) -> &'static str {
+    match command {
+        Command::Submit(..) => "submissions",
+        Command::Status(..) => "polls",
+        Command::Withdraw(..) => "withdrawals",
+        Command::Up(..) => "health checks",
+        Command::Checkin(..) => "reports",
+        Command::State(..) => "state answers",
+        Command::Cloud(..) => "cloud answers",
+        Command::Orders(..) => "calls answered",
+        Command::Peer(..) | Command::PeerLost(..) => "peers",
+        Command::Tick => "ticks",
+    }
+}
+
+/// The kind of an effect.
+pub(crate) fn effect_kind(effect: &Effect) -> &'static str {
+    match effect {
+        Effect::State(..) => "state requests",
+        Effect::Cloud(..) => "cloud requests",
+        Effect::Orders(..) => "calls",
+        Effect::Answer(..) => "answers",
+        Effect::Peer(..) => "to peers",
+        Effect::Log(..) => "log",
+    }
+}
--- /dev/null
+++ b/crates/net/src/protocol.rs
@@ -0,0 +1,68 @@
+//! How requests to other services are written as HTTP, and what their responses mean.
+
+pub mod cloud;
+pub mod kv;
+pub mod worker;
+
+use crate::client::Call;
+use crate::semaphore::CallPriority;
+use bytes::Bytes;
+use hyper::Method;
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+use shaleshunt_core::IoError;
+use shaleshunt_wire::user::Problem;
+use std::time::Duration;
+
+/// A request without the service that it is for.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub struct EncodedRequest {
+    /// HTTP method.
+    pub method: Method,
+    /// Path and query.
+    pub path: String,
+    /// Body, empty for none.
+    pub body: Bytes,
+}
+
+impl EncodedRequest {
+    /// The call that sends this request to a service.
+    pub fn call<'a>(&'a self, address: &'a str, timeout: Duration, priority: CallPriority) -> Call<'a> {
+        let (method, body) = (self.method.clone(), self.body.clone());
+        Call { address, method, path: &self.path, body, timeout, priority }
+    }
+
+    fn get(path: String) -> EncodedRequest {
+        EncodedRequest { method: Method::GET, path, body: Bytes::new() }
+    }
+
+    fn post<T: Serialize>(path: &str, body: &T) -> EncodedRequest {
+        EncodedRequest { method: Method::POST, path: path.to_string(), body: to_json(body) }
+    }
+}
+
+pub(crate) fn to_json<T: Serialize>(value: &T) -> Bytes {
+    // Our own types, with texts as keys: writing them does not fail.
+    serde_json::to_vec(value).map(Bytes::from).unwrap_or_default()
+}
+
+fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, IoError> {
+    serde_json::from_slice(body).map_err(|_| IoError::Senseless)
+}
+
+/// The reason that a service gives for refusing a request.
+fn problem_text(body: &[u8]) -> String {
+    from_json::<Problem>(body).map_or_else(|_| "no reason given".into(), |problem| problem.error)
+}
+
+/// A text as the value of a query parameter.
+fn percent_encode(text: &str) -> String {
+    text.bytes().map(percent_encode_byte).collect()
+}
+
+fn percent_encode_byte(byte: u8) -> String {
+    match byte {
+        b'a'..=b'z' | b'A'..=b'Z' | b'0'..=b'9' | b'-' | b'_' | b'.' | b'/' => char::from(byte).to_string(),
+        _ => format!("%{byte:02X}"),
+    }
+}
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,267 +1,239 @@
 //! The HTTP server for users, workers and health checks.
 
-use crate::connections::{Activity, Admission, Capacity, Connections};
-use crate::idle_times::RequestKind;
-use crate::sockets::Sockets;
-use bytes::Bytes;
-use http_body_util::{BodyExt, Full, LengthLimitError, Limited};
+mod rejection;
+mod requests;
+mod responses;
+
+use crate::connections::{Admission, AfterResponse, ConnectionActivity, ConnectionLimits, Connections};
+use crate::idle_time::RequestKind;
+use crate::socket_budget::SocketBudget;
+use hyper::Request;
 use hyper::body::Incoming;
 use hyper::service::service_fn;
-use hyper::{Method, Request, Response};
 use hyper_util::rt::TokioIo;
+use rejection::Rejection;
+use responses::HttpResponse;
+use shaleshunt_core::Settings;
 use shaleshunt_core::io::Answer;
-use shaleshunt_wire::user::{Problem, Submission};
-use shaleshunt_wire::worker::{Elsewhere, Report};
-use shaleshunt_wire::{MAX_BODY, paths};
+use shaleshunt_wire::user::Submission;
+use shaleshunt_wire::worker::Report;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// A request for the owner.
+/// Memory that one connection may take, in KiB.
+const CONNECTION_KIB: f64 = 20.0;
+/// Share of the process's memory that connections may take.
+const CONNECTIONS_MEMORY_SHARE: f64 = 0.5;
+/// Connections that are always allowed.
+const MIN_CONNECTIONS: usize = 16;
+/// A connection that brings nothing for so many heartbeat intervals is closed: its machine or user is gone
+/// or cut off.
+const IDLE_TIMEOUT_INTERVALS: f64 = 4.0;
+/// Largest buffer of a connection, in bytes.
+const MAX_CONNECTION_BUFFER: usize = 32 * 1024;
+/// Pause after a failure to accept a connection, such as a lack of file descriptors.
+const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
+
+/// A request for the owner of all state.
 #[derive(Debug)]
-pub enum Ask {
-    /// A submission.
+pub enum ClientRequest {
+    /// A user submits a job.
     Submit(Box<Submission>),
-    /// A poll.
+    /// A user asks for the state of the job of this identifier.
     Status(String),
-    /// A withdrawal.
-    Withdraw(String),
+    /// A user cancels the job of this identifier.
+    Cancel(String),
     /// A health check.
-    Up,
-    /// A worker's report.
-    Checkin(Box<Report>),
+    HealthCheck,
+    /// A worker's heartbeat with its status.
+    Heartbeat(Box<Report>),
 }
 
-/// Where requests go.
-pub type Asks = mpsc::Sender<(Ask, oneshot::Sender<Answer>)>;
+/// A request that waits for its response. Dropping the responder refuses the request.
+#[derive(Debug)]
+pub struct PendingRequest {
+    /// What is asked.
+    pub request: ClientRequest,
+    /// Takes the response.
+    pub responder: oneshot::Sender<Answer>,
+}
+
+/// Where the server sends requests.
+pub type RequestSender = mpsc::Sender<PendingRequest>;
 
 /// Limits of the server.
 #[derive(Debug, Clone, Copy)]
-pub struct Limits {
-    /// Most open connections.
-    pub connections: usize,
-    /// Most open connections beyond those, for users and health checks.
-    pub reserved: usize,
-    /// Time between a machine's reports.
-    pub report: Duration,
+pub struct ServerConfig {
+    /// How many connections may be open.
+    pub connections: ConnectionLimits,
+    /// Time between a machine's heartbeats.
+    pub heartbeat_interval: Duration,
     /// Longest time for a request's head to arrive, and so for a connection to stay unused.
-    pub idle: Duration,
+    pub idle_timeout: Duration,
     /// Longest time for a body to arrive.
-    pub patience: Duration,
-    /// Longest time for the owner to answer.
-    pub answer: Duration,
+    pub body_timeout: Duration,
+    /// Longest time for the owner of all state to respond.
+    pub response_timeout: Duration,
+}
+
+impl ServerConfig {
+    /// Limits that follow from the settings and from the process's sockets.
+    pub fn new(settings: &Settings, sockets: &SocketBudget) -> ServerConfig {
+        let memory_kib = settings.mem_mb * 1024.0 * CONNECTIONS_MEMORY_SHARE;
+        let allowed_by_memory = (memory_kib / CONNECTION_KIB) as usize;
+        let max = sockets.client_connections().min(allowed_by_memory).max(MIN_CONNECTIONS);
+        let heartbeat_interval = Duration::from_secs_f64(settings.report_s);
+        ServerConfig {
+            connections: ConnectionLimits { max, reserved: sockets.reserved_connections() },
+            heartbeat_interval,
+            idle_timeout: heartbeat_interval.mul_f64(IDLE_TIMEOUT_INTERVALS),
+            body_timeout: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_PATIENCE_S),
+            response_timeout: Duration::from_secs_f64(shaleshunt_wire::REPORT_PATIENCE_S),
+        }
+    }
+
+    /// Most requests that can be under way, since a connection has one at a time.
+    pub fn max_concurrent_requests(&self) -> usize {
+        self.connections.max + self.connections.reserved
+    }
 }
 
-/// Serves until the process ends.
-pub async fn serve(listener: TcpListener, asks: Asks, limits: Limits, sockets: Sockets) {
-    let capacity = Capacity { most: limits.connections, reserved: limits.reserved };
-    let connections = Connections::new(capacity, limits.report);
-    let mut full = false;
-    tokio::task::spawn_local(connections.clone().close_idle(limits.idle));
+/// Serves until it is dropped, which closes all connections.
+pub async fn serve(listener: TcpListener, requests: RequestSender, config: ServerConfig, sockets: SocketBudget) {
+    let connections = Connections::new(config.connections, config.heartbeat_interval, config.idle_timeout);
+    let mut full = FullState::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
-            Err(e) => {
-                tracing::error!("accept: {e}");
-                tokio::time::sleep(Duration::from_millis(50)).await;
+            Err(error) => {
+                tracing::error!("accept: {error}");
+                tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
         };
         let admission = connections.admit();
-        if admission != Admission::Open && !std::mem::replace(&mut full, true) {
-            tracing::info!("{} connections are open: machines are sent to other nodes", connections.open());
-        }
-        full &= connections.open() > limits.connections / 2;
+        full.update(admission, connections.open_count(), config.connections);
         if admission == Admission::Refused {
             // A new connection is closed at once; nobody waits for nothing.
             continue;
         }
-        let (asks, socket) = (asks.clone(), sockets.open());
-        let activity = connections.activity(admission);
-        connections.spawn(socket, activity.clone(), connection(stream, asks, limits, activity));
+        let requests = requests.clone();
+        connections.spawn(sockets.open(), admission, |activity| serve_connection(stream, requests, config, activity));
+    }
+}
+
+/// Whether the server has run out of connections, logged once each time.
+#[derive(Default)]
+struct FullState {
+    is_full: bool,
+}
+
+impl FullState {
+    fn update(&mut self, admission: Admission, open: usize, limits: ConnectionLimits) {
+        if admission != Admission::Open && !self.is_full {
+            self.is_full = true;
+            tracing::info!("{open} connections are open: machines are sent to other nodes");
+        }
+        if open <= limits.max / 2 {
+            self.is_full = false;
+        }
     }
 }
 
-async fn connection(stream: TcpStream, asks: Asks, limits: Limits, activity: Activity) {
+async fn serve_connection(
+    stream: TcpStream,
+    requests: RequestSender,
+    config: ServerConfig,
+    activity: ConnectionActivity,
+) {
+    // Only a matter of speed.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
-        let (asks, activity) = (asks.clone(), activity.clone());
-        async move {
-            activity.begin_request();
-            let Handled { kind, response } = handle(request, &asks, limits, activity.admission()).await;
-            let closes = activity.end_request(kind);
-            Ok::<_, std::convert::Infallible>(if closes { close(response) } else { response })
-        }
+        let (requests, activity) = (requests.clone(), activity.clone());
+        async move { Ok::<_, std::convert::Infallible>(respond(request, &requests, config, &activity).await) }
     });
     // Half closed connections are allowed so that nothing more is read while a request is handled: that
     // would take another buffer for each.
     let served = hyper::server::conn::http1::Builder::new()
         .half_close(true)
-        .max_buf_size(32 * 1024)
+        .max_buf_size(MAX_CONNECTION_BUFFER)
         .serve_connection(TokioIo::new(stream), service)
         .await;
-    if let Err(e) = served {
-        tracing::debug!("connection: {e}");
-    }
-}
-
-fn plain(status: u16, body: Vec<u8>) -> Response<Full<Bytes>> {
-    let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = hyper::StatusCode::from_u16(status).unwrap_or(hyper::StatusCode::INTERNAL_SERVER_ERROR);
-    response.headers_mut().insert("content-type", hyper::header::HeaderValue::from_static("application/json"));
-    response
-}
-
-fn body<T: serde::Serialize>(status: u16, value: &T) -> Response<Full<Bytes>> {
-    plain(status, serde_json::to_vec(value).unwrap_or_default())
-}
-
-fn problem(status: u16, error: &str, retry_after: Option<u32>) -> Response<Full<Bytes>> {
-    let mut response = body(status, &Problem { error: error.to_string() });
-    if let Some(s) = retry_after {
-        response.headers_mut().insert("retry-after", s.into());
+    if let Err(error) = served {
+        tracing::debug!("connection: {error}");
     }
-    response
 }
 
-async fn read_body(request: Request<Incoming>, patience: Duration) -> Result<Bytes, Response<Full<Bytes>>> {
-    let collect = Limited::new(request.into_body(), MAX_BODY).collect();
-    match tokio::time::timeout(patience, collect).await {
-        Ok(Ok(all)) => Ok(all.to_bytes()),
-        Ok(Err(e)) if e.downcast_ref::<LengthLimitError>().is_some() => {
-            Err(close(problem(413, "body larger than 64 KiB", None)))
-        }
-        Ok(Err(_)) => Err(close(problem(400, "body broke off", None))),
-        Err(_) => Err(close(problem(408, "body took too long", None))),
+async fn respond(
+    request: Request<Incoming>,
+    requests: &RequestSender,
+    config: ServerConfig,
+    activity: &ConnectionActivity,
+) -> HttpResponse {
+    activity.begin_request();
+    let Handled { kind, response } = handle(request, requests, config, activity.admission()).await;
+    match activity.end_request(kind) {
+        AfterResponse::KeepAlive => response,
+        AfterResponse::Close => responses::closing(response),
     }
 }
 
-fn close(mut response: Response<Full<Bytes>>) -> Response<Full<Bytes>> {
-    response.headers_mut().insert("connection", hyper::header::HeaderValue::from_static("close"));
-    response
-}
-
 /// A response, and what the request was.
 struct Handled {
     kind: RequestKind,
-    response: Response<Full<Bytes>>,
-}
-
-async fn handle(request: Request<Incoming>, asks: &Asks, limits: Limits, admission: Admission) -> Handled {
-    let ask = match read_request(request, limits).await {
-        Ok(ask) => ask,
-        Err(response) => return Handled { kind: RequestKind::User, response },
+    response: HttpResponse,
+}
+
+async fn handle(
+    request: Request<Incoming>,
+    requests: &RequestSender,
+    config: ServerConfig,
+    admission: Admission,
+) -> Handled {
+    let request = match requests::read(request, config.body_timeout).await {
+        Ok(request) => request,
+        Err(rejection) => return Handled { kind: RequestKind::User, response: responses::rejected(&rejection) },
     };
-    // What is held for users and health checks is not for machines: they go to another node.
-    if admission == Admission::Reserved && matches!(ask, Ask::Checkin(_)) {
-        let response = problem(503, "no room for machines", None);
-        return Handled { kind: RequestKind::ReportElsewhere, response };
+    // What is reserved for users and health checks is not for machines: they go to another controller.
+    if admission == Admission::Reserved && matches!(request, ClientRequest::Heartbeat(_)) {
+        let response = responses::rejected(&Rejection::ReservedForUsers);
+        return Handled { kind: RequestKind::HeartbeatElsewhere, response };
+    }
+    let kind = request_kind(&request);
+    match ask_owner(request, requests, config.response_timeout).await {
+        Some(answer) => Handled { kind: answered_kind(kind, &answer), response: responses::answered(answer) },
+        None => Handled { kind, response: responses::rejected(&Rejection::NoResponseInTime) },
     }
-    let kind = request_kind(&ask);
-    let Some(answer) = ask_owner(ask, asks, limits).await else {
-        return Handled { kind, response: problem(503, "no answer in time", Some(1)) };
-    };
-    let kind = answered_kind(kind, &answer);
-    Handled { kind, response: write(answer) }
 }
 
-fn request_kind(ask: &Ask) -> RequestKind {
-    match ask {
-        Ask::Submit(_) | Ask::Status(_) | Ask::Withdraw(_) => RequestKind::User,
-        Ask::Up => RequestKind::HealthCheck,
-        Ask::Checkin(_) => RequestKind::Report,
+fn request_kind(request: &ClientRequest) -> RequestKind {
+    match request {
+        ClientRequest::Submit(_) | ClientRequest::Status(_) | ClientRequest::Cancel(_) => RequestKind::User,
+        ClientRequest::HealthCheck => RequestKind::HealthCheck,
+        ClientRequest::Heartbeat(_) => RequestKind::Heartbeat,
     }
 }
 
 /// The kind of a request now that its answer is known.
-fn answered_kind(asked: RequestKind, answer: &Answer) -> RequestKind {
-    match (asked, answer) {
-        (RequestKind::Report, Answer::Report(reply)) if reply.orders.is_empty() => RequestKind::Report,
-        (RequestKind::Report, Answer::Report(_)) => RequestKind::ReportWithOrders,
-        (RequestKind::Report, _) => RequestKind::ReportElsewhere,
+fn answered_kind(kind: RequestKind, answer: &Answer) -> RequestKind {
+    match (kind, answer) {
+        (RequestKind::Heartbeat, Answer::Report(reply)) if reply.orders.is_empty() => RequestKind::Heartbeat,
+        (RequestKind::Heartbeat, Answer::Report(_)) => RequestKind::HeartbeatWithCommands,
+        (RequestKind::Heartbeat, _) => RequestKind::HeartbeatElsewhere,
         (other, _) => other,
     }
 }
 
-/// The owner's answer, unless it takes too long.
-async fn ask_owner(ask: Ask, asks: &Asks, limits: Limits) -> Option<Answer> {
-    // A report is answered with the batch that it comes in, so it needs no timer.
-    let answered_at_once = matches!(ask, Ask::Checkin(_));
-    let (tell, told) = oneshot::channel();
+/// The answer of the owner of all state; `None` if it takes too long.
+async fn ask_owner(request: ClientRequest, requests: &RequestSender, timeout: Duration) -> Option<Answer> {
+    // A heartbeat is answered with the batch that it comes in, so it needs no timer.
+    let is_answered_at_once = matches!(request, ClientRequest::Heartbeat(_));
+    let (responder, answer) = oneshot::channel();
     // There is room for one request of each connection, so this fails only when the process ends.
-    asks.try_send((ask, tell)).ok()?;
-    if answered_at_once {
-        return told.await.ok();
-    }
-    tokio::time::timeout(limits.answer, told).await.ok()?.ok()
-}
-
-/// What a request asks of the owner, or the answer to one that it is not asked about.
-async fn read_request(request: Request<Incoming>, limits: Limits) -> Result<Ask, Response<Full<Bytes>>> {
-    let method = request.method().clone();
-    let path = request.uri().path().to_string();
-    let below = path.strip_prefix(paths::SUBMISSIONS).and_then(|p| p.strip_prefix('/'));
-    let ask = match (below, path.as_str()) {
-        (None, paths::SUBMISSIONS) => {
-            if method != Method::POST {
-                return Err(problem(405, "POST only", None));
-            }
-            let body = read_body(request, limits.patience).await?;
-            match Submission::parse(&body) {
-                Ok(s) => Ask::Submit(Box::new(s)),
-                Err(e) => return Err(problem(400, &e.to_string(), None)),
-            }
-        }
-        (None, paths::UP) => {
-            if method != Method::GET {
-                return Err(problem(405, "GET only", None));
-            }
-            Ask::Up
-        }
-        (None, paths::CHECKIN) => {
-            if method != Method::POST {
-                return Err(problem(405, "POST only", None));
-            }
-            let body = read_body(request, limits.patience).await?;
-            match Report::parse(&body) {
-                Some(r) => Ask::Checkin(Box::new(r)),
-                None => return Err(problem(400, "not a report", None)),
-            }
-        }
-        (Some(rest), _) => {
-            let (id, last) = match rest.split_once('/') {
-                Some((id, last)) => (id, Some(last)),
-                None => (rest, None),
-            };
-            match last {
-                None if method != Method::GET => return Err(problem(405, "GET only", None)),
-                Some(paths::WITHDRAW) if method != Method::POST => return Err(problem(405, "POST only", None)),
-                None | Some(paths::WITHDRAW) => {}
-                Some(_) => return Err(problem(404, "no such path", None)),
-            }
-            if !shaleshunt_wire::user::valid_id(id) {
-                return Err(problem(404, "no such job", None));
-            }
-            let id = id.to_string();
-            if last.is_none() {
-                Ask::Status(id)
-            } else {
-                // A body, if any, is read so that the connection can be used again.
-                read_body(request, limits.patience).await?;
-                Ask::Withdraw(id)
-            }
-        }
-        (None, _) => return Err(problem(404, "no such path", None)),
-    };
-    Ok(ask)
-}
-
-fn write(answer: Answer) -> Response<Full<Bytes>> {
-    match answer {
-        Answer::Job(status, view) => body(status, &view),
-        Answer::Problem { status, error, retry_after } => problem(status, error, retry_after),
-        Answer::Report(reply) => body(200, &reply),
-        Answer::Elsewhere(foreman) => body(421, &Elsewhere { foreman }),
-        Answer::Healthy => plain(200, b"{}".to_vec()),
+    requests.try_send(PendingRequest { request, responder }).ok()?;
+    if is_answered_at_once {
+        return answer.await.ok();
     }
+    tokio::time::timeout(timeout, answer).await.ok()?.ok()
 }
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -23,7 +23,7 @@
 mod kind {
     pub(super) const HELLO: u8 = 1;
     pub(super) const HEARTBEAT: u8 = 2;
-    pub(super) const PROGRESS: u8 = 3;
+    pub(super) const JOB_PROGRESS: u8 = 3;
     pub(super) const FORWARDED_REQUEST: u8 = 4;
     pub(super) const FORWARDED_RESPONSE: u8 = 5;
 }
@@ -78,8 +78,8 @@
                 writer.put_u8(kind::HEARTBEAT);
                 write_heartbeat(heartbeat, writer);
             }
-            Frame::Progress { epoch, jobs } => {
-                writer.put_u8(kind::PROGRESS);
+            Frame::JobProgress { epoch, jobs } => {
+                writer.put_u8(kind::JOB_PROGRESS);
                 writer.put_u64(*epoch);
                 writer.put_u32(jobs.len() as u32);
                 for job in jobs {
@@ -104,7 +104,7 @@
         let frame = match reader.u8()? {
             kind::HELLO => Frame::Hello { node: reader.text()? },
             kind::HEARTBEAT => Frame::Heartbeat(read_heartbeat(reader)?),
-            kind::PROGRESS => Frame::Progress { epoch: reader.u64()?, jobs: read_all_progress(reader)? },
+            kind::JOB_PROGRESS => Frame::JobProgress { epoch: reader.u64()?, jobs: read_all_progress(reader)? },
             kind::FORWARDED_REQUEST => Frame::ForwardedRequest { id: reader.u64()?, body: reader.blob()? },
             kind::FORWARDED_RESPONSE => {
                 Frame::ForwardedResponse { id: reader.u64()?, status: reader.u16()?, body: reader.blob()? }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -13,7 +13,7 @@
     /// Tells that the sender is alive and what it knows; sent several times a second.
     Heartbeat(PeerHeartbeat),
     /// From the leader: how far the jobs have come, so that every controller can answer polls.
-    Progress {
+    JobProgress {
         /// Epoch of the leader.
         epoch: u64,
         /// One entry for each job.
