--- /dev/null
+++ b/crates/cli/src/settings/conversion.rs
@@ -0,0 +1,92 @@
+//! Turns a checked settings file into what the scheduler and the network are started with.
+
+use super::Platform;
+use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
+use shaleshunt_core::settings::{Aim, Limits, Settings, Team};
+use shaleshunt_net::{NetworkConfig, PeerAddress};
+use shaleshunt_wire::to_milli;
+use std::collections::BTreeMap;
+
+/// An objective without a multiple means the deadline itself.
+const DEFAULT_DEADLINE_MULTIPLE: f64 = 1.0;
+
+/// What a node is started with. The file has been checked.
+pub fn platform(file: SettingsFile) -> Platform {
+    let settings = settings(&file);
+    Platform { settings, network: network(file) }
+}
+
+fn settings(file: &SettingsFile) -> Settings {
+    let parameters = &file.params;
+    Settings {
+        label: file.name.clone(),
+        location: file.zone.clone(),
+        peers: file.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect(),
+        zones: parameters.zones.clone(),
+        teams: parameters.teams.iter().map(|entry| (entry.name.clone(), team(entry))).collect(),
+        aims: aims(&parameters.objectives),
+        report_s: parameters.workers.heartbeat_interval_s,
+        lease_s: parameters.workers.lease_s,
+        cancel_s: parameters.workers.cancel_s,
+        state_rps: parameters.kv.requests_per_s,
+        state: limits(&parameters.kv),
+        state_next: next_limits(&parameters.kv),
+        cloud_rps: parameters.cloud.requests_per_s,
+        list_lag_s: parameters.cloud.max_list_age_s,
+        mem_mb: parameters.resources.memory_mib,
+        core_share: parameters.resources.cores,
+        sockets: parameters.resources.max_open_files,
+    }
+}
+
+fn network(file: SettingsFile) -> NetworkConfig {
+    let address = |peer: Peer| PeerAddress { name: peer.name, address: peer.address };
+    NetworkConfig {
+        client_address: file.client_address,
+        peer_address: file.peer_address,
+        peers: file.peers.into_iter().map(address).collect(),
+        kv_address: file.endpoints.kv,
+        cloud_address: file.endpoints.cloud,
+        max_sockets: file.params.resources.max_open_files,
+    }
+}
+
+fn team(entry: &TeamEntry) -> Team {
+    Team {
+        guarantee: (to_milli(entry.guaranteed_cpus), to_milli(entry.guaranteed_gpus)),
+        limit: (to_milli(entry.max_cpus), to_milli(entry.max_gpus)),
+    }
+}
+
+/// Objectives by class.
+fn aims(objectives: &[Objective]) -> BTreeMap<String, Aim> {
+    let mut aims: BTreeMap<String, Aim> = BTreeMap::new();
+    for objective in objectives {
+        let Some(class) = &objective.class else { continue };
+        let aim = aims.entry(class.clone()).or_default();
+        match objective.kind {
+            ObjectiveKind::Start => aim.start_s.extend(objective.within_s),
+            ObjectiveKind::Finish => aim.finish_s.extend(objective.within_s),
+            ObjectiveKind::Deadline => {
+                aim.times.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
+            }
+            ObjectiveKind::Unknown => {}
+        }
+    }
+    aims
+}
+
+/// The key-value store's limits today.
+fn limits(kv: &KvLimits) -> Limits {
+    Limits { value_kb: kv.value_kib, txn_ops: kv.transaction_writes, write_rps: kv.writes_per_s }
+}
+
+/// The key-value store's limits that are to come; what is not named stays as it is today.
+fn next_limits(kv: &KvLimits) -> Option<Limits> {
+    let next = kv.next.as_ref()?;
+    Some(Limits {
+        value_kb: next.value_kib.unwrap_or(kv.value_kib),
+        txn_ops: next.transaction_writes.unwrap_or(kv.transaction_writes),
+        write_rps: next.writes_per_s.unwrap_or(kv.writes_per_s),
+    })
+}
--- a/crates/net/src/effects.rs
+++ b/crates/net/src/effects.rs
@@ -3,25 +3,19 @@
 //! Requests to other services run in tasks of their own, which end with their timeouts; each brings its
 //! result back to the event loop as a command.
 
-pub(crate) mod kv;
-
-mod cloud;
-mod worker;
-
+use crate::client::HttpResponse;
 use crate::config::NetworkConfig;
 use crate::forwarding::{self, ForwardedRequests};
 use crate::peer_links::{LinkConfig, PeerEvent, PeerLinks};
 use crate::pending_responses::PendingResponses;
 use crate::server::{ClientRequest, PendingRequest};
+use crate::services::{CloudClient, KvClient, WorkerClient};
 use crate::socket_budget::SocketBudget;
-use cloud::CloudClient;
-use kv::KvClient;
 use shaleshunt_core::io::{Command, Effect, RequestId};
 use shaleshunt_core::{Settings, Severity, StateRequest};
 use shaleshunt_peer::Frame;
 use std::time::Duration;
 use tokio::sync::mpsc;
-use worker::WorkerClient;
 
 /// Share of the heartbeat interval that another service has for a response.
 const TIMEOUT_INTERVALS: f64 = 0.4;
@@ -94,7 +88,7 @@
                 None
             }
             PeerEvent::Frame { frame: Frame::ForwardedResponse { id, status, body }, .. } => {
-                self.forwarded.respond(id, crate::client::HttpResponse { status, body });
+                self.forwarded.respond(id, HttpResponse { status, body });
                 None
             }
             PeerEvent::Frame { from, frame } => Some(Command::Peer(from, frame)),
--- a/crates/net/src/forwarding.rs
+++ b/crates/net/src/forwarding.rs
@@ -2,10 +2,10 @@
 //! not reach only one of them.
 
 use crate::client::HttpResponse;
-use crate::effects::kv::KvClient;
 use crate::http_status::{GONE, NO_RESPONSE, SERVICE_UNAVAILABLE};
 use crate::peer_links::PeerLink;
 use crate::protocol;
+use crate::services::KvClient;
 use bytes::Bytes;
 use shaleshunt_core::{IoError, StateReply, StateRequest};
 use shaleshunt_peer::Frame;
@@ -107,3 +107,6 @@
         Err(_) => without_body(NO_RESPONSE),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -10,7 +10,8 @@
 //! | `event_loop` | collects batches, steps the owner, hands out effects |
 //! | `effects` | executes effects: requests to other services, responses, frames, log lines |
 //! | [`server`], [`connections`], [`idle_time`] | HTTP for users, workers and health checks |
-//! | [`client`], [`semaphore`], [`protocol`] | HTTP to the key-value store, the cloud and workers |
+//! | `services`, [`protocol`] | requests to the key-value store, the cloud and workers |
+//! | [`client`], [`semaphore`] | HTTP connections to them, and who may use them first |
 //! | `peer_links`, `forwarding` | frames between controllers, and requests forwarded in them |
 //! | [`socket_budget`], [`rate_limiter`] | limits that hold for the whole process |
 
@@ -33,6 +34,7 @@
 mod loop_metrics;
 mod peer_links;
 mod pending_responses;
+mod services;
 mod task;
 
 pub use config::{NetworkConfig, PeerAddress};
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -66,3 +66,6 @@
         _ => format!("%{byte:02X}"),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -35,3 +35,6 @@
         self.refilled_at = now;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/net/src/effects/cloud.rs
+++ b/crates/net/src/services/cloud.rs
@@ -16,7 +16,7 @@
 const TIMEOUT_FACTOR: u32 = 3;
 
 /// A client of the cloud, which stays below the rate that the cloud allows.
-pub(super) struct CloudClient {
+pub(crate) struct CloudClient {
     http: Client,
     address: Rc<str>,
     timeout: Duration,
@@ -24,7 +24,7 @@
 }
 
 impl CloudClient {
-    pub(super) fn new(sockets: &SocketBudget, address: &str, timeout: Duration, per_second: f64) -> CloudClient {
+    pub(crate) fn new(sockets: &SocketBudget, address: &str, timeout: Duration, per_second: f64) -> CloudClient {
         CloudClient {
             http: Client::new(sockets, sockets.cloud_requests(), timeout),
             address: address.into(),
@@ -34,7 +34,7 @@
     }
 
     /// Counts a request against the rate now; the future sends it and reads the response.
-    pub(super) fn execute(
+    pub(crate) fn execute(
         &mut self,
         request: CloudRequest,
     ) -> impl Future<Output = Result<CloudReply, IoError>> + 'static {
@@ -50,7 +50,7 @@
         }
     }
 
-    pub(super) fn http(&self) -> &Client {
+    pub(crate) fn http(&self) -> &Client {
         &self.http
     }
 }
--- a/crates/net/src/effects/worker.rs
+++ b/crates/net/src/services/worker.rs
@@ -10,27 +10,27 @@
 
 /// A client of all workers.
 #[derive(Clone)]
-pub(super) struct WorkerClient {
+pub(crate) struct WorkerClient {
     http: Client,
     timeout: Duration,
 }
 
 impl WorkerClient {
-    pub(super) fn new(sockets: &SocketBudget, timeout: Duration) -> WorkerClient {
+    pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> WorkerClient {
         // A machine that does not even accept a connection is given up sooner.
         let connect_timeout = timeout / 2;
         WorkerClient { http: Client::new(sockets, sockets.worker_calls(), connect_timeout), timeout }
     }
 
     /// Sends commands to the worker at an address and reads the response.
-    pub(super) async fn execute(&self, address: &str, commands: &Orders) -> Result<OrdersReply, IoError> {
+    pub(crate) async fn execute(&self, address: &str, commands: &Orders) -> Result<OrdersReply, IoError> {
         let priority = protocol::worker::priority(commands);
         let encoded = protocol::worker::encode(commands);
         let response = self.http.send(encoded.call(address, self.timeout, priority)).await?;
         protocol::worker::decode(&response)
     }
 
-    pub(super) fn http(&self) -> &Client {
+    pub(crate) fn http(&self) -> &Client {
         &self.http
     }
 }
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -333,3 +333,31 @@
         assert!(user.status() == "200" && user.closes(), "{}", user.head);
     });
 }
+
+/// What a server holds is given back with it.
+#[test]
+fn connections_are_closed_with_their_server() {
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
+    tokio::task::LocalSet::new().block_on(&runtime, async {
+        let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+        let address = listener.local_addr().unwrap();
+        let (sender, _requests) = mpsc::channel(1);
+        let minute = Duration::from_secs(60);
+        let config = ServerConfig {
+            connections: ConnectionLimits { max: 64, reserved: 2 },
+            heartbeat_interval: Duration::from_secs(4),
+            idle_timeout: minute,
+            body_timeout: minute,
+            response_timeout: minute,
+        };
+        let sockets = SocketBudget::new(4096);
+        let server = tokio::task::spawn_local(serve(listener, sender, config, sockets.clone()));
+        let mut stream = TcpStream::connect(address).await.unwrap();
+        while sockets.open_count() == 0 {
+            tokio::task::yield_now().await;
+        }
+        server.abort();
+        assert_eq!(stream.read(&mut [0; 16]).await.unwrap(), 0, "closed by the server");
+        assert_eq!(sockets.open_count(), 0);
+    });
+}
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -4,18 +4,11 @@
 mod writer;
 
 use crate::error::FrameError;
-use crate::frame::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
+use crate::frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME, PeerHeartbeat, VERSION};
 use bytes::{Buf, BufMut, BytesMut};
 use reader::FieldReader;
 use writer::FieldWriter;
 
-/// Version of the protocol, stated by every frame.
-pub const VERSION: u8 = 3;
-
-/// Largest frame that is accepted, in bytes after the length: twice a page of the key-value store, since
-/// such pages are forwarded.
-pub const MAX_FRAME: usize = 1024 * 1024;
-
 /// Bytes of the length before each frame.
 const LENGTH_BYTES: usize = size_of::<u32>();
 
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,6 +1,6 @@
 //! Errors of the frame codec.
 
-use crate::codec::{MAX_FRAME, VERSION};
+use crate::frame::{MAX_FRAME, VERSION};
 
 /// Why bytes from a peer are not a frame of this protocol.
 ///
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -2,6 +2,13 @@
 
 use bytes::Bytes;
 
+/// Version of the protocol, stated by every frame.
+pub const VERSION: u8 = 3;
+
+/// Largest frame that is accepted, in bytes after the length: twice a page of the key-value store, since
+/// such pages are forwarded.
+pub const MAX_FRAME: usize = 1024 * 1024;
+
 /// One message between two controllers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Frame {
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -13,6 +13,5 @@
 mod error;
 mod frame;
 
-pub use codec::{MAX_FRAME, VERSION};
 pub use error::FrameError;
-pub use frame::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
+pub use frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME, PeerHeartbeat, VERSION};
