--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,5 +1,7 @@
 //! `shaleshunt`: the controller's command line.
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 mod arguments;
 mod commands;
 mod logging;
--- a/crates/net/src/clock.rs
+++ b/crates/net/src/clock.rs
@@ -1,4 +1,4 @@
-//! The clock that the owner of all state is given the time by; it reads none itself.
+//! The clock that the core is given the time by; it reads none itself.
 
 use shaleshunt_core::Now;
 use std::time::{SystemTime, UNIX_EPOCH};
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -20,7 +20,7 @@
 /// Another controller and where it listens for its peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// Its name, by which the owner of all state addresses it.
+    /// Its name, by which the core addresses it.
     pub name: String,
     /// Its peer address.
     pub address: String,
--- a/crates/net/src/effects.rs
+++ b/crates/net/src/effects.rs
@@ -1,4 +1,4 @@
-//! Executes the effects that the owner of all state hands out.
+//! Executes the effects that the core hands out.
 //!
 //! Requests to other services run in tasks of their own, which end with their timeouts; each brings its
 //! result back to the event loop as a command.
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,4 +1,4 @@
-//! The event loop: collects commands into batches, steps the owner of all state with each, and executes
+//! The event loop: collects commands into batches, steps the core with each, and executes
 //! the effects.
 
 mod inbox;
@@ -58,7 +58,7 @@
     bound.map_err(|source| RunError::Bind { listener, address: address.to_string(), source })
 }
 
-/// A controller: the owner of all state with all that surrounds it.
+/// A controller: the core with all that surrounds it.
 struct EventLoop {
     node_name: String,
     node: Node,
@@ -136,7 +136,7 @@
         batch
     }
 
-    /// Steps the owner of all state with a batch and executes the effects, in order.
+    /// Steps the core with a batch and executes the effects, in order.
     fn process(&mut self, batch: Batch) {
         self.node.begin(self.clock.now());
         for command in batch {
--- a/crates/net/src/loop_metrics.rs
+++ b/crates/net/src/loop_metrics.rs
@@ -1,6 +1,6 @@
 //! Where a controller's time goes, for operators who log at `debug`: now and then a line with the time
 //! taken by each kind of command and of effect, by what is due after a batch, and by all else (HTTP, JSON,
-//! links). The owner of all state has no clock; this measures around it.
+//! links). The core has no clock; this measures around it.
 
 use shaleshunt_core::io::{Command, Effect};
 use std::cmp::Reverse;
--- a/crates/net/src/pending_responses.rs
+++ b/crates/net/src/pending_responses.rs
@@ -1,10 +1,10 @@
-//! Requests of clients that the owner of all state has not answered yet.
+//! Requests of clients that the core has not answered yet.
 
 use shaleshunt_core::io::{Answer, RequestId};
 use std::collections::HashMap;
 use tokio::sync::oneshot;
 
-/// Numbers of clients' requests begin after this one, so that they differ from those that the owner gives
+/// Numbers of clients' requests begin after this one, so that they differ from those that the core gives
 /// its own requests.
 const BEFORE_FIRST_ID: RequestId = 1 << 63;
 
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -35,7 +35,7 @@
 /// Pause after a failure to accept a connection, such as a lack of file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request for the owner of all state.
+/// A request for the core.
 #[derive(Debug)]
 pub enum ClientRequest {
     /// A user submits a job.
@@ -73,7 +73,7 @@
     pub idle_timeout: Duration,
     /// Longest time for a body to arrive.
     pub body_timeout: Duration,
-    /// Longest time for the owner of all state to respond.
+    /// Longest time for the core to respond.
     pub response_timeout: Duration,
 }
 
@@ -115,7 +115,7 @@
         let admission = connections.admit();
         full.update(admission, connections.open_count(), config.connections);
         if admission == Admission::Refused {
-            // A new connection is closed at once; nobody waits for nothing.
+            // A new connection is closed at once; its client tries another controller without waiting.
             continue;
         }
         let requests = requests.clone();
@@ -201,7 +201,7 @@
         return Handled { kind: RequestKind::HeartbeatElsewhere, response };
     }
     let kind = request_kind(&request);
-    match ask_owner(request, requests, config.response_timeout).await {
+    match ask_core(request, requests, config.response_timeout).await {
         Some(answer) => Handled { kind: answered_kind(kind, &answer), response: responses::answered(answer) },
         None => Handled { kind, response: responses::rejected(&Rejection::NoResponseInTime) },
     }
@@ -225,8 +225,8 @@
     }
 }
 
-/// The answer of the owner of all state; `None` if it takes too long.
-async fn ask_owner(request: ClientRequest, requests: &RequestSender, timeout: Duration) -> Option<Answer> {
+/// The answer of the core; `None` if it takes too long.
+async fn ask_core(request: ClientRequest, requests: &RequestSender, timeout: Duration) -> Option<Answer> {
     // A heartbeat is answered with the batch that it comes in, so it needs no timer.
     let is_answered_at_once = matches!(request, ClientRequest::Heartbeat(_));
     let (responder, answer) = oneshot::channel();
--- a/crates/net/src/server/rejection.rs
+++ b/crates/net/src/server/rejection.rs
@@ -1,4 +1,4 @@
-//! Requests that the server refuses itself, without asking the owner of all state.
+//! Requests that the server refuses itself, without asking the core.
 
 use crate::http_status;
 use hyper::Method;
--- a/crates/net/src/server/responses.rs
+++ b/crates/net/src/server/responses.rs
@@ -13,7 +13,7 @@
 /// A response of this server; all have a JSON body.
 pub(super) type HttpResponse = Response<Full<Bytes>>;
 
-/// The answer of the owner of all state.
+/// The answer of the core.
 pub(super) fn answered(answer: Answer) -> HttpResponse {
     match answer {
         Answer::Job(status, view) => json(status, &view),
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -9,6 +9,8 @@
 //! - [`Frame::encode`] and [`Frame::decode`] turn frames into bytes and back;
 //! - [`FrameError`] says why bytes are no frame.
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 mod codec;
 mod error;
 mod frame;
