--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -43,7 +43,7 @@
             println!("warning: {warning}");
         }
     }
-    println!("settings are fine: node {}, {} peers", loaded.settings.label, loaded.network.peers.len());
+    println!("settings are fine: node {}, {} peers", loaded.settings.node_name, loaded.network.peers.len());
     Ok(())
 }
 
@@ -56,7 +56,7 @@
     let loaded = load(files).map_err(CommandError::UnusableSettings)?;
     logging::init();
     for warning in &loaded.warnings {
-        tracing::info!("{}: warning: {warning}", loaded.settings.label);
+        tracing::info!(node = %loaded.settings.node_name, event = %"setting_warning", warning = ?warning);
     }
     let never = run(loaded)?;
     match never {}
--- a/crates/cli/src/settings/conversion.rs
+++ b/crates/cli/src/settings/conversion.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
-use shaleshunt_core::settings::{Aim, Limits, Settings, Team};
+use shaleshunt_core::settings::{Limits, ServiceObjective, Settings, TeamQuota};
 use shaleshunt_net::{NetworkConfig, PeerAddress};
 use shaleshunt_wire::to_milli;
 use std::collections::BTreeMap;
@@ -19,20 +19,20 @@
 fn settings(file: &SettingsFile) -> Settings {
     let parameters = &file.params;
     Settings {
-        label: file.name.clone(),
+        node_name: file.name.clone(),
         location: file.zone.clone(),
         peers: file.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect(),
         zones: parameters.zones.clone(),
         teams: parameters.teams.iter().map(|entry| (entry.name.clone(), team(entry))).collect(),
-        aims: aims(&parameters.objectives),
-        report_s: parameters.workers.heartbeat_interval_s,
+        objectives: objectives_by_class(&parameters.objectives),
+        heartbeat_interval_s: parameters.workers.heartbeat_interval_s,
         lease_s: parameters.workers.lease_s,
         cancel_s: parameters.workers.cancel_s,
-        state_rps: parameters.kv.requests_per_s,
+        kv_rps: parameters.kv.requests_per_s,
         state: limits(&parameters.kv),
         state_next: next_limits(&parameters.kv),
         cloud_rps: parameters.cloud.requests_per_s,
-        list_lag_s: parameters.cloud.max_list_age_s,
+        machine_list_lag_s: parameters.cloud.max_list_age_s,
         mem_mb: parameters.resources.memory_mib,
         core_share: parameters.resources.cores,
         sockets: parameters.resources.max_open_files,
@@ -51,29 +51,29 @@
     }
 }
 
-fn team(entry: &TeamEntry) -> Team {
-    Team {
+fn team(entry: &TeamEntry) -> TeamQuota {
+    TeamQuota {
         guarantee: (to_milli(entry.guaranteed_cpus), to_milli(entry.guaranteed_gpus)),
         limit: (to_milli(entry.max_cpus), to_milli(entry.max_gpus)),
     }
 }
 
 /// Objectives by class.
-fn aims(objectives: &[Objective]) -> BTreeMap<String, Aim> {
-    let mut aims: BTreeMap<String, Aim> = BTreeMap::new();
+fn objectives_by_class(objectives: &[Objective]) -> BTreeMap<String, ServiceObjective> {
+    let mut by_class: BTreeMap<String, ServiceObjective> = BTreeMap::new();
     for objective in objectives {
         let Some(class) = &objective.class else { continue };
-        let aim = aims.entry(class.clone()).or_default();
+        let of_class = by_class.entry(class.clone()).or_default();
         match objective.kind {
-            ObjectiveKind::Start => aim.start_s.extend(objective.within_s),
-            ObjectiveKind::Finish => aim.finish_s.extend(objective.within_s),
+            ObjectiveKind::Start => of_class.start_s.extend(objective.within_s),
+            ObjectiveKind::Finish => of_class.finish_s.extend(objective.within_s),
             ObjectiveKind::Deadline => {
-                aim.times.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
+                of_class.times.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
             }
             ObjectiveKind::Unknown => {}
         }
     }
-    aims
+    by_class
 }
 
 /// The key-value store's limits today.
--- a/crates/core/src/step_down.rs
+++ b/crates/core/src/leader/step_down.rs
@@ -1,20 +1,22 @@
 //! Why a leader gives up its leadership.
 
+use shaleshunt_wire::Revision;
 use std::fmt;
 
 /// A key of the leader's that has another version than the one the leader knows.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct ForeignWrite {
+pub struct ForeignWrite {
+    /// The key.
     pub key: String,
     /// The version that the leader's transaction required.
-    pub expected: u64,
-    /// The version at the state service, if it could be read; 0 for a key that is not there.
-    pub found: Option<u64>,
+    pub expected: Revision,
+    /// The version at the state service, if it could be read; absent for a key that is not there.
+    pub found: Option<Revision>,
 }
 
 /// The reason for which a leader steps down.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum StepDown {
+pub enum StepDown {
     /// The epoch key has changed.
     NewerEpoch,
     /// A peer leads a newer epoch.
@@ -35,6 +37,23 @@
     Unheard,
 }
 
+impl StepDown {
+    /// A short name for searches and counts, which stays the same between versions.
+    pub fn name(&self) -> &'static str {
+        match self {
+            StepDown::NewerEpoch => "newer_epoch",
+            StepDown::NewerLeader => "newer_leader",
+            StepDown::NewerToken => "newer_fencing_token",
+            StepDown::LeaseEnded => "lease_expired",
+            StepDown::ChangesMissed => "changes_missed",
+            StepDown::Unreadable => "records_unreadable",
+            StepDown::TransactionRejected => "transaction_rejected",
+            StepDown::ForeignWrite(_) => "foreign_write",
+            StepDown::Unheard => "no_heartbeats",
+        }
+    }
+}
+
 impl fmt::Display for StepDown {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -49,7 +68,7 @@
             StepDown::ForeignWrite(ForeignWrite { key, expected, found }) => {
                 write!(f, "somebody else writes the leader's keys: {key} expected at version {expected}, ")?;
                 match found {
-                    Some(0) => write!(f, "not there"),
+                    Some(Revision::ABSENT) => write!(f, "not there"),
                     Some(version) => write!(f, "found at {version}"),
                     None => write!(f, "not read since"),
                 }
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -9,7 +9,7 @@
 use hyper::client::conn::http1::SendRequest;
 use hyper::{Method, Request, Response};
 use hyper_util::rt::TokioIo;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -81,19 +81,19 @@
     ///
     /// # Errors
     ///
-    /// - [`IoError::Busy`]: no permit within the timeout;
-    /// - [`IoError::NotSent`]: no connection, so the request was surely not executed;
-    /// - [`IoError::Unknown`]: no complete response, so the request may have been executed;
-    /// - [`IoError::TooLong`]: the response's body is larger than 8 MiB.
-    pub async fn send(&self, call: Call<'_>) -> Result<HttpResponse, IoError> {
+    /// - [`RequestError::LocalOverload`]: no permit within the timeout;
+    /// - [`RequestError::NotSent`]: no connection, so the request was surely not executed;
+    /// - [`RequestError::OutcomeUnknown`]: no complete response, so the request may have been executed;
+    /// - [`RequestError::TooLong`]: the response's body is larger than 8 MiB.
+    pub async fn send(&self, call: Call<'_>) -> Result<HttpResponse, RequestError> {
         let timeout = call.timeout;
         let acquire = self.permits.acquire(call.priority);
-        let _permit = tokio::time::timeout(timeout, acquire).await.map_err(|_| IoError::Busy)?;
+        let _permit = tokio::time::timeout(timeout, acquire).await.map_err(|_| RequestError::LocalOverload)?;
         let mut sender = self.connection(call.address).await?;
         let address = call.address;
         let request = build_request(call)?;
         let exchange = exchange(&mut sender, request);
-        let response = tokio::time::timeout(timeout, exchange).await.map_err(|_| IoError::Unknown)??;
+        let response = tokio::time::timeout(timeout, exchange).await.map_err(|_| RequestError::OutcomeUnknown)??;
         self.keep(address, sender);
         Ok(response)
     }
@@ -138,7 +138,7 @@
     }
 
     /// A kept connection that still works, or a new one.
-    async fn connection(&self, address: &str) -> Result<Sender, IoError> {
+    async fn connection(&self, address: &str) -> Result<Sender, RequestError> {
         while let Some(mut kept) = self.take_idle(address) {
             // A connection that the other side has closed is found out here, before the request.
             if !kept.sender.is_closed() && kept.sender.ready().await.is_ok() {
@@ -152,17 +152,17 @@
         self.idle.borrow_mut().get_mut(address)?.pop()
     }
 
-    async fn connect(&self, address: &str) -> Result<Sender, IoError> {
+    async fn connect(&self, address: &str) -> Result<Sender, RequestError> {
         let socket = self.sockets.open();
         let connect = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
-        let stream = connect.await.map_err(|_| IoError::NotSent)?.map_err(|_| IoError::NotSent)?;
+        let stream = connect.await.map_err(|_| RequestError::NotSent)?.map_err(|_| RequestError::NotSent)?;
         // Only a matter of speed.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = hyper::client::conn::http1::Builder::new()
             .max_buf_size(MAX_CONNECTION_BUFFER)
             .handshake(TokioIo::new(stream))
             .await
-            .map_err(|_| IoError::NotSent)?;
+            .map_err(|_| RequestError::NotSent)?;
         // Ends, and gives the socket back, when the sender is dropped or the other side closes.
         tokio::task::spawn_local(async move {
             let _socket = socket;
@@ -173,31 +173,31 @@
     }
 }
 
-fn build_request(call: Call<'_>) -> Result<Request<Full<Bytes>>, IoError> {
+fn build_request(call: Call<'_>) -> Result<Request<Full<Bytes>>, RequestError> {
     Request::builder()
         .method(call.method)
         .uri(call.path)
         .header("host", call.address)
         .header("content-type", "application/json")
         .body(Full::new(call.body))
-        .map_err(|_| IoError::NotSent)
+        .map_err(|_| RequestError::NotSent)
 }
 
-async fn exchange(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<HttpResponse, IoError> {
+async fn exchange(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<HttpResponse, RequestError> {
     let response = sender.send_request(request).await.map_err(|error| {
         // Never written: the connection had been closed before.
-        if error.is_canceled() { IoError::NotSent } else { IoError::Unknown }
+        if error.is_canceled() { RequestError::NotSent } else { RequestError::OutcomeUnknown }
     })?;
     let status = response.status().as_u16();
     let body = read_body(response).await?;
     Ok(HttpResponse { status, body })
 }
 
-async fn read_body(response: Response<Incoming>) -> Result<Bytes, IoError> {
+async fn read_body(response: Response<Incoming>) -> Result<Bytes, RequestError> {
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY).collect().await;
     match body {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(IoError::TooLong),
-        Err(_) => Err(IoError::Unknown),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::TooLong),
+        Err(_) => Err(RequestError::OutcomeUnknown),
     }
 }
--- a/crates/net/src/effects.rs
+++ b/crates/net/src/effects.rs
@@ -12,7 +12,7 @@
 use crate::services::{CloudClient, KvClient, WorkerClient};
 use crate::socket_budget::SocketBudget;
 use shaleshunt_core::io::{Command, Effect, RequestId};
-use shaleshunt_core::{Settings, Severity, StateRequest};
+use shaleshunt_core::{Event, KvRequest, Settings, Severity};
 use shaleshunt_peer::Frame;
 use std::time::Duration;
 use tokio::sync::mpsc;
@@ -45,15 +45,15 @@
         sockets: &SocketBudget,
         results: mpsc::Sender<Command>,
     ) -> EffectExecutor {
-        let timeout = Duration::from_secs_f64(settings.report_s).mul_f64(TIMEOUT_INTERVALS);
+        let timeout = Duration::from_secs_f64(settings.heartbeat_interval_s).mul_f64(TIMEOUT_INTERVALS);
         let links = LinkConfig {
-            own_name: settings.label.clone(),
+            own_name: settings.node_name.clone(),
             timeout,
             // Forwarded requests come at the rate of the key-value store and leave with each batch.
-            max_queued_frames: (settings.state_rps as usize).max(MIN_QUEUED_FRAMES),
+            max_queued_frames: (settings.kv_rps as usize).max(MIN_QUEUED_FRAMES),
         };
         EffectExecutor {
-            node_name: settings.label.clone(),
+            node_name: settings.node_name.clone(),
             kv: KvClient::new(sockets, &config.kv_address, timeout),
             cloud: CloudClient::new(sockets, &config.cloud_address, timeout, settings.cloud_rps),
             workers: WorkerClient::new(sockets, timeout),
@@ -71,9 +71,9 @@
         match pending.request {
             ClientRequest::Submit(submission) => Command::Submit(id, submission),
             ClientRequest::Status(job) => Command::Status(id, job),
-            ClientRequest::Cancel(job) => Command::Withdraw(id, job),
-            ClientRequest::HealthCheck => Command::Up(id),
-            ClientRequest::Heartbeat(heartbeat) => Command::Checkin(id, heartbeat),
+            ClientRequest::Cancel(job) => Command::Cancel(id, job),
+            ClientRequest::HealthCheck => Command::HealthCheck(id),
+            ClientRequest::Heartbeat(heartbeat) => Command::Heartbeat(id, heartbeat),
         }
     }
 
@@ -81,7 +81,7 @@
     /// key-value store; all else is a command.
     pub(crate) fn handle_peer_event(&mut self, event: PeerEvent) -> Option<Command> {
         match event {
-            PeerEvent::Disconnected(peer) => Some(Command::PeerLost(peer)),
+            PeerEvent::Disconnected(peer) => Some(Command::PeerDisconnected(peer)),
             PeerEvent::Frame { from, frame: Frame::ForwardedRequest { id, body } } => {
                 let link_back = self.peers.get(&from);
                 tokio::task::spawn_local(forwarding::execute_for_peer(self.kv.clone(), link_back, id, body));
@@ -99,16 +99,16 @@
     pub(crate) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Answer(id, answer) => self.responses.respond(id, answer),
-            Effect::Log(severity, text) => self.log(severity, &text),
+            Effect::Log(event) => self.log(&event),
             Effect::Peer(peer, frame) => self.peers.send(&peer, frame),
-            Effect::State(id, request, relay) => self.send_kv(id, request, relay),
+            Effect::Kv(id, request, relay) => self.send_kv(id, request, relay),
             Effect::Cloud(id, request) => {
                 let call = self.cloud.execute(request);
                 self.spawn(async move { Command::Cloud(id, call.await) });
             }
-            Effect::Orders(id, address, commands) => {
+            Effect::DirectCommands(id, address, commands) => {
                 let workers = self.workers.clone();
-                self.spawn(async move { Command::Orders(id, workers.execute(&address, &commands).await) });
+                self.spawn(async move { Command::DirectCommands(id, workers.execute(&address, &commands).await) });
             }
         }
     }
@@ -121,17 +121,17 @@
     }
 
     /// Sends a request to the key-value store: through a peer if one is named and known, or else directly.
-    fn send_kv(&mut self, id: RequestId, request: StateRequest, relay: Option<String>) {
+    fn send_kv(&mut self, id: RequestId, request: KvRequest, relay: Option<String>) {
         let link = relay.and_then(|peer| self.peers.get(&peer));
         let kv = self.kv.clone();
         if let Some(link) = link {
             let forwarded = self.forwarded.next();
             self.spawn(async move {
                 let timeout = kv.timeout(&request);
-                Command::State(id, forwarded.execute(&link, &request, timeout).await)
+                Command::Kv(id, forwarded.execute(&link, &request, timeout).await)
             });
         } else {
-            self.spawn(async move { Command::State(id, kv.execute(&request).await) });
+            self.spawn(async move { Command::Kv(id, kv.execute(&request).await) });
         }
     }
 
@@ -145,12 +145,13 @@
         });
     }
 
-    fn log(&self, severity: Severity, text: &str) {
-        let node = self.node_name.as_str();
-        match severity {
-            Severity::Error => tracing::error!("{node}: {text}"),
-            Severity::Info => tracing::info!("{node}: {text}"),
-            Severity::Debug => tracing::debug!("{node}: {text}"),
+    fn log(&self, event: &Event) {
+        let (node, name, details) = (self.node_name.as_str(), event.name(), event.details());
+        // `message` is written without a key, so the event's fields follow as they are.
+        match event.severity() {
+            Severity::Error => tracing::error!(%node, event = %name, message = %details),
+            Severity::Info => tracing::info!(%node, event = %name, message = %details),
+            Severity::Debug => tracing::debug!(%node, event = %name, message = %details),
         }
     }
 }
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -13,7 +13,7 @@
 use crate::socket_budget::SocketBudget;
 use crate::task::AbortOnDrop;
 use inbox::{Inbox, Input};
-use shaleshunt_core::{Batch, Command, Node, Settings, Tuning};
+use shaleshunt_core::{Batch, Command, Controller, Settings, Tuning};
 use std::convert::Infallible;
 use std::time::Duration;
 use tokio::net::TcpListener;
@@ -34,8 +34,8 @@
 /// [`RunError::Bind`] if one of the two addresses cannot be listened on.
 pub async fn run(settings: Settings, tuning: Tuning, config: NetworkConfig) -> Result<Infallible, RunError> {
     let listeners = Listeners::bind(&config).await?;
-    let node_name = &settings.label;
-    tracing::info!("{node_name}: serves on {}, peers on {}", config.client_address, config.peer_address);
+    let (front, back) = (&config.client_address, &config.peer_address);
+    tracing::info!(node = %settings.node_name, event = %"listening", %front, %back);
     EventLoop::new(settings, tuning, &config, listeners).run().await
 }
 
@@ -61,7 +61,7 @@
 /// A controller: the core with all that surrounds it.
 struct EventLoop {
     node_name: String,
-    node: Node,
+    core: Controller,
     inbox: Inbox,
     effects: EffectExecutor,
     clock: Clock,
@@ -83,12 +83,12 @@
         let peer_acceptor = peer_links::accept_peers(listeners.peers, peer_events_sender, sockets.clone());
         let servers = [tokio::task::spawn_local(server).into(), tokio::task::spawn_local(peer_acceptor).into()];
         let effects = EffectExecutor::new(&settings, config, &sockets, results_sender);
-        let tick_interval = Duration::from_millis(settings.tick_ms().max(1));
+        let tick_interval = Duration::from_millis(settings.max_batch_interval_ms().max(1));
         let clock = Clock::start();
         EventLoop {
-            node_name: settings.label.clone(),
-            heartbeat_interval: Duration::from_secs_f64(settings.report_s),
-            node: Node::new(settings, tuning, clock.now(), rand::random()),
+            node_name: settings.node_name.clone(),
+            heartbeat_interval: Duration::from_secs_f64(settings.heartbeat_interval_s),
+            core: Controller::new(settings, tuning, clock.now(), rand::random()),
             inbox: Inbox::new(results, peer_events, requests, tick_interval),
             effects,
             clock,
@@ -138,12 +138,12 @@
 
     /// Steps the core with a batch and executes the effects, in order.
     fn process(&mut self, batch: Batch) {
-        self.node.begin(self.clock.now());
+        self.core.begin(self.clock.now());
         for command in batch {
             let kind = loop_metrics::command_kind(&command);
-            self.metrics.measure(kind, || self.node.take(command));
+            self.metrics.measure(kind, || self.core.take(command));
         }
-        let effects = self.metrics.measure(loop_metrics::DUE_WORK, || self.node.finish());
+        let effects = self.metrics.measure(loop_metrics::DUE_WORK, || self.core.finish());
         for effect in effects {
             let kind = loop_metrics::effect_kind(&effect);
             self.metrics.measure(kind, || self.effects.execute(effect));
@@ -152,7 +152,7 @@
 
     fn log_metrics(&mut self) {
         if let Some(line) = self.metrics.take_line(self.heartbeat_interval) {
-            tracing::debug!("{}: {line}", self.node_name);
+            tracing::debug!(node = %self.node_name, event = %"owner_loop", message = %line);
         }
     }
 
--- a/crates/net/src/forwarding.rs
+++ b/crates/net/src/forwarding.rs
@@ -7,7 +7,7 @@
 use crate::protocol;
 use crate::services::KvClient;
 use bytes::Bytes;
-use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
 use shaleshunt_peer::Frame;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -64,16 +64,16 @@
     pub(crate) async fn execute(
         self,
         link: &PeerLink,
-        request: &StateRequest,
+        request: &KvRequest,
         timeout: Duration,
-    ) -> Result<StateReply, IoError> {
+    ) -> Result<KvReply, RequestError> {
         let (responder, response) = oneshot::channel();
         self.responders.borrow_mut().insert(self.id, responder);
         let frame = Frame::ForwardedRequest { id: self.id, body: protocol::to_json(request) };
-        link.try_send(frame).map_err(|_| IoError::NotSent)?;
+        link.try_send(frame).map_err(|_| RequestError::NotSent)?;
         match tokio::time::timeout(timeout, response).await {
             Ok(Ok(response)) => protocol::kv::decode(request, &response),
-            _ => Err(IoError::Unknown),
+            _ => Err(RequestError::OutcomeUnknown),
         }
     }
 }
@@ -87,7 +87,7 @@
 /// Executes a request that a peer asked to forward. A body that is no request is ignored, and so is the
 /// response if there is no link back to the peer.
 pub(crate) async fn execute_for_peer(kv: KvClient, link_back: Option<PeerLink>, id: u64, body: Bytes) {
-    let Ok(request) = serde_json::from_slice::<StateRequest>(&body) else { return };
+    let Ok(request) = serde_json::from_slice::<KvRequest>(&body) else { return };
     let HttpResponse { status, body } = response_for_peer(&request, kv.send(&request).await);
     if let Some(link) = link_back {
         // What the link does not accept is lost, as in a network; the peer's request times out.
@@ -96,14 +96,14 @@
 }
 
 /// What the peer is told: the store's response, or a status that it understands the same way as the error.
-fn response_for_peer(request: &StateRequest, result: Result<HttpResponse, IoError>) -> HttpResponse {
+fn response_for_peer(request: &KvRequest, result: Result<HttpResponse, RequestError>) -> HttpResponse {
     let without_body = |status| HttpResponse { status, body: Bytes::new() };
     match result {
         Ok(response) if response.body.len() <= MAX_FORWARDED_BODY => response,
         // A response that no frame can hold is none. To a watch it means to read anew.
-        Ok(_) if matches!(request, StateRequest::Watch { .. }) => without_body(GONE),
+        Ok(_) if matches!(request, KvRequest::Watch { .. }) => without_body(GONE),
         Ok(_) => without_body(NO_RESPONSE),
-        Err(IoError::NotSent | IoError::Busy) => without_body(SERVICE_UNAVAILABLE),
+        Err(RequestError::NotSent | RequestError::LocalOverload) => without_body(SERVICE_UNAVAILABLE),
         Err(_) => without_body(NO_RESPONSE),
     }
 }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
 //! Input and output of a controller: HTTP servers and clients, links to the other controllers, and the
 //! event loop that hands batches of commands to the core and executes its effects.
 //!
-//! The core, [`shaleshunt_core::Node`], is a deterministic state machine that decides all about jobs and
+//! The core, [`shaleshunt_core::Controller`], is a deterministic state machine that decides all about jobs and
 //! machines; this crate decides nothing about them. It runs on one thread, in a [`tokio::task::LocalSet`];
 //! tasks talk to the event loop through bounded channels, so whoever brings more than it takes waits.
 //!
--- a/crates/net/src/loop_metrics.rs
+++ b/crates/net/src/loop_metrics.rs
@@ -47,7 +47,8 @@
         result
     }
 
-    /// The line, if `interval` has passed since the last one.
+    /// The line as `key=value`, if `interval` has passed since the last one: the share of the clock that the
+    /// loop took, then each kind with its count and its milliseconds, the longest first.
     pub(crate) fn take_line(&mut self, interval: Duration) -> Option<String> {
         let elapsed = self.since.elapsed();
         if !self.is_enabled || elapsed < interval {
@@ -63,14 +64,13 @@
     let mut totals: Vec<(&str, Total)> = totals.into_iter().collect();
     totals.sort_by_key(|(_, total)| Reverse(total.time));
     let measured: Duration = totals.iter().map(|(_, total)| total.time).sum();
-    let milliseconds = |time: Duration| time.as_secs_f64() * 1e3;
-    let kinds: Vec<String> = totals
-        .iter()
-        .map(|(kind, total)| format!("{kind} {} in {:.1}", total.count, milliseconds(total.time)))
-        .collect();
     let elapsed_s = elapsed.as_secs_f64();
     let percent = measured.as_secs_f64() / elapsed_s * 100.0;
-    format!("the owner's loop took {percent:.1}% of {elapsed_s:.1} s (ms by kind: {})", kinds.join(", "))
+    let mut line = format!("share_percent={percent:.1} interval_s={elapsed_s:.1}");
+    for (kind, Total { count, time }) in totals {
+        line += &format!(" {kind}.count={count} {kind}.ms={:.1}", time.as_secs_f64() * 1e3);
+    }
+    line
 }
 
 /// The kind of a command.
@@ -78,13 +78,13 @@
     match command {
         Command::Submit(..) => "submissions",
         Command::Status(..) => "polls",
-        Command::Withdraw(..) => "withdrawals",
-        Command::Up(..) => "health checks",
-        Command::Checkin(..) => "reports",
-        Command::State(..) => "state answers",
-        Command::Cloud(..) => "cloud answers",
-        Command::Orders(..) => "calls answered",
-        Command::Peer(..) | Command::PeerLost(..) => "peers",
+        Command::Cancel(..) => "withdrawals",
+        Command::HealthCheck(..) => "health_checks",
+        Command::Heartbeat(..) => "reports",
+        Command::Kv(..) => "state_answers",
+        Command::Cloud(..) => "cloud_answers",
+        Command::DirectCommands(..) => "calls_answered",
+        Command::Peer(..) | Command::PeerDisconnected(..) => "peers",
         Command::Tick => "ticks",
     }
 }
@@ -92,11 +92,11 @@
 /// The kind of an effect.
 pub(crate) fn effect_kind(effect: &Effect) -> &'static str {
     match effect {
-        Effect::State(..) => "state requests",
-        Effect::Cloud(..) => "cloud requests",
-        Effect::Orders(..) => "calls",
+        Effect::Kv(..) => "state_requests",
+        Effect::Cloud(..) => "cloud_requests",
+        Effect::DirectCommands(..) => "calls",
         Effect::Answer(..) => "answers",
-        Effect::Peer(..) => "to peers",
+        Effect::Peer(..) => "to_peers",
         Effect::Log(..) => "log",
     }
 }
--- a/crates/net/src/peer_links.rs
+++ b/crates/net/src/peer_links.rs
@@ -79,13 +79,13 @@
         if outgoing.link.try_send(frame).is_ok() {
             let dropped = std::mem::take(&mut outgoing.dropped_frames);
             if dropped > 0 {
-                tracing::info!("{own_name}: {dropped} frames to {peer} were dropped");
+                tracing::info!(node = %own_name, event = %"peer_frames_dropped", %peer, frames = dropped);
             }
             return;
         }
         outgoing.dropped_frames += 1;
         if outgoing.dropped_frames == 1 {
-            tracing::info!("{own_name}: frames to {peer} are dropped: its link takes no more");
+            tracing::info!(node = %own_name, event = %"peer_link_full", %peer);
         }
     }
 }
@@ -185,8 +185,8 @@
 async fn receive(mut stream: TcpStream, events: mpsc::Sender<PeerEvent>) {
     let mut sender = None;
     match receive_frames(&mut stream, &mut sender, &events).await {
-        Err(ReceiveError::Frame(error)) => tracing::error!("from a peer: {error}"),
-        Err(error) => tracing::debug!("from a peer: {error}"),
+        Err(ReceiveError::Frame(error)) => tracing::error!(event = %"peer_frame_invalid", error = error.to_string()),
+        Err(error) => tracing::debug!(event = %"peer_connection_failed", error = error.to_string()),
         Ok(()) => {}
     }
     if let Some(sender) = sender {
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -10,7 +10,7 @@
 use hyper::Method;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use shaleshunt_wire::user::Problem;
 use std::time::Duration;
 
@@ -46,8 +46,8 @@
     serde_json::to_vec(value).map(Bytes::from).unwrap_or_default()
 }
 
-fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, IoError> {
-    serde_json::from_slice(body).map_err(|_| IoError::Senseless)
+fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
+    serde_json::from_slice(body).map_err(|_| RequestError::Malformed)
 }
 
 /// The reason that a service gives for refusing a request.
--- a/crates/net/src/protocol/kv.rs
+++ b/crates/net/src/protocol/kv.rs
@@ -8,30 +8,30 @@
 };
 use bytes::Bytes;
 use hyper::Method;
-use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
+use shaleshunt_wire::kv::{KeyValue, LeaseGrant, LeaseRequest, Page, TransactionReply, WatchReply};
 use shaleshunt_wire::paths;
-use shaleshunt_wire::state::{Hold, NewHold, News, Page, Pair, TxnReply};
 use std::time::Duration;
 
 /// Most keys on one page of a scan.
 const MAX_SCAN_PAGE: u32 = 1000;
 
 /// Writes a request.
-pub fn encode(request: &StateRequest) -> EncodedRequest {
+pub fn encode(request: &KvRequest) -> EncodedRequest {
     match request {
-        StateRequest::Get { key } => EncodedRequest::get(format!("{}/{key}", paths::KV)),
-        StateRequest::Scan { prefix, after } => EncodedRequest::get(scan_path(prefix, after)),
-        StateRequest::Txn(txn) => EncodedRequest::post(paths::TXN, txn),
-        StateRequest::NewHold { life_ms } => EncodedRequest::post(paths::HOLDS, &NewHold { life_ms: *life_ms }),
-        StateRequest::Renew { pass } => EncodedRequest {
+        KvRequest::Get { key } => EncodedRequest::get(format!("{}/{key}", paths::KV)),
+        KvRequest::Scan { prefix, after } => EncodedRequest::get(scan_path(prefix, after)),
+        KvRequest::Transaction(transaction) => EncodedRequest::post(paths::TXN, transaction),
+        KvRequest::GrantLease { ttl_ms } => EncodedRequest::post(paths::LEASES, &LeaseRequest { ttl_ms: *ttl_ms }),
+        KvRequest::RenewLease { pass } => EncodedRequest {
             method: Method::POST,
-            path: format!("{}/{pass}/{}", paths::HOLDS, paths::RENEW),
+            path: format!("{}/{pass}/{}", paths::LEASES, paths::RENEW),
             body: Bytes::from_static(b"{}"),
         },
-        StateRequest::EndHold { pass } => {
-            EncodedRequest { method: Method::DELETE, path: format!("{}/{pass}", paths::HOLDS), body: Bytes::new() }
+        KvRequest::RevokeLease { pass } => {
+            EncodedRequest { method: Method::DELETE, path: format!("{}/{pass}", paths::LEASES), body: Bytes::new() }
         }
-        StateRequest::Watch { prefix, after, hold_ms } => {
+        KvRequest::Watch { prefix, after, hold_ms } => {
             let prefix = percent_encode(prefix);
             EncodedRequest::get(format!("{}?prefix={prefix}&after={after}&holdMs={hold_ms}", paths::WATCH))
         }
@@ -48,40 +48,46 @@
 ///
 /// # Errors
 ///
-/// The store refused the request, did not respond in full, or its response makes no sense; see [`IoError`].
-pub fn decode(request: &StateRequest, response: &HttpResponse) -> Result<StateReply, IoError> {
+/// The store refused the request, did not respond in full, or its response makes no sense; see [`RequestError`].
+pub fn decode(request: &KvRequest, response: &HttpResponse) -> Result<KvReply, RequestError> {
     let HttpResponse { status, body } = response;
     check_status(*status, body)?;
     match (request, *status) {
-        (StateRequest::Get { .. }, OK) => from_json::<Pair>(body).map(StateReply::Found),
-        (StateRequest::Scan { .. }, OK) => from_json::<Page>(body).map(StateReply::Page),
-        (StateRequest::Txn(_), OK) => from_json::<TxnReply>(body).map(|reply| StateReply::Committed(reply.ledger)),
-        (StateRequest::Txn(_), CONFLICT) => from_json::<TxnReply>(body).map(|reply| StateReply::Conflict(reply.failed)),
-        (StateRequest::NewHold { .. }, OK) => from_json::<Hold>(body).map(|granted| StateReply::Hold(granted.pass)),
-        (StateRequest::Renew { .. } | StateRequest::EndHold { .. }, OK | NO_CONTENT) => Ok(StateReply::Fine),
-        (StateRequest::Watch { .. }, OK) => from_json::<News>(body).map(StateReply::News),
-        (StateRequest::Watch { .. }, GONE) => Ok(StateReply::TooOld),
-        (_, NOT_FOUND) => Ok(StateReply::Missing),
-        _ => Err(IoError::Senseless),
+        (KvRequest::Get { .. }, OK) => from_json::<KeyValue>(body).map(KvReply::Found),
+        (KvRequest::Scan { .. }, OK) => from_json::<Page>(body).map(KvReply::Page),
+        (KvRequest::Transaction(_), OK) => {
+            from_json::<TransactionReply>(body).map(|reply| KvReply::Committed(reply.revision))
+        }
+        (KvRequest::Transaction(_), CONFLICT) => {
+            from_json::<TransactionReply>(body).map(|reply| KvReply::Conflict(reply.failed))
+        }
+        (KvRequest::GrantLease { .. }, OK) => {
+            from_json::<LeaseGrant>(body).map(|granted| KvReply::LeaseGranted(granted.pass))
+        }
+        (KvRequest::RenewLease { .. } | KvRequest::RevokeLease { .. }, OK | NO_CONTENT) => Ok(KvReply::Done),
+        (KvRequest::Watch { .. }, OK) => from_json::<WatchReply>(body).map(KvReply::Changes),
+        (KvRequest::Watch { .. }, GONE) => Ok(KvReply::Compacted),
+        (_, NOT_FOUND) => Ok(KvReply::Missing),
+        _ => Err(RequestError::Malformed),
     }
 }
 
 /// The statuses that mean the same for every request.
-fn check_status(status: u16, body: &[u8]) -> Result<(), IoError> {
+fn check_status(status: u16, body: &[u8]) -> Result<(), RequestError> {
     match status {
-        NO_RESPONSE => Err(IoError::Unknown),
-        TOO_MANY_REQUESTS => Err(IoError::Throttled),
-        SERVICE_UNAVAILABLE => Err(IoError::Refused),
-        INTERNAL_SERVER_ERROR..=LAST_SERVER_ERROR => Err(IoError::Unknown),
-        BAD_REQUEST => Err(IoError::Rejected(problem_text(body))),
+        NO_RESPONSE => Err(RequestError::OutcomeUnknown),
+        TOO_MANY_REQUESTS => Err(RequestError::Throttled),
+        SERVICE_UNAVAILABLE => Err(RequestError::Unavailable),
+        INTERNAL_SERVER_ERROR..=LAST_SERVER_ERROR => Err(RequestError::OutcomeUnknown),
+        BAD_REQUEST => Err(RequestError::Rejected(problem_text(body))),
         _ => Ok(()),
     }
 }
 
 /// Time that the store itself may hold a request before it responds.
-pub fn hold_time(request: &StateRequest) -> Duration {
+pub fn hold_time(request: &KvRequest) -> Duration {
     match request {
-        StateRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
+        KvRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
         _ => Duration::ZERO,
     }
 }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -16,7 +16,7 @@
 use shaleshunt_core::Settings;
 use shaleshunt_core::io::Answer;
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::worker::Report;
+use shaleshunt_wire::worker::Heartbeat;
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
@@ -47,7 +47,7 @@
     /// A health check.
     HealthCheck,
     /// A worker's heartbeat with its status.
-    Heartbeat(Box<Report>),
+    Heartbeat(Box<Heartbeat>),
 }
 
 /// A request that waits for its response. Dropping the responder refuses the request.
@@ -83,13 +83,13 @@
         let memory_kib = settings.mem_mb * 1024.0 * CONNECTIONS_MEMORY_SHARE;
         let allowed_by_memory = (memory_kib / CONNECTION_KIB) as usize;
         let max = sockets.client_connections().min(allowed_by_memory).max(MIN_CONNECTIONS);
-        let heartbeat_interval = Duration::from_secs_f64(settings.report_s);
+        let heartbeat_interval = Duration::from_secs_f64(settings.heartbeat_interval_s);
         ServerConfig {
             connections: ConnectionLimits { max, reserved: sockets.reserved_connections() },
             heartbeat_interval,
             idle_timeout: heartbeat_interval.mul_f64(IDLE_TIMEOUT_INTERVALS),
-            body_timeout: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_PATIENCE_S),
-            response_timeout: Duration::from_secs_f64(shaleshunt_wire::REPORT_PATIENCE_S),
+            body_timeout: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_TIMEOUT_S),
+            response_timeout: Duration::from_secs_f64(shaleshunt_wire::HEARTBEAT_TIMEOUT_S),
         }
     }
 
@@ -107,7 +107,7 @@
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
             Err(error) => {
-                tracing::error!("accept: {error}");
+                tracing::error!(event = %"accept_failed", error = error.to_string());
                 tokio::time::sleep(ACCEPT_RETRY_PAUSE).await;
                 continue;
             }
@@ -133,7 +133,8 @@
     fn update(&mut self, admission: Admission, open: usize, limits: ConnectionLimits) {
         if admission != Admission::Open && !self.is_full {
             self.is_full = true;
-            tracing::info!("{open} connections are open: machines are sent to other nodes");
+            // Machines are sent to other nodes.
+            tracing::info!(event = %"connection_limit_reached", open);
         }
         if open <= limits.max / 2 {
             self.is_full = false;
@@ -161,7 +162,7 @@
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
-        tracing::debug!("connection: {error}");
+        tracing::debug!(event = %"connection_failed", error = error.to_string());
     }
 }
 
@@ -218,8 +219,8 @@
 /// The kind of a request now that its answer is known.
 fn answered_kind(kind: RequestKind, answer: &Answer) -> RequestKind {
     match (kind, answer) {
-        (RequestKind::Heartbeat, Answer::Report(reply)) if reply.orders.is_empty() => RequestKind::Heartbeat,
-        (RequestKind::Heartbeat, Answer::Report(_)) => RequestKind::HeartbeatWithCommands,
+        (RequestKind::Heartbeat, Answer::Heartbeat(reply)) if reply.commands.is_empty() => RequestKind::Heartbeat,
+        (RequestKind::Heartbeat, Answer::Heartbeat(_)) => RequestKind::HeartbeatWithCommands,
         (RequestKind::Heartbeat, _) => RequestKind::HeartbeatElsewhere,
         (other, _) => other,
     }
--- a/crates/net/src/server/requests.rs
+++ b/crates/net/src/server/requests.rs
@@ -7,7 +7,7 @@
 use hyper::body::Incoming;
 use hyper::{Method, Request};
 use shaleshunt_wire::user::{Submission, valid_id};
-use shaleshunt_wire::worker::Report;
+use shaleshunt_wire::worker::Heartbeat;
 use shaleshunt_wire::{MAX_BODY, paths};
 use std::time::Duration;
 
@@ -36,7 +36,7 @@
         Route::HealthCheck => Ok(ClientRequest::HealthCheck),
         Route::Heartbeat => {
             let body = read_body(request, body_timeout).await?;
-            let heartbeat = Report::parse(&body).ok_or(Rejection::MalformedHeartbeat)?;
+            let heartbeat = Heartbeat::parse(&body).ok_or(Rejection::MalformedHeartbeat)?;
             Ok(ClientRequest::Heartbeat(Box::new(heartbeat)))
         }
     }
@@ -48,8 +48,8 @@
     }
     match path {
         paths::SUBMISSIONS => require_method(method, Method::POST).map(|()| Route::Submit),
-        paths::UP => require_method(method, Method::GET).map(|()| Route::HealthCheck),
-        paths::CHECKIN => require_method(method, Method::POST).map(|()| Route::Heartbeat),
+        paths::HEALTH => require_method(method, Method::GET).map(|()| Route::HealthCheck),
+        paths::HEARTBEAT => require_method(method, Method::POST).map(|()| Route::Heartbeat),
         _ => Err(Rejection::UnknownPath),
     }
 }
@@ -66,7 +66,7 @@
             require_method(method, Method::GET)?;
             Route::Status { job }
         }
-        Some(paths::WITHDRAW) => {
+        Some(paths::CANCEL) => {
             require_method(method, Method::POST)?;
             Route::Cancel { job }
         }
--- a/crates/net/src/server/responses.rs
+++ b/crates/net/src/server/responses.rs
@@ -8,7 +8,7 @@
 use hyper::{Response, StatusCode};
 use shaleshunt_core::io::Answer;
 use shaleshunt_wire::user::Problem;
-use shaleshunt_wire::worker::Elsewhere;
+use shaleshunt_wire::worker::Redirect;
 
 /// A response of this server; all have a JSON body.
 pub(super) type HttpResponse = Response<Full<Bytes>>;
@@ -18,8 +18,8 @@
     match answer {
         Answer::Job(status, view) => json(status, &view),
         Answer::Problem { status, error, retry_after } => problem(status, error.to_string(), retry_after),
-        Answer::Report(reply) => json(http_status::OK, &reply),
-        Answer::Elsewhere(foreman) => json(http_status::MISDIRECTED_REQUEST, &Elsewhere { foreman }),
+        Answer::Heartbeat(reply) => json(http_status::OK, &reply),
+        Answer::Redirect(known_leader) => json(http_status::MISDIRECTED_REQUEST, &Redirect { known_leader }),
         Answer::Healthy => with_body(http_status::OK, Bytes::from_static(b"{}")),
     }
 }
--- a/crates/net/src/services/cloud.rs
+++ b/crates/net/src/services/cloud.rs
@@ -5,7 +5,7 @@
 use crate::rate_limiter::RateLimiter;
 use crate::semaphore::CallPriority;
 use crate::socket_budget::SocketBudget;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use shaleshunt_core::io::{CloudReply, CloudRequest};
 use std::rc::Rc;
 use std::time::Duration;
@@ -37,12 +37,12 @@
     pub(crate) fn execute(
         &mut self,
         request: CloudRequest,
-    ) -> impl Future<Output = Result<CloudReply, IoError>> + 'static {
+    ) -> impl Future<Output = Result<CloudReply, RequestError>> + 'static {
         let is_allowed = self.rate_limiter.try_acquire();
         let (http, address, timeout) = (self.http.clone(), self.address.clone(), self.timeout);
         async move {
             if !is_allowed {
-                return Err(IoError::Throttled);
+                return Err(RequestError::Throttled);
             }
             let encoded = protocol::cloud::encode(&request);
             let response = http.send(encoded.call(&address, timeout, CallPriority::Normal)).await?;
--- a/crates/net/src/services/kv.rs
+++ b/crates/net/src/services/kv.rs
@@ -4,7 +4,7 @@
 use crate::protocol;
 use crate::semaphore::CallPriority;
 use crate::socket_budget::SocketBudget;
-use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -22,23 +22,23 @@
     }
 
     /// Sends a request; the response as it came.
-    pub(crate) async fn send(&self, request: &StateRequest) -> Result<HttpResponse, IoError> {
+    pub(crate) async fn send(&self, request: &KvRequest) -> Result<HttpResponse, RequestError> {
         let encoded = protocol::kv::encode(request);
         self.http.send(encoded.call(&self.address, self.timeout(request), CallPriority::Normal)).await
     }
 
     /// Sends a request and reads the response.
-    pub(crate) async fn execute(&self, request: &StateRequest) -> Result<StateReply, IoError> {
+    pub(crate) async fn execute(&self, request: &KvRequest) -> Result<KvReply, RequestError> {
         match self.send(request).await {
             // More changes than are accepted at once: to be read anew.
-            Err(IoError::TooLong) if matches!(request, StateRequest::Watch { .. }) => Ok(StateReply::TooOld),
+            Err(RequestError::TooLong) if matches!(request, KvRequest::Watch { .. }) => Ok(KvReply::Compacted),
             Err(error) => Err(error),
             Ok(response) => protocol::kv::decode(request, &response),
         }
     }
 
     /// Longest time to wait for the response to a request.
-    pub(crate) fn timeout(&self, request: &StateRequest) -> Duration {
+    pub(crate) fn timeout(&self, request: &KvRequest) -> Duration {
         self.timeout + protocol::kv::hold_time(request)
     }
 
--- a/crates/net/src/services/worker.rs
+++ b/crates/net/src/services/worker.rs
@@ -3,9 +3,9 @@
 use crate::client::Client;
 use crate::protocol;
 use crate::socket_budget::SocketBudget;
-use shaleshunt_core::IoError;
-use shaleshunt_core::io::OrdersReply;
-use shaleshunt_wire::worker::Orders;
+use shaleshunt_core::RequestError;
+use shaleshunt_core::io::DirectCommandsReply;
+use shaleshunt_wire::worker::DirectCommands;
 use std::time::Duration;
 
 /// A client of all workers.
@@ -23,7 +23,11 @@
     }
 
     /// Sends commands to the worker at an address and reads the response.
-    pub(crate) async fn execute(&self, address: &str, commands: &Orders) -> Result<OrdersReply, IoError> {
+    pub(crate) async fn execute(
+        &self,
+        address: &str,
+        commands: &DirectCommands,
+    ) -> Result<DirectCommandsReply, RequestError> {
         let priority = protocol::worker::priority(commands);
         let encoded = protocol::worker::encode(commands);
         let response = self.http.send(encoded.call(address, self.timeout, priority)).await?;
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -7,6 +7,7 @@
 use crate::frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME, PeerHeartbeat, VERSION};
 use bytes::{Buf, BufMut, BytesMut};
 use reader::FieldReader;
+use shaleshunt_wire::{Epoch, Revision};
 use writer::FieldWriter;
 
 /// Bytes of the length before each frame.
@@ -73,7 +74,7 @@
             }
             Frame::JobProgress { epoch, jobs } => {
                 writer.put_u8(kind::JOB_PROGRESS);
-                writer.put_u64(*epoch);
+                writer.put_u64(epoch.0);
                 writer.put_u32(jobs.len() as u32);
                 for job in jobs {
                     write_job_progress(job, writer);
@@ -97,7 +98,7 @@
         let frame = match reader.u8()? {
             kind::HELLO => Frame::Hello { node: reader.text()? },
             kind::HEARTBEAT => Frame::Heartbeat(read_heartbeat(reader)?),
-            kind::JOB_PROGRESS => Frame::JobProgress { epoch: reader.u64()?, jobs: read_all_progress(reader)? },
+            kind::JOB_PROGRESS => Frame::JobProgress { epoch: Epoch(reader.u64()?), jobs: read_all_progress(reader)? },
             kind::FORWARDED_REQUEST => Frame::ForwardedRequest { id: reader.u64()?, body: reader.blob()? },
             kind::FORWARDED_RESPONSE => {
                 Frame::ForwardedResponse { id: reader.u64()?, status: reader.u16()?, body: reader.blob()? }
@@ -109,7 +110,7 @@
 }
 
 fn write_heartbeat(heartbeat: &PeerHeartbeat, writer: &mut FieldWriter) {
-    writer.put_u64(heartbeat.epoch);
+    writer.put_u64(heartbeat.epoch.0);
     writer.put_text(&heartbeat.leader);
     writer.put_u8(u8::from(heartbeat.is_leader));
     writer.put_u32(heartbeat.store_contact_age_ms);
@@ -124,7 +125,7 @@
 /// The fields are evaluated in the order written here, which is that of the wire.
 fn read_heartbeat(reader: &mut FieldReader) -> Result<PeerHeartbeat, FrameError> {
     Ok(PeerHeartbeat {
-        epoch: reader.u64()?,
+        epoch: Epoch(reader.u64()?),
         leader: reader.text()?,
         is_leader: reader.u8()? != 0,
         store_contact_age_ms: reader.u32()?,
@@ -138,7 +139,7 @@
 
 fn write_job_progress(progress: &JobProgress, writer: &mut FieldWriter) {
     writer.put_text(&progress.job);
-    writer.put_u64(progress.record_version);
+    writer.put_u64(progress.record_version.0);
     writer.put_u32(progress.done);
     writer.put_u32(progress.running);
 }
@@ -150,7 +151,7 @@
     for _ in 0..count {
         jobs.push(JobProgress {
             job: reader.text()?,
-            record_version: reader.u64()?,
+            record_version: Revision(reader.u64()?),
             done: reader.u32()?,
             running: reader.u32()?,
         });
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -1,6 +1,7 @@
 //! What controllers tell each other.
 
 use bytes::Bytes;
+use shaleshunt_wire::{Epoch, Revision};
 
 /// Version of the protocol, stated by every frame.
 pub const VERSION: u8 = 3;
@@ -22,7 +23,7 @@
     /// From the leader: how far the jobs have come, so that every controller can answer polls.
     JobProgress {
         /// Epoch of the leader.
-        epoch: u64,
+        epoch: Epoch,
         /// One entry for each job.
         jobs: Vec<JobProgress>,
     },
@@ -48,7 +49,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerHeartbeat {
     /// Highest leader epoch that the sender knows.
-    pub epoch: u64,
+    pub epoch: Epoch,
     /// Leader of that epoch, empty if not known.
     pub leader: String,
     /// Whether the sender is the leader.
@@ -83,7 +84,7 @@
     /// Identifier of the job.
     pub job: String,
     /// Version of the job's stored record, by which answers to polls are compared.
-    pub record_version: u64,
+    pub record_version: Revision,
     /// Tasks that are done.
     pub done: u32,
     /// Tasks that are running.
