--- /dev/null
+++ b/crates/net/src/protocol/tests.rs
@@ -0,0 +1,73 @@
+use super::{cloud, kv};
+use crate::client::HttpResponse;
+use shaleshunt_core::io::{CloudReply, CloudRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
+use shaleshunt_wire::Revision;
+
+/// Method, path and body, as the service sees them.
+fn written(request: &super::EncodedRequest) -> String {
+    format!("{} {} {}", request.method, request.path, String::from_utf8_lossy(&request.body))
+}
+
+fn response(status: u16, body: &'static str) -> HttpResponse {
+    HttpResponse { status, body: body.into() }
+}
+
+#[test]
+fn requests_to_the_store_are_written_as_its_protocol_says() {
+    let scan = |after: &str| KvRequest::Scan { prefix: "j/".into(), after: after.into() };
+    let watch = KvRequest::Watch { prefix: "a b".into(), after: Revision(7), hold_ms: 50 };
+    for (request, expected) in [
+        (KvRequest::Get { key: "l/epoch".into() }, "GET /kv/l/epoch "),
+        (scan(""), "GET /kv?prefix=j/&most=1000 "),
+        (scan("j/wk&1"), "GET /kv?prefix=j/&after=j/wk%261&most=1000 "),
+        (KvRequest::GrantLease { ttl_ms: 900 }, r#"POST /holds {"lifeMs":900}"#),
+        (KvRequest::RenewLease { pass: 5 }, "POST /holds/5/renew {}"),
+        (KvRequest::RevokeLease { pass: 5 }, "DELETE /holds/5 "),
+        (watch, "GET /watch?prefix=a%20b&after=7&holdMs=50 "),
+    ] {
+        assert_eq!(written(&kv::encode(&request)), expected);
+    }
+}
+
+#[test]
+fn statuses_of_the_store_tell_what_may_have_been_executed() {
+    let get = KvRequest::Get { key: "k".into() };
+    let watch = KvRequest::Watch { prefix: "k".into(), after: Revision::ABSENT, hold_ms: 0 };
+    for (status, error) in [
+        (0, RequestError::OutcomeUnknown),
+        (429, RequestError::Throttled),
+        (503, RequestError::Unavailable),
+        (500, RequestError::OutcomeUnknown),
+        (200, RequestError::Malformed),
+        (418, RequestError::Malformed),
+    ] {
+        assert_eq!(kv::decode(&get, &response(status, "")), Err(error), "{status}");
+    }
+    let refused = kv::decode(&get, &response(400, r#"{"error":"bad key"}"#));
+    assert_eq!(refused, Err(RequestError::Rejected("bad key".into())));
+    assert_eq!(kv::decode(&get, &response(400, "")), Err(RequestError::Rejected("no reason given".into())));
+    assert_eq!(kv::decode(&get, &response(404, "")), Ok(KvReply::Missing));
+    assert_eq!(kv::decode(&watch, &response(410, "")), Ok(KvReply::Compacted));
+    assert_eq!(kv::decode(&KvRequest::RenewLease { pass: 1 }, &response(204, "")), Ok(KvReply::Done));
+}
+
+#[test]
+fn the_cloud_without_a_machine_differs_from_a_cloud_that_refuses() {
+    let scale_out = shaleshunt_wire::cloud::ScaleOutRequest {
+        request: "k".into(),
+        machine_type: "f".into(),
+        zone: "a".into(),
+        spot: false,
+        count: 1,
+    };
+    let decode = |status, body| cloud::decode(&CloudRequest::ScaleOut(scale_out.clone()), &response(status, body));
+    assert_eq!(decode(503, r#"{"error":"no capacity"}"#), Ok(CloudReply::NoCapacity));
+    assert_eq!(decode(503, r#"{"error":"busy"}"#), Err(RequestError::Unavailable));
+    assert_eq!(decode(429, ""), Err(RequestError::Throttled));
+    assert_eq!(decode(404, r#"{"error":"no such type"}"#), Err(RequestError::Rejected("no such type".into())));
+    assert_eq!(decode(500, ""), Err(RequestError::OutcomeUnknown));
+    let list = |after: &str| written(&cloud::encode(&CloudRequest::List { after: after.into() }));
+    assert_eq!(list(""), "GET /machines?most=500 ");
+    assert_eq!(list("m 1"), "GET /machines?after=m%201&most=500 ");
+}
