--- /dev/null
+++ b/crates/loopback/src/agents.rs
@@ -0,0 +1,140 @@
+//! Agents over HTTP: each reports to one controller at a time and takes direct commands.
+
+use crate::fleet::Fleet;
+use crate::http_client::{call, new_client};
+use crate::http_server::{self, Reply};
+use bytes::Bytes;
+use hyper::Method;
+use rand::Rng;
+use shaleshunt_core::IoError;
+use shaleshunt_testkit::agent::{Agent, CommandOutcome, JobFacts, ReportId};
+use shaleshunt_wire::paths;
+use shaleshunt_wire::worker::{Elsewhere, Orders, Report, ReportReply};
+use std::cell::RefCell;
+use std::collections::BTreeSet;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+
+/// How often an agent looks at its clock.
+const CLOCK_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause before the next controller is tried.
+const RETRY: Duration = Duration::from_secs(1);
+/// Longest wait for the answer to a report.
+const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
+/// How much the reporting interval varies.
+const REPORT_JITTER: std::ops::Range<f64> = 0.75..1.25;
+
+/// An agent with its address.
+struct AgentServer {
+    fleet: Rc<Fleet>,
+    agent: RefCell<Agent>,
+    address: String,
+}
+
+/// A report to be sent, and by what its answer is known.
+struct DueReport {
+    id: ReportId,
+    report: Report,
+}
+
+/// What the answer to a report means.
+enum ReportOutcome {
+    Answered(ReportReply),
+    /// Another controller is to be tried after a pause.
+    TurnTo {
+        controller: usize,
+        pause: Duration,
+    },
+}
+
+/// Starts an agent: it takes direct commands on `listener` and reports until the process ends.
+pub fn start(fleet: Rc<Fleet>, agent: Agent, address: String, listener: TcpListener) {
+    let server = Rc::new(AgentServer { fleet, agent: RefCell::new(agent), address });
+    let commands = server.clone();
+    http_server::serve(listener, move |received| {
+        let server = commands.clone();
+        async move { server.take_commands(&received.body) }
+    });
+    tokio::task::spawn_local(run(server));
+}
+
+/// Lets the agent's time pass and sends its reports.
+async fn run(server: Rc<AgentServer>) {
+    let fleet = &server.fleet;
+    let mut client = new_client(REPORT_TIMEOUT);
+    server.agent.borrow_mut().controller = rand::rng().random_range(0..fleet.controllers.len());
+    loop {
+        tokio::time::sleep(CLOCK_INTERVAL).await;
+        let Some(DueReport { id, report }) = server.advance() else { continue };
+        let controller = server.agent.borrow().controller;
+        let body = serde_json::to_vec(&report).map(Bytes::from).unwrap_or_default();
+        let address = &fleet.controllers[controller].address;
+        let answer = client.send(call(address, Method::POST, paths::CHECKIN, body, REPORT_TIMEOUT)).await;
+        match report_outcome(fleet, controller, answer) {
+            ReportOutcome::Answered(reply) => server.take_answer(id, reply),
+            ReportOutcome::TurnTo { controller, pause } => {
+                fleet.counts.borrow_mut().redirects += 1;
+                client = new_client(REPORT_TIMEOUT);
+                tokio::time::sleep(pause).await;
+                server.agent.borrow_mut().turn_to(controller, fleet.now());
+            }
+        }
+    }
+}
+
+impl AgentServer {
+    /// Lets time pass; the report that is due, if one is.
+    fn advance(&self) -> Option<DueReport> {
+        let fleet = &self.fleet;
+        let now = fleet.now();
+        let interval = fleet.report_interval.mul_f64(rand::rng().random_range(REPORT_JITTER));
+        let mut agent = self.agent.borrow_mut();
+        let session = agent.session;
+        let (jobs, completed) = (fleet.jobs.borrow(), fleet.completed.borrow());
+        agent.advance(now, &JobFacts { jobs: &jobs, completed: &completed, failing: &BTreeSet::new() });
+        fleet.counts.borrow_mut().leases_lost += agent.session - session;
+        agent.events.clear();
+        let report = agent.begin_report(now, interval.as_millis() as u64)?;
+        let id = agent.reporting.in_flight?;
+        Some(DueReport { id, report: Report { endpoint: self.address.clone(), ..report } })
+    }
+
+    fn take_answer(&self, report: ReportId, reply: ReportReply) {
+        let mut agent = self.agent.borrow_mut();
+        self.fleet.report_answered(&agent.machine.id);
+        agent.take_answer(self.fleet.now(), report, reply, &self.fleet.jobs.borrow());
+    }
+
+    fn take_commands(&self, body: &[u8]) -> Reply {
+        let Ok(commands) = serde_json::from_slice::<Orders>(body) else {
+            return Reply { status: 400, body: Vec::new() };
+        };
+        self.fleet.counts.borrow_mut().calls += 1;
+        let outcome = self.agent.borrow_mut().take_commands(self.fleet.now(), commands, &self.fleet.jobs.borrow());
+        let (status, report) = match outcome {
+            CommandOutcome::Executed(report) => (200, report),
+            CommandOutcome::Outdated(report) => (409, report),
+        };
+        Reply::json(status, &Report { endpoint: self.address.clone(), ..report })
+    }
+}
+
+fn report_outcome(fleet: &Fleet, controller: usize, answer: Result<(u16, Bytes), IoError>) -> ReportOutcome {
+    let next = (controller + 1) % fleet.controllers.len();
+    let retry = ReportOutcome::TurnTo { controller: next, pause: RETRY };
+    match answer {
+        Ok((200, body)) => serde_json::from_slice(&body).map_or(retry, ReportOutcome::Answered),
+        Ok((421, body)) => match named_controller(fleet, &body).filter(|named| *named != controller) {
+            Some(named) => ReportOutcome::TurnTo { controller: named, pause: Duration::ZERO },
+            None => retry,
+        },
+        _ => retry,
+    }
+}
+
+/// The controller that another one names as the leader.
+fn named_controller(fleet: &Fleet, body: &[u8]) -> Option<usize> {
+    let label = serde_json::from_slice::<Elsewhere>(body).ok()?.foreman?;
+    fleet.controllers.iter().position(|controller| controller.label == label)
+}
--- /dev/null
+++ b/crates/loopback/src/arguments/tests.rs
@@ -0,0 +1,21 @@
+use super::Arguments;
+use clap::Parser;
+
+fn parse(arguments: &[&str]) -> Result<Arguments, clap::Error> {
+    Arguments::try_parse_from(std::iter::once(&"load-test").chain(arguments))
+}
+
+#[test]
+fn errors_name_the_argument_and_what_was_found() {
+    for wrong in ["0", "-1", "inf", "many"] {
+        let error = parse(&[&format!("--jobs-per-s={wrong}")]).err().unwrap().to_string();
+        assert!(error.contains("--jobs-per-s") && error.contains(wrong), "{error}");
+    }
+}
+
+#[test]
+fn times_are_a_list() {
+    let arguments = parse(&["--end-leader-at", "20,40.5", "--end-all-at", "50"]).unwrap();
+    assert_eq!(arguments.end_leader_at, [20.0, 40.5]);
+    assert_eq!(arguments.end_all_at, [50.0]);
+}
--- /dev/null
+++ b/crates/loopback/src/cloud_server.rs
@@ -0,0 +1,54 @@
+//! The simulated cloud, served over HTTP.
+
+use crate::http_server::{self, Received, Reply};
+use hyper::Method;
+use shaleshunt_core::IoError;
+use shaleshunt_core::io::{CloudReply, CloudRequest};
+use shaleshunt_testkit::cloud::Cloud;
+use shaleshunt_wire::cloud::MachineNames;
+use shaleshunt_wire::paths;
+use shaleshunt_wire::user::Problem;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::net::TcpListener;
+use tokio::time::Instant;
+
+/// Serves the cloud until the process ends; its time counts from `began`.
+pub fn serve(listener: TcpListener, cloud: Rc<RefCell<Cloud>>, began: Instant) {
+    http_server::serve(listener, move |received| {
+        let cloud = cloud.clone();
+        async move {
+            let Some(request) = request(&received) else { return Reply::malformed() };
+            let mut cloud = cloud.borrow_mut();
+            let now = began.elapsed().as_millis() as u64;
+            cloud.advance(now);
+            reply(cloud.handle(now, request).reply)
+        }
+    });
+}
+
+fn request(received: &Received) -> Option<CloudRequest> {
+    match (&received.method, received.path.as_str()) {
+        (&Method::GET, paths::CATALOG) => Some(CloudRequest::Catalog),
+        (&Method::GET, paths::MACHINES) => {
+            Some(CloudRequest::List { after: received.parameter("after").unwrap_or_default() })
+        }
+        (&Method::POST, paths::MACHINES) => serde_json::from_slice(&received.body).ok().map(CloudRequest::Hire),
+        (&Method::POST, paths::RETURN) => {
+            let names: MachineNames = serde_json::from_slice(&received.body).ok()?;
+            Some(CloudRequest::Return(names.machines))
+        }
+        _ => None,
+    }
+}
+
+fn reply(result: Result<CloudReply, IoError>) -> Reply {
+    match result {
+        Ok(CloudReply::Catalog(catalog)) => Reply::json(200, &catalog),
+        Ok(CloudReply::Hired(machines)) => Reply::json(200, &MachineNames { machines }),
+        Ok(CloudReply::NoCapacity) => Reply::json(503, &Problem { error: "no capacity".into() }),
+        Ok(CloudReply::Returned) => Reply::empty_object(200),
+        Ok(CloudReply::Page(page)) => Reply::json(200, &page),
+        Err(error) => Reply::failure(&error),
+    }
+}
--- a/crates/loopback/src/http.rs
+++ b/crates/loopback/src/http_server.rs
@@ -6,11 +6,10 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaleshunt_net::client::Call;
-use shaleshunt_net::permits::Urgency;
+use shaleshunt_core::IoError;
+use shaleshunt_wire::user::Problem;
 use std::convert::Infallible;
 use std::rc::Rc;
-use std::time::Duration;
 use tokio::net::TcpListener;
 
 /// A request, read completely.
@@ -34,12 +33,40 @@
     }
 }
 
-/// A status with a body.
-pub type Reply = (u16, Vec<u8>);
+/// An answer.
+#[derive(Debug)]
+pub struct Reply {
+    /// HTTP status.
+    pub status: u16,
+    /// Body.
+    pub body: Vec<u8>,
+}
+
+impl Reply {
+    /// An answer with a JSON body.
+    pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Reply {
+        Reply { status, body: serde_json::to_vec(value).unwrap_or_default() }
+    }
+
+    /// An answer with a JSON object that is empty.
+    pub fn empty_object(status: u16) -> Reply {
+        Reply::json(status, &serde_json::json!({}))
+    }
+
+    /// An answer to a request that makes no sense.
+    pub fn malformed() -> Reply {
+        Reply::json(400, &Problem { error: "malformed".into() })
+    }
 
-/// A reply with a JSON body.
-pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Reply {
-    (status, serde_json::to_vec(value).unwrap_or_default())
+    /// The answer to a request that failed.
+    pub fn failure(error: &IoError) -> Reply {
+        let status = match error {
+            IoError::Throttled => 429,
+            IoError::Rejected(_) => 400,
+            _ => 503,
+        };
+        Reply::json(status, &Problem { error: error.to_string() })
+    }
 }
 
 /// Serves `answer` on a listener until the process ends.
@@ -73,12 +100,13 @@
         query: head.uri.query().unwrap_or_default().to_string(),
         body: body.collect().await.map(|all| all.to_bytes()).unwrap_or_default(),
     };
-    let (status, body) = answer(received).await;
-    let mut response = Response::new(Full::new(Bytes::from(body)));
-    *response.status_mut() = StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let reply = answer(received).await;
+    let mut response = Response::new(Full::new(Bytes::from(reply.body)));
+    *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     Ok(response)
 }
 
+/// Decodes `%XX`.
 fn decode(text: &str) -> String {
     let mut parts = text.split('%');
     let mut decoded = parts.next().unwrap_or_default().to_string();
@@ -89,8 +117,3 @@
     }
     decoded
 }
-
-/// A request of a stand-in.
-pub fn call<'a>(address: &'a str, method: Method, path: &'a str, body: Bytes, patience: Duration) -> Call<'a> {
-    Call { address, method, path, body, patience, urgency: Urgency::Normal }
-}
--- /dev/null
+++ b/crates/loopback/src/store_server.rs
@@ -0,0 +1,136 @@
+//! The simulated key-value store, served over HTTP.
+
+use crate::http_server::{self, Received, Reply};
+use hyper::Method;
+use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_testkit::process::ProcessId;
+use shaleshunt_testkit::store::{KeyValueStore, RequestKey};
+use shaleshunt_wire::paths;
+use shaleshunt_wire::state::{Hold, NewHold, TxnReply};
+use std::cell::{Cell, RefCell};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+/// How often leases end and watches are looked at.
+const CLOCK_INTERVAL: Duration = Duration::from_millis(5);
+/// All requests come from one process as far as the store is concerned: they are numbered here.
+const ANY_PROCESS: ProcessId = ProcessId { controller: 0, incarnation: 0 };
+
+/// The store and what waits for it.
+struct StoreServer {
+    store: RefCell<KeyValueStore>,
+    /// Watches without an answer, by the number of their request.
+    watches: RefCell<HashMap<u64, oneshot::Sender<StateReply>>>,
+    last_request: Cell<u64>,
+    began: Instant,
+}
+
+/// Serves the store until the process ends; its time counts from `began`.
+pub fn serve(listener: TcpListener, store: KeyValueStore, began: Instant) {
+    let server = Rc::new(StoreServer {
+        store: RefCell::new(store),
+        watches: RefCell::default(),
+        last_request: Cell::new(0),
+        began,
+    });
+    tokio::task::spawn_local(run_clock(server.clone()));
+    http_server::serve(listener, move |received| {
+        let server = server.clone();
+        async move { server.answer(&received).await }
+    });
+}
+
+/// Lets the store's time pass.
+async fn run_clock(server: Rc<StoreServer>) {
+    let mut interval = tokio::time::interval(CLOCK_INTERVAL);
+    loop {
+        interval.tick().await;
+        let answers = server.store.borrow_mut().advance(server.now());
+        for answer in answers {
+            if let Some(sender) = server.watches.borrow_mut().remove(&answer.request.id) {
+                // Whoever watched may be gone.
+                let _ = sender.send(answer.reply);
+            }
+        }
+    }
+}
+
+impl StoreServer {
+    fn now(&self) -> u64 {
+        self.began.elapsed().as_millis() as u64
+    }
+
+    fn next_request(&self) -> RequestKey {
+        self.last_request.set(self.last_request.get() + 1);
+        RequestKey { process: ANY_PROCESS, id: self.last_request.get() }
+    }
+
+    async fn answer(&self, received: &Received) -> Reply {
+        let Some(request) = request(received) else { return Reply::malformed() };
+        let key = self.next_request();
+        let answer = self.store.borrow_mut().handle(self.now(), key, request);
+        match answer {
+            Some(result) => reply(result),
+            None => {
+                let (sender, receiver) = oneshot::channel();
+                self.watches.borrow_mut().insert(key.id, sender);
+                reply(receiver.await.map_err(|_| IoError::Refused))
+            }
+        }
+    }
+}
+
+fn request(received: &Received) -> Option<StateRequest> {
+    let path = received.path.as_str();
+    match path {
+        paths::KV => scan(received),
+        paths::WATCH => watch(received),
+        paths::TXN => serde_json::from_slice(&received.body).ok().map(StateRequest::Txn),
+        paths::HOLDS => {
+            let lease: NewHold = serde_json::from_slice(&received.body).ok()?;
+            Some(StateRequest::NewHold { life_ms: lease.life_ms })
+        }
+        _ => get(path).or_else(|| lease_request(received, path)),
+    }
+}
+
+fn scan(received: &Received) -> Option<StateRequest> {
+    let after = received.parameter("after").unwrap_or_default();
+    Some(StateRequest::Scan { prefix: received.parameter("prefix")?, after })
+}
+
+fn watch(received: &Received) -> Option<StateRequest> {
+    let number = |name| received.parameter(name).and_then(|text| text.parse().ok());
+    let prefix = received.parameter("prefix")?;
+    Some(StateRequest::Watch { prefix, after: number("after")?, hold_ms: number("holdMs")? })
+}
+
+fn get(path: &str) -> Option<StateRequest> {
+    let key = path.strip_prefix(paths::KV)?.strip_prefix('/')?;
+    Some(StateRequest::Get { key: key.into() })
+}
+
+fn lease_request(received: &Received, path: &str) -> Option<StateRequest> {
+    let lease = path.strip_prefix(paths::HOLDS)?.strip_prefix('/')?;
+    let pass = lease.split('/').next()?.parse().ok()?;
+    Some(if received.method == Method::DELETE { StateRequest::EndHold { pass } } else { StateRequest::Renew { pass } })
+}
+
+fn reply(result: Result<StateReply, IoError>) -> Reply {
+    match result {
+        Ok(StateReply::Found(pair)) => Reply::json(200, &pair),
+        Ok(StateReply::Missing) => Reply::empty_object(404),
+        Ok(StateReply::Page(page)) => Reply::json(200, &page),
+        Ok(StateReply::Committed(ledger)) => Reply::json(200, &TxnReply { failed: Vec::new(), ledger }),
+        Ok(StateReply::Conflict(failed)) => Reply::json(409, &TxnReply { failed, ledger: 0 }),
+        Ok(StateReply::Hold(pass)) => Reply::json(200, &Hold { pass }),
+        Ok(StateReply::Fine) => Reply::empty_object(200),
+        Ok(StateReply::News(news)) => Reply::json(200, &news),
+        Ok(StateReply::TooOld) => Reply::empty_object(410),
+        Err(error) => Reply::failure(&error),
+    }
+}
--- a/crates/loopback/src/users.rs
+++ b/crates/loopback/src/users.rs
@@ -1,12 +1,11 @@
-//! Stand-in users: they submit jobs at a steady rate and ask about each until it is done.
+//! Users over HTTP: they submit jobs at a steady rate and ask about each until it is done.
 
-use crate::http::call;
-use crate::machines::Fleet;
+use crate::fleet::Fleet;
+use crate::http_client::{call, new_client};
 use bytes::Bytes;
 use hyper::Method;
 use rand::Rng;
 use shaleshunt_net::client::Client;
-use shaleshunt_net::sockets::Sockets;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::user::{JobStatus, JobView, Shape, Submission, Urgency};
 use std::cell::Cell;
@@ -14,50 +13,63 @@
 use std::time::Duration;
 
 /// Longest wait for an answer to a submission.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ANSWER_TIMEOUT: Duration = Duration::from_secs(5);
 /// Pause before a submission is repeated.
 const RETRY: Duration = Duration::from_secs(1);
 /// Interval between questions about a job.
 const POLL: Duration = Duration::from_secs(5);
 /// Tasks of a job.
 const TASKS: u32 = 40;
+/// Images that jobs use in turn.
+const IMAGES: u64 = 12;
+/// The only team.
+pub const TEAM: &str = "team";
+
+/// How much work comes.
+#[derive(Debug, Clone, Copy)]
+pub struct Workload {
+    /// Jobs submitted a second.
+    pub jobs_per_s: f64,
+    /// Mean run time of a task, in seconds.
+    pub task_s: f64,
+}
 
 /// What became of the jobs.
 #[derive(Debug, Default)]
-pub struct Jobs {
+pub struct JobCounts {
     /// Submitted.
     pub submitted: Cell<u64>,
     /// Reported as done.
     pub done: Cell<u64>,
 }
 
-/// Submits `rate` jobs a second until the process ends.
-pub async fn submit_all(fleet: Rc<Fleet>, jobs: Rc<Jobs>, team: String, rate: f64, task_s: f64) {
-    let mut interval = tokio::time::interval(Duration::from_secs_f64(1.0 / rate));
+/// Submits jobs until the process ends.
+pub async fn submit_all(fleet: Rc<Fleet>, jobs: Rc<JobCounts>, workload: Workload) {
+    let mut interval = tokio::time::interval(Duration::from_secs_f64(1.0 / workload.jobs_per_s));
     loop {
         interval.tick().await;
         let number = jobs.submitted.get();
         jobs.submitted.set(number + 1);
-        let submission = submission(number, &team, task_s * rand::rng().random_range(0.5..1.5));
+        let submission = submission(number, workload.task_s * rand::rng().random_range(0.5..1.5));
         fleet.jobs.borrow_mut().insert(submission.id.clone(), submission.clone());
         tokio::task::spawn_local(follow(fleet.clone(), jobs.clone(), submission));
     }
 }
 
 /// Every other job is urgent and has a deadline; the others are ordinary work.
-fn submission(number: u64, team: &str, expect_s: f64) -> Submission {
+fn submission(number: u64, expect_s: f64) -> Submission {
     let urgent = number.is_multiple_of(2);
     Submission {
         id: format!("wk-{number:06}"),
         class: if urgent { "urgent" } else { "batch" }.into(),
-        team: team.into(),
+        team: TEAM.into(),
         shape: Shape::Array,
         urgency: if urgent { Urgency::High } else { Urgency::Normal },
         tasks: TASKS,
         cores: rand::rng().random_range(10..50) as f64 / 10.0,
         cards: 0.0,
         ram_gb: 2.0,
-        image: format!("image-{}", number % 12),
+        image: format!("image-{}", number % IMAGES),
         image_gb: 0.5,
         frames: None,
         zone: None,
@@ -72,29 +84,42 @@
     }
 }
 
-async fn follow(fleet: Rc<Fleet>, jobs: Rc<Jobs>, submission: Submission) {
-    let client = Client::new(&Sockets::new(64), 1, PATIENCE);
-    let pick = || fleet.controllers[rand::rng().random_range(0..fleet.controllers.len())].1.clone();
-    let body = Bytes::from(serde_json::to_vec(&submission).unwrap_or_default());
-    let mut address = pick();
+/// Submits a job until it is accepted, and asks about it until it is done.
+async fn follow(fleet: Rc<Fleet>, jobs: Rc<JobCounts>, submission: Submission) {
+    let client = new_client(ANSWER_TIMEOUT);
+    let address = submit(&fleet, &client, &submission).await;
+    poll_until_done(&fleet, &client, address, &submission.id).await;
+    jobs.done.set(jobs.done.get() + 1);
+}
+
+fn any_address(fleet: &Fleet) -> String {
+    let index = rand::rng().random_range(0..fleet.controllers.len());
+    fleet.controllers[index].address.clone()
+}
+
+/// The address of the controller that accepted the job.
+async fn submit(fleet: &Fleet, client: &Client, submission: &Submission) -> String {
+    let body = Bytes::from(serde_json::to_vec(submission).unwrap_or_default());
     loop {
-        let answer = client.send(call(&address, Method::POST, paths::SUBMISSIONS, body.clone(), PATIENCE)).await;
-        if matches!(answer, Ok((200 | 201, _))) {
-            break;
+        let address = any_address(fleet);
+        let request = call(&address, Method::POST, paths::SUBMISSIONS, body.clone(), ANSWER_TIMEOUT);
+        if matches!(client.send(request).await, Ok((200 | 201, _))) {
+            return address;
         }
         tokio::time::sleep(RETRY).await;
-        address = pick();
     }
-    let path = format!("{}/{}", paths::SUBMISSIONS, submission.id);
+}
+
+async fn poll_until_done(fleet: &Fleet, client: &Client, mut address: String, job: &str) {
+    let path = format!("{}/{job}", paths::SUBMISSIONS);
     loop {
         tokio::time::sleep(POLL).await;
-        let answer = client.send(call(&address, Method::GET, &path, Bytes::new(), PATIENCE)).await;
+        let answer = client.send(call(&address, Method::GET, &path, Bytes::new(), ANSWER_TIMEOUT)).await;
         let Ok((200, body)) = answer else {
-            address = pick();
+            address = any_address(fleet);
             continue;
         };
         if serde_json::from_slice::<JobView>(&body).is_ok_and(|view| view.status == JobStatus::Done) {
-            jobs.done.set(jobs.done.get() + 1);
             return;
         }
     }
--- /dev/null
+++ b/crates/testkit/src/agent.rs
@@ -0,0 +1,247 @@
+//! A simulated machine with its agent: it reports, executes commands and runs tasks under a lease.
+
+mod commands;
+mod tasks;
+
+pub use commands::CommandOutcome;
+pub use tasks::JobFacts;
+
+use shaleshunt_wire::Room;
+use shaleshunt_wire::user::Submission;
+use shaleshunt_wire::worker::{Cause, Report, ReportReply, TaskReport, TaskStatus};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Least time between two reports when something has changed, in ms.
+const MIN_REPORT_INTERVAL_MS: u64 = 500;
+
+/// A machine as the cloud has handed it out.
+#[derive(Debug, Clone)]
+pub struct Machine {
+    /// Name, which is also its address.
+    pub id: String,
+    /// Name of its machine type.
+    pub machine_type: String,
+    /// Zone.
+    pub zone: String,
+    /// Whether it is a spot instance.
+    pub spot: bool,
+    /// Capacity for tasks.
+    pub capacity: Room,
+    /// Speed at which images are fetched, in GB/s.
+    pub fetch_gb_per_s: f64,
+}
+
+/// An attempt to run a task on the machine.
+#[derive(Debug, Clone)]
+pub struct Task {
+    /// Number of the attempt.
+    pub attempt: u64,
+    /// State.
+    pub status: TaskStatus,
+    /// Why it ended, if it has.
+    pub cause: Option<Cause>,
+    demand: Room,
+    image: String,
+    /// When its image has been fetched.
+    image_ready_at: u64,
+    /// When it ends by itself.
+    ends_at: Option<u64>,
+    /// Whether it started while the machine failed every task.
+    fails: bool,
+}
+
+/// What the checker learns of a machine.
+#[derive(Debug, Clone)]
+pub enum TaskEvent {
+    /// An attempt runs on the machine, its image fetched.
+    Started {
+        /// Name of the task.
+        task: String,
+        /// Number of the attempt.
+        attempt: u64,
+    },
+    /// An attempt is off the machine.
+    Stopped {
+        /// Name of the task.
+        task: String,
+        /// Number of the attempt.
+        attempt: u64,
+    },
+    /// A task has completed.
+    Completed {
+        /// Name of the task.
+        task: String,
+    },
+}
+
+/// Which report an answer belongs to.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct ReportId {
+    /// When the report was sent, in ms.
+    pub sent_at: u64,
+    /// Session in which it was sent.
+    pub session: u64,
+    /// Its number within the session.
+    pub number: u64,
+}
+
+/// What the agent does about its reports.
+#[derive(Debug, Default)]
+pub struct Reporting {
+    /// The report whose answer is awaited.
+    pub in_flight: Option<ReportId>,
+    /// When the next one is due, in ms.
+    pub next_at: u64,
+    last_at: u64,
+    changed: bool,
+}
+
+/// Faults of the machine itself; times in ms.
+#[derive(Debug, Default)]
+pub struct MachineFaults {
+    /// Until when it neither runs nor talks.
+    pub hangs_until: u64,
+    /// Until when every task that starts fails.
+    pub fails_tasks_until: u64,
+    /// Until when tasks that start take longer.
+    pub slow_until: u64,
+    /// How many times as long they take.
+    pub slow_factor: u32,
+}
+
+/// The agent and its machine.
+pub struct Agent {
+    /// The machine.
+    pub machine: Machine,
+    /// Session: a new one begins when the lease has expired.
+    pub session: u64,
+    /// Reports sent in this session.
+    report_number: u64,
+    /// Highest fencing token seen.
+    pub token: u64,
+    /// Attempts by task.
+    pub tasks: BTreeMap<String, Vec<Task>>,
+    images: BTreeSet<String>,
+    /// When the last answered report was sent: the lease counts from there.
+    lease_renewed_at: u64,
+    lease_ms: u64,
+    /// Its reports.
+    pub reporting: Reporting,
+    /// Index of the controller that it reports to.
+    pub controller: usize,
+    /// Seconds until the machine is reclaimed, if that was announced.
+    pub reclaim_warning_s: Option<f64>,
+    /// Faults of the machine.
+    pub faults: MachineFaults,
+    /// What has happened since the checker last looked.
+    pub events: Vec<TaskEvent>,
+}
+
+impl Agent {
+    /// An agent on a machine that has just booted.
+    pub fn new(machine: Machine, lease_ms: u64, now: u64) -> Agent {
+        Agent {
+            machine,
+            session: 1,
+            report_number: 0,
+            token: 0,
+            tasks: BTreeMap::new(),
+            images: BTreeSet::new(),
+            lease_renewed_at: now,
+            lease_ms,
+            reporting: Reporting { next_at: now, ..Reporting::default() },
+            controller: 0,
+            reclaim_warning_s: None,
+            faults: MachineFaults::default(),
+            events: Vec::new(),
+        }
+    }
+
+    /// Whether the machine neither runs nor talks.
+    pub fn hangs(&self, now: u64) -> bool {
+        now < self.faults.hangs_until
+    }
+
+    /// Capacity that no task takes.
+    pub fn free(&self) -> Room {
+        let mut free = self.machine.capacity;
+        for task in self.unfinished_tasks() {
+            free.add(&task.demand, -1);
+        }
+        free
+    }
+
+    fn unfinished_tasks(&self) -> impl Iterator<Item = &Task> {
+        self.tasks.values().flatten().filter(|task| task.status != TaskStatus::Exited)
+    }
+
+    /// The report as of now.
+    pub fn report(&mut self) -> Report {
+        self.report_number += 1;
+        let mut tasks = Vec::new();
+        for (name, attempts) in &self.tasks {
+            tasks.extend(attempts.iter().map(|task| TaskReport {
+                task: name.clone(),
+                attempt: task.attempt,
+                status: task.status,
+                cause: task.cause,
+                stored: None,
+            }));
+        }
+        Report {
+            machine: self.machine.id.clone(),
+            endpoint: self.machine.id.clone(),
+            frame: self.machine.machine_type.clone(),
+            zone: self.machine.zone.clone(),
+            spot: self.machine.spot,
+            session: self.session,
+            tick: self.report_number,
+            token: self.token,
+            warn_s: self.reclaim_warning_s,
+            tasks,
+        }
+    }
+
+    /// Sends a report if one is due; the next is due after `interval_ms`.
+    pub fn begin_report(&mut self, now: u64, interval_ms: u64) -> Option<Report> {
+        let changed = self.reporting.changed && now >= self.reporting.last_at + MIN_REPORT_INTERVAL_MS;
+        let due = now >= self.reporting.next_at || changed;
+        if self.reporting.in_flight.is_some() || !due {
+            return None;
+        }
+        let report = self.report();
+        let id = ReportId { sent_at: now, session: report.session, number: report.tick };
+        self.reporting = Reporting { in_flight: Some(id), next_at: now + interval_ms, last_at: now, changed: false };
+        Some(report)
+    }
+
+    /// Takes the answer to a report and executes its commands, unless the report is not the one in flight.
+    pub fn take_answer(
+        &mut self,
+        now: u64,
+        answered: ReportId,
+        reply: ReportReply,
+        jobs: &BTreeMap<String, Submission>,
+    ) {
+        if self.reporting.in_flight != Some(answered) {
+            return;
+        }
+        self.reporting.in_flight = None;
+        if answered.session != self.session || reply.token < self.token {
+            return;
+        }
+        self.reporting.changed |= reply.token > self.token;
+        self.token = reply.token;
+        self.lease_renewed_at = answered.sent_at;
+        for order in reply.orders {
+            self.execute(now, order, jobs);
+        }
+    }
+
+    /// Gives up the report in flight, and reports to a controller at a time.
+    pub fn turn_to(&mut self, controller: usize, report_at: u64) {
+        self.reporting.in_flight = None;
+        self.reporting.next_at = report_at;
+        self.controller = controller;
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/agent/tasks.rs
@@ -0,0 +1,89 @@
+//! What time does to a machine: images arrive, tasks end, the lease expires.
+
+use super::{Agent, MachineFaults, Task, TaskEvent};
+use shaleshunt_wire::user::{Shape, Submission};
+use shaleshunt_wire::worker::{Cause, TaskStatus, split_task_name};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Shortest run of a task, in seconds.
+const MIN_RUN_S: f64 = 0.1;
+
+/// What an agent has to know of jobs to play their tasks.
+pub struct JobFacts<'a> {
+    /// Submissions by job.
+    pub jobs: &'a BTreeMap<String, Submission>,
+    /// Names of the tasks that have completed.
+    pub completed: &'a BTreeSet<String>,
+    /// Jobs whose tasks fail everywhere.
+    pub failing: &'a BTreeSet<String>,
+}
+
+impl Agent {
+    /// Lets time pass until `now`.
+    pub fn advance(&mut self, now: u64, facts: &JobFacts) {
+        if now > self.lease_renewed_at + self.lease_ms {
+            self.expire_lease(now);
+        }
+        for (name, attempts) in &mut self.tasks {
+            let Some((job, _)) = split_task_name(name) else { continue };
+            let Some(spec) = facts.jobs.get(job) else { continue };
+            for task in attempts {
+                if task.status == TaskStatus::Fetching && now >= task.image_ready_at {
+                    self.images.insert(task.image.clone());
+                    self.events.push(TaskEvent::Started { task: name.clone(), attempt: task.attempt });
+                    task.start(now, spec, facts.completed.contains(name), &self.faults);
+                    self.reporting.changed = true;
+                }
+                let fails = task.fails || facts.failing.contains(job);
+                if task.status == TaskStatus::Running && (fails || task.ends_at.is_some_and(|end| now >= end)) {
+                    task.exit(if fails { Cause::Error } else { Cause::Done });
+                    if !fails {
+                        self.events.push(TaskEvent::Completed { task: name.clone() });
+                    }
+                    self.events.push(TaskEvent::Stopped { task: name.clone(), attempt: task.attempt });
+                    self.reporting.changed = true;
+                }
+            }
+        }
+    }
+
+    /// The machine is gone with all that is on it; what has happened until then.
+    pub fn terminate(&mut self) -> Vec<TaskEvent> {
+        self.drop_tasks();
+        std::mem::take(&mut self.events)
+    }
+
+    /// All tasks are stopped and a new session begins.
+    fn expire_lease(&mut self, now: u64) {
+        self.drop_tasks();
+        self.session += 1;
+        self.report_number = 0;
+        self.lease_renewed_at = now;
+        self.reporting.changed = true;
+    }
+
+    fn drop_tasks(&mut self) {
+        for (name, attempts) in std::mem::take(&mut self.tasks) {
+            for task in attempts.iter().filter(|task| task.status == TaskStatus::Running) {
+                self.events.push(TaskEvent::Stopped { task: name.clone(), attempt: task.attempt });
+            }
+        }
+    }
+}
+
+impl Task {
+    fn start(&mut self, now: u64, spec: &Submission, completed_before: bool, faults: &MachineFaults) {
+        self.status = TaskStatus::Running;
+        let mut run_s = if completed_before { 0.0 } else { spec.expect_s.max(MIN_RUN_S) };
+        if now < faults.slow_until {
+            run_s *= f64::from(faults.slow_factor);
+        }
+        self.ends_at = (spec.shape != Shape::Daemon).then_some(now + (run_s * 1000.0) as u64);
+        self.fails = now < faults.fails_tasks_until;
+    }
+
+    fn exit(&mut self, cause: Cause) {
+        self.status = TaskStatus::Exited;
+        self.cause = Some(cause);
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/checker/quota.rs
@@ -0,0 +1,14 @@
+//! `quota`: the CPUs of a team's tasks on machines never exceed the team's limit.
+
+use super::{Checker, Rule};
+use shaleshunt_wire::to_milli;
+
+impl Checker {
+    pub(super) fn check_quota(&mut self, now: u64, team: &str) {
+        let limit = self.limits.get(team).copied().unwrap_or(0.0);
+        let used = self.used_cpus(team);
+        if limit > 0.0 && used > to_milli(limit) {
+            self.report(now, Rule::Quota, format!("{team} uses {} of {limit}", used as f64 / 1000.0));
+        }
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/scenario/grammar/fault.rs
@@ -0,0 +1,222 @@
+//! `at SECONDS FAULT …`: the faults by name. Durations stand after `for`, delays after `by`.
+
+use super::store_limits;
+use crate::scenario::error::SyntaxError;
+use crate::scenario::words::{Words, parse_number};
+use crate::simulation::{
+    CloudFault, ControllerChoice, ControllerFault, CopyArrival, CutMessages, CutSide, Execution, Fault, JobFault,
+    LinkFault, MachineChoice, MachineFault, StoreFault,
+};
+
+/// Which faults there are, in the error about an unknown one.
+const EXPECTED: &str = "a fault";
+
+pub(super) fn read(words: &mut Words) -> Result<Fault, SyntaxError> {
+    let name = words.next(EXPECTED)?;
+    if let Some(fault) = controller_fault(name, words)? {
+        return Ok(Fault::Controller(fault));
+    }
+    if let Some(fault) = store_fault(name, words)? {
+        return Ok(Fault::Store(fault));
+    }
+    if let Some(fault) = link_fault(name, words)? {
+        return Ok(Fault::Link(fault));
+    }
+    if let Some(fault) = machine_fault(name, words)? {
+        return Ok(Fault::Machine(fault));
+    }
+    if let Some(fault) = cloud_fault(name, words)? {
+        return Ok(Fault::Cloud(fault));
+    }
+    match job_fault(name, words)? {
+        Some(fault) => Ok(Fault::Job(fault)),
+        None => Err(SyntaxError::unexpected(EXPECTED, name)),
+    }
+}
+
+fn controller_fault(name: &str, words: &mut Words) -> Result<Option<ControllerFault>, SyntaxError> {
+    Ok(Some(match name {
+        "kill" => {
+            let mut controllers = Vec::new();
+            while !words.take_if("for") {
+                controllers.push(controller(words)?);
+            }
+            ControllerFault::Kill { controllers, restart_after_ms: words.seconds_as_ms("a duration")? }
+        }
+        "upgrade" => ControllerFault::Upgrade { controller: controller(words)?, restart_after_ms: duration(words)? },
+        "pause" => ControllerFault::Pause { controller: controller(words)?, for_ms: duration(words)? },
+        "cut" => {
+            let controller = controller(words)?;
+            words.keyword("from")?;
+            let side = cut_side(words)?;
+            ControllerFault::Cut { controller, side, for_ms: duration(words)?, messages: cut_messages(words) }
+        }
+        "cut-zone" => {
+            let zone = words.text("a zone")?;
+            ControllerFault::CutZone { zone, for_ms: duration(words)?, messages: cut_messages(words) }
+        }
+        "refuse-peer-connections" => ControllerFault::RefusePeerConnections { for_ms: duration(words)? },
+        "refuse-direct-calls" => ControllerFault::RefuseDirectCalls { for_ms: duration(words)? },
+        _ => return Ok(None),
+    }))
+}
+
+fn store_fault(name: &str, words: &mut Words) -> Result<Option<StoreFault>, SyntaxError> {
+    Ok(Some(match name {
+        "store-down" => StoreFault::Stop { for_ms: duration(words)? },
+        "store-refuses" => StoreFault::RefuseController { controller: controller(words)?, for_ms: duration(words)? },
+        "slow-store" => StoreFault::Slow { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "lose-transaction-answers" => StoreFault::LoseTransactionAnswers {
+            percent: words.number("percent")?,
+            for_ms: duration(words)?,
+            execution: execution(words)?,
+        },
+        "delay-transactions" => {
+            StoreFault::DelayTransactions { count: words.number("transactions")?, delay_ms: delay(words)? }
+        }
+        "lower-store-limits" => StoreFault::LowerLimits { limits: store_limits(words)? },
+        _ => return Ok(None),
+    }))
+}
+
+fn link_fault(name: &str, words: &mut Words) -> Result<Option<LinkFault>, SyntaxError> {
+    Ok(Some(match name {
+        "lose-messages-to" => LinkFault::LoseMessagesToAgents { machines: machines(words)?, for_ms: duration(words)? },
+        "lose-reports-of" => LinkFault::LoseReports { machines: machines(words)?, for_ms: duration(words)? },
+        "delay-answers" => {
+            LinkFault::DelayAnswers { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
+        }
+        "delay-commands" => {
+            LinkFault::DelayCommands { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
+        }
+        "copy-all-reports" => LinkFault::CopyAllReports { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "copy-some-reports" => LinkFault::CopySomeReports {
+            percent: words.number("percent")?,
+            for_ms: duration(words)?,
+            arrival: copy_arrival(words)?,
+        },
+        _ => return Ok(None),
+    }))
+}
+
+fn machine_fault(name: &str, words: &mut Words) -> Result<Option<MachineFault>, SyntaxError> {
+    Ok(Some(match name {
+        "hang" => MachineFault::Hang { machines: machines(words)?, for_ms: duration(words)? },
+        "fail-tasks" => MachineFault::FailTasks { machine: words.text("a machine")?, for_ms: duration(words)? },
+        "slow-machine" => {
+            let machine = words.text("a machine")?;
+            let for_ms = duration(words)?;
+            words.keyword("factor")?;
+            MachineFault::Slow { machine, for_ms, factor: words.number("a factor")? }
+        }
+        "lose" => MachineFault::Lose { machines: machines(words)? },
+        "lose-machine-of" => MachineFault::LoseMachineOfTask { task: words.text("a task")? },
+        "reclaim" => {
+            let machine = words.text("a machine")?;
+            words.keyword("after")?;
+            MachineFault::Reclaim { machine, notice_ms: words.seconds_as_ms("the notice")? }
+        }
+        _ => return Ok(None),
+    }))
+}
+
+fn cloud_fault(name: &str, words: &mut Words) -> Result<Option<CloudFault>, SyntaxError> {
+    Ok(Some(match name {
+        "add-machines" => CloudFault::AddMachines {
+            machine_type: words.text("a machine type")?,
+            zone: words.text("a zone")?,
+            count: words.number("machines")?,
+        },
+        "cloud-down" => CloudFault::Stop { for_ms: duration(words)? },
+        "delay-scale-out" => CloudFault::DelayScaleOut { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "fail-boots" => CloudFault::FailBoots { count: words.number("machines")? },
+        _ => return Ok(None),
+    }))
+}
+
+fn job_fault(name: &str, words: &mut Words) -> Result<Option<JobFault>, SyntaxError> {
+    Ok(Some(match name {
+        "fail-job" => JobFault::FailEverywhere { job: words.text("a job")? },
+        "cancel-running" => {
+            let count = words.number("jobs")?;
+            words.keyword("hang")?;
+            JobFault::CancelRunning { count, hang_ms: words.seconds_as_ms("how long machines hang")? }
+        }
+        "cancel-completing" => {
+            JobFault::CancelCompleting { percent: words.number("percent")?, for_ms: duration(words)? }
+        }
+        "probe-all-controllers" => JobFault::ProbeAllControllers { for_ms: duration(words)? },
+        _ => return Ok(None),
+    }))
+}
+
+/// `for SECONDS`, as ms
+fn duration(words: &mut Words) -> Result<u64, SyntaxError> {
+    words.keyword("for")?;
+    words.seconds_as_ms("a duration")
+}
+
+/// `by SECONDS`, as ms
+fn delay(words: &mut Words) -> Result<u64, SyntaxError> {
+    words.keyword("by")?;
+    words.seconds_as_ms("a delay")
+}
+
+/// `leader` or an index
+fn controller(words: &mut Words) -> Result<ControllerChoice, SyntaxError> {
+    if words.take_if("leader") {
+        return Ok(ControllerChoice::Leader);
+    }
+    words.number("a controller").map(ControllerChoice::Index)
+}
+
+/// A name, `zone:NAME`, `first:N` or `every:N`
+fn machines(words: &mut Words) -> Result<MachineChoice, SyntaxError> {
+    let found = words.next("machines")?;
+    match found.split_once(':') {
+        Some(("zone", zone)) => Ok(MachineChoice::InZone(zone.into())),
+        Some(("first", count)) => parse_number(count, "machines").map(MachineChoice::First),
+        Some(("every", step)) => {
+            let step: std::num::NonZeroUsize = parse_number(step, "a step")?;
+            Ok(MachineChoice::EveryNth(step.get()))
+        }
+        Some(_) => Err(SyntaxError::unexpected("a machine, `zone:NAME`, `first:N` or `every:N`", found)),
+        None => Ok(MachineChoice::Named(found.into())),
+    }
+}
+
+fn cut_side(words: &mut Words) -> Result<CutSide, SyntaxError> {
+    const EXPECTED: &str = "`store`, `agents`, `store-and-peers` or `everything`";
+    match words.next(EXPECTED)? {
+        "store" => Ok(CutSide::Store),
+        "agents" => Ok(CutSide::Agents),
+        "store-and-peers" => Ok(CutSide::StoreAndPeers),
+        "everything" => Ok(CutSide::Everything),
+        other => Err(SyntaxError::unexpected(EXPECTED, other)),
+    }
+}
+
+/// `held` at the end of the line
+fn cut_messages(words: &mut Words) -> CutMessages {
+    if words.take_if("held") { CutMessages::Held } else { CutMessages::Lost }
+}
+
+/// `executed late` or `executed at-once`
+fn execution(words: &mut Words) -> Result<Execution, SyntaxError> {
+    words.keyword("executed")?;
+    match words.next("`late` or `at-once`")? {
+        "late" => Ok(Execution::Late),
+        "at-once" => Ok(Execution::AtOnce),
+        other => Err(SyntaxError::unexpected("`late` or `at-once`", other)),
+    }
+}
+
+/// `arriving late` or `arriving at-next-leader`
+fn copy_arrival(words: &mut Words) -> Result<CopyArrival, SyntaxError> {
+    words.keyword("arriving")?;
+    match words.next("`late` or `at-next-leader`")? {
+        "late" => Ok(CopyArrival::Late),
+        "at-next-leader" => Ok(CopyArrival::AtNextLeader),
+        other => Err(SyntaxError::unexpected("`late` or `at-next-leader`", other)),
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/simulation/waiting_jobs.rs
@@ -0,0 +1,63 @@
+//! Which jobs wait though a machine that fits has room: the checker is told, for the simulation alone
+//! knows the machines.
+
+use super::Simulation;
+use crate::agent::Agent;
+use shaleshunt_wire::Room;
+use shaleshunt_wire::user::{Shape, Submission};
+
+impl Simulation {
+    pub(super) fn check_waiting_jobs(&mut self) {
+        let now = self.queue.now();
+        let waiting = self.users.by_job.iter().filter(|(_, user)| user.is_waiting());
+        let jobs: Vec<(String, bool)> =
+            waiting.map(|(job, user)| (job.clone(), self.could_run(&user.job.spec))).collect();
+        for (job, could_run) in jobs {
+            if could_run {
+                self.checker.job_waits_beside_room(now, self.faults.calm_from, &job);
+            } else {
+                self.checker.job_does_not_wait(&job);
+            }
+        }
+    }
+
+    /// Whether one of a job's tasks could start now. Jobs bound to the places of their other tasks wait
+    /// for those, and a gang needs room for all.
+    fn could_run(&self, spec: &Submission) -> bool {
+        if spec.one_zone || spec.scatter || spec.shape == Shape::Ensemble {
+            return false;
+        }
+        let demand = spec.need();
+        self.has_open_task(spec)
+            && self.dependencies_completed(spec)
+            && self.is_within_limit(spec, &demand)
+            && self.agents.running.values().any(|agent| self.could_take(agent, spec, &demand))
+    }
+
+    fn has_open_task(&self, spec: &Submission) -> bool {
+        let is_open = |number| {
+            let task = format!("{}/{number}", spec.id);
+            !self.checker.completed.contains(&task) && !self.checker.is_running(&task)
+        };
+        !self.agents.failing_jobs.contains(&spec.id) && (0..spec.tasks).any(is_open)
+    }
+
+    fn dependencies_completed(&self, spec: &Submission) -> bool {
+        let mut needed = spec.awaits.iter().filter_map(|job| self.checker.jobs.get(job));
+        needed.all(|job| self.checker.all_completed(job))
+    }
+
+    fn is_within_limit(&self, spec: &Submission, demand: &Room) -> bool {
+        let limit = self.checker.limits.get(&spec.team).copied().unwrap_or(0.0);
+        limit <= 0.0 || self.checker.used_cpus(&spec.team) + demand.cores <= (limit * 1000.0) as i64
+    }
+
+    fn could_take(&self, agent: &Agent, spec: &Submission, demand: &Room) -> bool {
+        let machine = &agent.machine;
+        let allowed = spec.frames.as_ref().is_none_or(|types| types.contains(&machine.machine_type))
+            && spec.zone.as_ref().is_none_or(|zone| *zone == machine.zone)
+            && (spec.spot || !machine.spot);
+        let usable = !agent.hangs(self.queue.now()) && !self.agents.reclaimed_at.contains_key(&machine.id);
+        allowed && usable && agent.free().fits(demand)
+    }
+}
--- /dev/null
+++ b/crates/testkit/src/store/transaction.rs
@@ -0,0 +1,76 @@
+//! Transactions: compare-and-swap on the revisions of several keys.
+
+use super::KeyValueStore;
+use serde_json::Value;
+use shaleshunt_core::{IoError, StateReply};
+use shaleshunt_wire::state::{Txn, Write};
+use shaleshunt_wire::{CONDITIONS_PER_WRITE, MAX_BODY};
+
+impl KeyValueStore {
+    pub(super) fn transact(&mut self, now: u64, transaction: Txn) -> Result<StateReply, IoError> {
+        if self.exceeds_limits(&transaction) {
+            self.rejections += 1;
+            return Err(IoError::Rejected("too large".into()));
+        }
+        if !self.writes.take(now, transaction.writes.len() as f64, self.limits.write_rps) {
+            return Err(IoError::Throttled);
+        }
+        let failed = self.failed_conditions(&transaction);
+        if !failed.is_empty() {
+            return Ok(StateReply::Conflict(failed));
+        }
+        self.check_writes(&transaction)?;
+        if transaction.writes.is_empty() {
+            return Ok(StateReply::Committed(self.revision));
+        }
+        self.revision += 1;
+        for write in transaction.writes {
+            match write {
+                Write::Set { set, v, pass } => self.set(set, v, pass),
+                Write::Drop { drop } => self.delete(drop),
+            }
+        }
+        Ok(StateReply::Committed(self.revision))
+    }
+
+    fn exceeds_limits(&self, transaction: &Txn) -> bool {
+        let limits = &self.limits;
+        let value_length = |value: &Value| value.to_string().len() as f64;
+        let is_long =
+            |write: &Write| matches!(write, Write::Set { v, .. } if value_length(v) > limits.value_kb * 1024.0);
+        transaction.writes.len() > limits.txn_ops
+            || transaction.conditions.len() > limits.txn_ops * CONDITIONS_PER_WRITE
+            || serde_json::to_string(transaction).map_or(0, |text| text.len()) > MAX_BODY
+            || transaction.writes.iter().any(is_long)
+    }
+
+    /// The keys whose revision is another than the transaction expects.
+    fn failed_conditions(&self, transaction: &Txn) -> Vec<String> {
+        let revision = |key: &str| self.entries.get(key).map_or(0, |entry| entry.revision);
+        let failed = transaction.conditions.iter().filter(|condition| revision(&condition.path) != condition.version);
+        failed.map(|condition| condition.path.clone()).collect()
+    }
+
+    /// Every lease must exist, and every write needs a condition on its key.
+    fn check_writes(&self, transaction: &Txn) -> Result<(), IoError> {
+        let without_lease =
+            |write: &Write| matches!(write, Write::Set { pass: Some(lease), .. } if !self.leases.contains_key(lease));
+        if transaction.writes.iter().any(without_lease) {
+            return Err(IoError::Rejected("no such lease".into()));
+        }
+        for write in &transaction.writes {
+            let key = key_of(write);
+            if !transaction.conditions.iter().any(|condition| condition.path == *key) {
+                return Err(IoError::Rejected(format!("write of {key} without a condition on it")));
+            }
+        }
+        Ok(())
+    }
+}
+
+fn key_of(write: &Write) -> &String {
+    match write {
+        Write::Set { set, .. } => set,
+        Write::Drop { drop } => drop,
+    }
+}
