--- a/crates/testkit/src/scenario/error.rs
+++ b/crates/testkit/src/scenario/error.rs
@@ -9,6 +9,14 @@
         /// What should have come.
         expected: &'static str,
     },
+    /// Another word than the only one that may stand there.
+    #[error("`{keyword}` expected, found `{found}`")]
+    MissingKeyword {
+        /// The word that should have come.
+        keyword: &'static str,
+        /// The word.
+        found: String,
+    },
     /// A word that means nothing there.
     #[error("{expected} expected, found `{found}`")]
     UnexpectedWord {
