--- a/crates/testkit/src/checker.rs
+++ b/crates/testkit/src/checker.rs
@@ -38,7 +38,7 @@
     cancel_requested: bool,
     /// When its user was first told that it is cancelled.
     cancelled_at: Option<u64>,
-    /// When its user was told that it is done.
+    /// When its user was first told that it is done.
     done_at: Option<u64>,
     /// The status with which its submission was refused.
     refused_with: Option<u16>,
--- a/crates/testkit/src/checker/final_status.rs
+++ b/crates/testkit/src/checker/final_status.rs
@@ -32,7 +32,9 @@
         if answer.status != JobStatus::Done {
             return;
         }
-        let first = self.history(answer.job).done_at.replace(answer.now).is_none();
+        let history = self.history(answer.job);
+        let first = history.done_at.is_none();
+        history.done_at.get_or_insert(answer.now);
         let may_be_done = self.all_completed(spec) && spec.shape != Shape::Daemon;
         if first && !may_be_done {
             self.report(answer.now, Rule::NotDone, answer.job.into());
--- a/crates/testkit/tests/checker.rs
+++ b/crates/testkit/tests/checker.rs
@@ -249,6 +249,19 @@
     assert!(found(&checker, Rule::WentBack));
 }
 
+/// A question asked between two final answers cannot be answered by an open status, though a final
+/// answer came after it was asked.
+#[test]
+fn an_open_status_after_the_first_final_one_is_found() {
+    let mut checker = checker();
+    checker.completed.extend(["wk-1/0".to_string(), "wk-1/1".to_string()]);
+    checker.user_told(10, 5, "wk-1", 200, Some(JobStatus::Done));
+    checker.user_told(20, 18, "wk-1", 200, Some(JobStatus::Done));
+    assert!(checker.violations.is_empty());
+    checker.user_told(25, 15, "wk-1", 200, Some(JobStatus::Running));
+    assert!(found(&checker, Rule::WentBack));
+}
+
 #[test]
 fn starts_after_a_cancellation_are_counted() {
     let mut checker = checker();
