--- a/crates/testkit/src/scenario/grammar.rs
+++ b/crates/testkit/src/scenario/grammar.rs
@@ -39,7 +39,7 @@
             "job" => self.jobs.extend(job::read(words)?),
             "production-store" => production_store::load(&mut self.initial, &mut self.jobs),
             "completed" => self.initial.completed.push(words.text("a task")?),
-            "store" => self.initial.stored.push(stored_value(words)?),
+            "store" => self.initial.store_entries.push(stored_value(words)?),
             "at" => {
                 let at = words.seconds_as_ms("the time of a fault")?;
                 self.faults.push(TimedFault { at, fault: fault::read(words)? });
--- a/crates/testkit/src/scenario/judge.rs
+++ b/crates/testkit/src/scenario/judge.rs
@@ -120,7 +120,7 @@
                 ("zones taken for cut off".to_string(), u64::from(simulation.isolated_zones), count)
             }
             Expectation::Stored { prefix, keys } => {
-                (format!("keys under {prefix}"), simulation.stored(prefix) as u64, keys)
+                (format!("keys under {prefix}"), simulation.stored_keys(prefix) as u64, keys)
             }
             Expectation::Machines(count) => ("machines".to_string(), simulation.machines() as u64, count),
             _ => return Ok(()),
--- a/crates/testkit/src/scenario/model.rs
+++ b/crates/testkit/src/scenario/model.rs
@@ -60,7 +60,7 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct InitialState {
     /// Keys of the key-value store.
-    pub(super) stored: Vec<StoredValue>,
+    pub(super) store_entries: Vec<StoredValue>,
     /// Names of tasks that have completed.
     pub(super) completed: Vec<String>,
 }
--- a/crates/testkit/src/scenario/production_store.rs
+++ b/crates/testkit/src/scenario/production_store.rs
@@ -25,7 +25,7 @@
             jobs.extend(planned_job(&value));
         }
         initial.completed.extend(completed_tasks(&value));
-        initial.stored.push(StoredValue { key: key.into(), value });
+        initial.store_entries.push(StoredValue { key: key.into(), value });
     }
 }
 
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -238,7 +238,7 @@
     }
 
     /// How many keys with a prefix the key-value store holds.
-    pub fn stored(&self, prefix: &str) -> usize {
+    pub fn stored_keys(&self, prefix: &str) -> usize {
         self.store.service.entries_under(prefix).len()
     }
 }
