--- a/crates/loopback/src/agents.rs
+++ b/crates/loopback/src/agents.rs
@@ -6,10 +6,11 @@
 use bytes::Bytes;
 use hyper::Method;
 use rand::Rng;
-use shaleshunt_core::IoError;
-use shaleshunt_testkit::agent::{Agent, CommandOutcome, JobFacts, ReportId};
+use shaleshunt_core::RequestError;
+use shaleshunt_core::io::DirectCommandsReply;
+use shaleshunt_testkit::agent::{Agent, JobFacts, ReportId};
 use shaleshunt_wire::paths;
-use shaleshunt_wire::worker::{Elsewhere, Orders, Report, ReportReply};
+use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply, Redirect};
 use std::cell::RefCell;
 use std::collections::BTreeSet;
 use std::rc::Rc;
@@ -35,12 +36,12 @@
 /// A report to be sent, and by what its answer is known.
 struct DueReport {
     id: ReportId,
-    report: Report,
+    report: Heartbeat,
 }
 
 /// What the answer to a report means.
 enum ReportOutcome {
-    Answered(ReportReply),
+    Answered(HeartbeatReply),
     /// Another controller is to be tried after a pause.
     TurnTo {
         controller: usize,
@@ -70,7 +71,7 @@
         let controller = server.agent.borrow().controller;
         let body = serde_json::to_vec(&report).map(Bytes::from).unwrap_or_default();
         let address = &fleet.controllers[controller].address;
-        let answer = client.send(call(address, Method::POST, paths::CHECKIN, body, REPORT_TIMEOUT)).await;
+        let answer = client.send(call(address, Method::POST, paths::HEARTBEAT, body, REPORT_TIMEOUT)).await;
         match report_outcome(fleet, controller, answer) {
             ReportOutcome::Answered(reply) => server.take_answer(id, reply),
             ReportOutcome::TurnTo { controller, pause } => {
@@ -90,37 +91,37 @@
         let now = fleet.now();
         let interval = fleet.report_interval.mul_f64(rand::rng().random_range(REPORT_JITTER));
         let mut agent = self.agent.borrow_mut();
-        let session = agent.session;
+        let agent_epoch = agent.agent_epoch;
         let (jobs, completed) = (fleet.jobs.borrow(), fleet.completed.borrow());
         agent.advance(now, &JobFacts { jobs: &jobs, completed: &completed, failing: &BTreeSet::new() });
-        fleet.counts.borrow_mut().leases_lost += agent.session - session;
+        fleet.counts.borrow_mut().leases_lost += agent.agent_epoch.0 - agent_epoch.0;
         agent.events.clear();
         let report = agent.begin_report(now, interval.as_millis() as u64)?;
         let id = agent.reporting.in_flight?;
-        Some(DueReport { id, report: Report { endpoint: self.address.clone(), ..report } })
+        Some(DueReport { id, report: Heartbeat { endpoint: self.address.clone(), ..report } })
     }
 
-    fn take_answer(&self, report: ReportId, reply: ReportReply) {
+    fn take_answer(&self, report: ReportId, reply: HeartbeatReply) {
         let mut agent = self.agent.borrow_mut();
         self.fleet.report_answered(&agent.machine.id);
         agent.take_answer(self.fleet.now(), report, reply, &self.fleet.jobs.borrow());
     }
 
     fn take_commands(&self, body: &[u8]) -> Reply {
-        let Ok(commands) = serde_json::from_slice::<Orders>(body) else {
+        let Ok(commands) = serde_json::from_slice::<DirectCommands>(body) else {
             return Reply { status: 400, body: Vec::new() };
         };
         self.fleet.counts.borrow_mut().calls += 1;
         let outcome = self.agent.borrow_mut().take_commands(self.fleet.now(), commands, &self.fleet.jobs.borrow());
         let (status, report) = match outcome {
-            CommandOutcome::Executed(report) => (200, report),
-            CommandOutcome::Outdated(report) => (409, report),
+            DirectCommandsReply::Executed(report) => (200, report),
+            DirectCommandsReply::Fenced(report) => (409, report),
         };
-        Reply::json(status, &Report { endpoint: self.address.clone(), ..report })
+        Reply::json(status, &Heartbeat { endpoint: self.address.clone(), ..report })
     }
 }
 
-fn report_outcome(fleet: &Fleet, controller: usize, answer: Result<(u16, Bytes), IoError>) -> ReportOutcome {
+fn report_outcome(fleet: &Fleet, controller: usize, answer: Result<(u16, Bytes), RequestError>) -> ReportOutcome {
     let next = (controller + 1) % fleet.controllers.len();
     let retry = ReportOutcome::TurnTo { controller: next, pause: RETRY };
     match answer {
@@ -135,6 +136,6 @@
 
 /// The controller that another one names as the leader.
 fn named_controller(fleet: &Fleet, body: &[u8]) -> Option<usize> {
-    let label = serde_json::from_slice::<Elsewhere>(body).ok()?.foreman?;
-    fleet.controllers.iter().position(|controller| controller.label == label)
+    let node_name = serde_json::from_slice::<Redirect>(body).ok()?.known_leader?;
+    fleet.controllers.iter().position(|controller| controller.node_name == node_name)
 }
--- a/crates/loopback/src/arguments.rs
+++ b/crates/loopback/src/arguments.rs
@@ -16,8 +16,8 @@
     #[arg(long, default_value_t = 1170)]
     pub machines: u32,
     /// Reporting interval of a machine, in seconds.
-    #[arg(long, default_value_t = 5.0, value_parser = positive)]
-    pub report_s: f64,
+    #[arg(long = "report-s", default_value_t = 5.0, value_parser = positive)]
+    pub heartbeat_interval_s: f64,
     /// Lease of a machine, in seconds.
     #[arg(long, default_value_t = 27.0, value_parser = positive)]
     pub lease_s: f64,
--- a/crates/loopback/src/arguments/tests.rs
+++ b/crates/loopback/src/arguments/tests.rs
@@ -19,3 +19,11 @@
     assert_eq!(arguments.end_leader_at, [20.0, 40.5]);
     assert_eq!(arguments.end_all_at, [50.0]);
 }
+
+#[test]
+fn the_names_of_arguments_stay() {
+    let given = ["--report-s", "3", "--lease-s", "20", "--task-s", "7", "--mem-mb", "60", "--sockets", "9"];
+    let arguments = parse(&given).unwrap();
+    assert_eq!((arguments.heartbeat_interval_s, arguments.lease_s, arguments.task_s), (3.0, 20.0, 7.0));
+    assert_eq!((arguments.mem_mb, arguments.sockets), (60.0, 9));
+}
--- a/crates/loopback/src/cloud_server.rs
+++ b/crates/loopback/src/cloud_server.rs
@@ -2,7 +2,7 @@
 
 use crate::http_server::{self, Received, Reply};
 use hyper::Method;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use shaleshunt_core::io::{CloudReply, CloudRequest};
 use shaleshunt_testkit::cloud::Cloud;
 use shaleshunt_wire::cloud::MachineNames;
@@ -33,22 +33,22 @@
         (&Method::GET, paths::MACHINES) => {
             Some(CloudRequest::List { after: received.parameter("after").unwrap_or_default() })
         }
-        (&Method::POST, paths::MACHINES) => serde_json::from_slice(&received.body).ok().map(CloudRequest::Hire),
+        (&Method::POST, paths::MACHINES) => serde_json::from_slice(&received.body).ok().map(CloudRequest::ScaleOut),
         (&Method::POST, paths::RETURN) => {
             let names: MachineNames = serde_json::from_slice(&received.body).ok()?;
-            Some(CloudRequest::Return(names.machines))
+            Some(CloudRequest::ScaleIn(names.machines))
         }
         _ => None,
     }
 }
 
-fn reply(result: Result<CloudReply, IoError>) -> Reply {
+fn reply(result: Result<CloudReply, RequestError>) -> Reply {
     match result {
         Ok(CloudReply::Catalog(catalog)) => Reply::json(200, &catalog),
-        Ok(CloudReply::Hired(machines)) => Reply::json(200, &MachineNames { machines }),
+        Ok(CloudReply::ScaledOut(machines)) => Reply::json(200, &MachineNames { machines }),
         Ok(CloudReply::NoCapacity) => Reply::json(503, &Problem { error: "no capacity".into() }),
-        Ok(CloudReply::Returned) => Reply::empty_object(200),
-        Ok(CloudReply::Page(page)) => Reply::json(200, &page),
+        Ok(CloudReply::ScaledIn) => Reply::empty_object(200),
+        Ok(CloudReply::MachineList(page)) => Reply::json(200, &page),
         Err(error) => Reply::failure(&error),
     }
 }
--- a/crates/loopback/src/controllers.rs
+++ b/crates/loopback/src/controllers.rs
@@ -9,7 +9,7 @@
 /// A controller's process.
 pub struct Controller {
     /// Label in its settings.
-    pub label: String,
+    pub node_name: String,
     program: PathBuf,
     settings: PathBuf,
     log: PathBuf,
@@ -18,12 +18,12 @@
 
 impl Controller {
     /// Starts a controller with these settings; its log goes to a file beside them.
-    pub fn start(program: &Path, folder: &Path, label: &str, settings: &str) -> Result<Controller, LoadTestError> {
-        let file = folder.join(format!("{label}.toml"));
+    pub fn start(program: &Path, folder: &Path, node_name: &str, settings: &str) -> Result<Controller, LoadTestError> {
+        let file = folder.join(format!("{node_name}.toml"));
         std::fs::write(&file, settings).map_err(|source| LoadTestError::Write { path: file.clone(), source })?;
-        let log = folder.join(format!("{label}.log"));
+        let log = folder.join(format!("{node_name}.log"));
         let process = spawn(program, &file, &log)?;
-        Ok(Controller { label: label.into(), program: program.into(), settings: file, log, process })
+        Ok(Controller { node_name: node_name.into(), program: program.into(), settings: file, log, process })
     }
 
     /// Ends the process at once and starts it again.
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -11,7 +11,7 @@
 #[derive(Debug, Clone)]
 pub struct ControllerAddress {
     /// Label, by which controllers name each other.
-    pub label: String,
+    pub node_name: String,
     /// Address for machines and users.
     pub address: String,
 }
--- a/crates/loopback/src/http_server.rs
+++ b/crates/loopback/src/http_server.rs
@@ -6,7 +6,7 @@
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use shaleshunt_core::IoError;
+use shaleshunt_core::RequestError;
 use shaleshunt_wire::user::Problem;
 use std::convert::Infallible;
 use std::rc::Rc;
@@ -59,10 +59,10 @@
     }
 
     /// The answer to a request that failed.
-    pub fn failure(error: &IoError) -> Reply {
+    pub fn failure(error: &RequestError) -> Reply {
         let status = match error {
-            IoError::Throttled => 429,
-            IoError::Rejected(_) => 400,
+            RequestError::Throttled => 429,
+            RequestError::Rejected(_) => 400,
             _ => 503,
         };
         Reply::json(status, &Problem { error: error.to_string() })
--- a/crates/loopback/src/main.rs
+++ b/crates/loopback/src/main.rs
@@ -63,7 +63,7 @@
     let mut controllers = Vec::new();
     for address in &site.controllers {
         let settings = SettingsFile { site, controller: address, arguments }.to_string();
-        controllers.push(Controller::start(&arguments.program, &arguments.folder, &address.label, &settings)?);
+        controllers.push(Controller::start(&arguments.program, &arguments.folder, &address.node_name, &settings)?);
     }
     Ok(controllers)
 }
--- a/crates/loopback/src/monitor.rs
+++ b/crates/loopback/src/monitor.rs
@@ -93,7 +93,11 @@
         if let Some(controller) = busiest.and_then(|index| self.controllers.get_mut(index)) {
             controller.restart()?;
             self.fleet.begin_failover();
-            println!("{elapsed_s:5.0} s: {} ended and started again, process {}", controller.label, controller.id());
+            println!(
+                "{elapsed_s:5.0} s: {} ended and started again, process {}",
+                controller.node_name,
+                controller.id()
+            );
         }
         Ok(())
     }
@@ -113,7 +117,7 @@
             .controllers
             .iter()
             .zip(usages)
-            .map(|(controller, (before, now))| format!("{} {}", controller.label, usage_text(before, now)))
+            .map(|(controller, (before, now))| format!("{} {}", controller.node_name, usage_text(before, now)))
             .collect();
         format!("{:5.0} s: {}; {}", self.elapsed_s(), controllers.join(", "), counts_text(&before.counts, &now.counts))
     }
--- a/crates/loopback/src/settings.rs
+++ b/crates/loopback/src/settings.rs
@@ -3,7 +3,7 @@
 use crate::arguments::Arguments;
 use crate::site::{CONTROLLERS, ControllerSite, STORE_REQUESTS_PER_S, Site, machine_type, store_limits, zone};
 use crate::users::TEAM;
-use shaleshunt_wire::Room;
+use shaleshunt_wire::Resources;
 use std::fmt;
 
 /// How many leases a cancelled job may take to be gone.
@@ -29,11 +29,11 @@
 
 impl SettingsFile<'_> {
     fn write_addresses(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let ControllerSite { label, zone, front, back } = self.controller;
-        write!(f, "label = \"{label}\"\nlocation = \"{zone}\"\nfront = \"{front}\"\nback = \"{back}\"\n")?;
-        for other in self.site.controllers.iter().filter(|other| other.label != *label) {
-            let ControllerSite { label, zone, back, .. } = other;
-            write!(f, "[[seeds]]\nlabel = \"{label}\"\nlocation = \"{zone}\"\naddress = \"{back}\"\n")?;
+        let ControllerSite { node_name, zone, front, back } = self.controller;
+        write!(f, "label = \"{node_name}\"\nlocation = \"{zone}\"\nfront = \"{front}\"\nback = \"{back}\"\n")?;
+        for other in self.site.controllers.iter().filter(|other| other.node_name != *node_name) {
+            let ControllerSite { node_name, zone, back, .. } = other;
+            write!(f, "[[seeds]]\nlabel = \"{node_name}\"\nlocation = \"{zone}\"\naddress = \"{back}\"\n")?;
         }
         write!(f, "[endpoints]\ncloud = \"{}\"\nstate = \"{}\"\n", self.site.cloud_address, self.site.store_address)
     }
@@ -41,7 +41,7 @@
     /// One team that may use the whole fleet, and one objective for the urgent class.
     fn write_workload(&self, f: &mut fmt::Formatter) -> fmt::Result {
         let zones: Vec<String> = (0..CONTROLLERS).map(zone).collect();
-        let cores_of_machine = Room::new(machine_type().cores, 0.0, 0.0).cores / 1000;
+        let cores_of_machine = Resources::new(machine_type().cores, 0.0, 0.0).cores / 1000;
         let cores = cores_of_machine * i64::from(self.arguments.machines);
         write!(f, "[params]\ninitial_size = {CONTROLLERS}\nzones = {zones:?}\nskew_ms = 5.0\n")?;
         write!(f, "[[params.teams]]\nname = \"{TEAM}\"\ncpus = {cores}.0\ncpus_max = {cores}.0\n")?;
@@ -49,11 +49,14 @@
     }
 
     fn write_services(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        let Arguments { report_s, lease_s, mem_mb, sockets, .. } = self.arguments;
+        let Arguments { heartbeat_interval_s, lease_s, mem_mb, sockets, .. } = self.arguments;
         let cancel_s = lease_s * LEASES_TO_CANCEL;
         let limits = store_limits();
         let (write_rps, value_kb, txn_ops) = (limits.write_rps, limits.value_kb, limits.txn_ops);
-        write!(f, "[params.workers]\nreport_s = {report_s:?}\nlease_s = {lease_s:?}\ncancel_s = {cancel_s:?}\n")?;
+        write!(
+            f,
+            "[params.workers]\nreport_s = {heartbeat_interval_s:?}\nlease_s = {lease_s:?}\ncancel_s = {cancel_s:?}\n"
+        )?;
         write!(f, "[params.state]\nrps = {STORE_REQUESTS_PER_S:?}\nwrite_rps = {write_rps:?}\n")?;
         write!(f, "value_kb = {value_kb:?}\ntxn_ops = {txn_ops}\n")?;
         write!(f, "[params.cloud]\nrps = 5.0\nlist_lag_s = 3.0\n")?;
--- a/crates/loopback/src/site.rs
+++ b/crates/loopback/src/site.rs
@@ -8,7 +8,7 @@
 use shaleshunt_testkit::agent::{Agent, Machine};
 use shaleshunt_testkit::cloud::{Cloud, Offer};
 use shaleshunt_testkit::store::KeyValueStore;
-use shaleshunt_wire::cloud::{Catalog, Frame};
+use shaleshunt_wire::cloud::{Catalog, MachineType};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -27,7 +27,7 @@
 /// Label, zone and addresses of a controller.
 pub struct ControllerSite {
     /// Label.
-    pub label: String,
+    pub node_name: String,
     /// Zone.
     pub zone: String,
     /// Address for users and agents.
@@ -60,10 +60,11 @@
         // Kept until all machines have their addresses, so that none gets a controller's.
         let reserved = reserve_addresses().await?;
         let controllers = reserved.controllers;
-        let addresses = controllers
-            .iter()
-            .map(|controller| ControllerAddress { label: controller.label.clone(), address: controller.front.clone() });
-        let report_interval = Duration::from_secs_f64(arguments.report_s);
+        let addresses = controllers.iter().map(|controller| ControllerAddress {
+            node_name: controller.node_name.clone(),
+            address: controller.front.clone(),
+        });
+        let report_interval = Duration::from_secs_f64(arguments.heartbeat_interval_s);
         let fleet = Rc::new(Fleet::new(addresses.collect(), report_interval, began));
         start_machines(&fleet, &cloud, arguments).await?;
         let (store_address, cloud_address) = (store_server.address, cloud_server.address);
@@ -98,7 +99,7 @@
         let back = listen().await?;
         listeners.extend([front.listener, back.listener]);
         controllers.push(ControllerSite {
-            label: format!("node-{index}"),
+            node_name: format!("node-{index}"),
             zone: zone(index),
             front: front.address,
             back: back.address,
@@ -113,16 +114,16 @@
 }
 
 /// The only machine type.
-pub fn machine_type() -> Frame {
-    Frame {
+pub fn machine_type() -> MachineType {
+    MachineType {
         name: "type".into(),
         cores: 32.0,
-        cards: 0.0,
-        ram_gb: 64.0,
+        accelerators: 0.0,
+        memory_gb: 64.0,
         local_gb: 80.0,
         fetch_gb_per_s: 0.5,
         price: 2.0,
-        market_price: 0.5,
+        spot_price: 0.5,
         boot_s: 25.0,
         zones: (0..CONTROLLERS).map(zone).collect(),
     }
@@ -131,7 +132,7 @@
 /// A cloud that has the fleet's type and nothing more to rent.
 fn cloud() -> Cloud {
     let mut cloud = Cloud::default();
-    cloud.catalog = Catalog { frames: vec![machine_type()] };
+    cloud.catalog = Catalog { machine_types: vec![machine_type()] };
     cloud
 }
 
@@ -164,7 +165,7 @@
             machine_type: machine_type.name.clone(),
             zone,
             spot: false,
-            capacity: machine_type.room(),
+            capacity: machine_type.resources(),
             fetch_gb_per_s: machine_type.fetch_gb_per_s,
         };
         let listening = listen().await?;
--- a/crates/loopback/src/store_server.rs
+++ b/crates/loopback/src/store_server.rs
@@ -2,11 +2,11 @@
 
 use crate::http_server::{self, Received, Reply};
 use hyper::Method;
-use shaleshunt_core::{IoError, StateReply, StateRequest};
+use shaleshunt_core::{KvReply, KvRequest, RequestError};
 use shaleshunt_testkit::process::ProcessId;
 use shaleshunt_testkit::store::{KeyValueStore, RequestKey};
-use shaleshunt_wire::paths;
-use shaleshunt_wire::state::{Hold, NewHold, TxnReply};
+use shaleshunt_wire::kv::{LeaseGrant, LeaseRequest, TransactionReply};
+use shaleshunt_wire::{Revision, paths};
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -24,7 +24,7 @@
 struct StoreServer {
     store: RefCell<KeyValueStore>,
     /// Watches without an answer, by the number of their request.
-    watches: RefCell<HashMap<u64, oneshot::Sender<StateReply>>>,
+    watches: RefCell<HashMap<u64, oneshot::Sender<KvReply>>>,
     last_request: Cell<u64>,
     began: Instant,
 }
@@ -78,59 +78,63 @@
             None => {
                 let (sender, receiver) = oneshot::channel();
                 self.watches.borrow_mut().insert(key.id, sender);
-                reply(receiver.await.map_err(|_| IoError::Refused))
+                reply(receiver.await.map_err(|_| RequestError::Unavailable))
             }
         }
     }
 }
 
-fn request(received: &Received) -> Option<StateRequest> {
+fn request(received: &Received) -> Option<KvRequest> {
     let path = received.path.as_str();
     match path {
         paths::KV => scan(received),
         paths::WATCH => watch(received),
-        paths::TXN => serde_json::from_slice(&received.body).ok().map(StateRequest::Txn),
-        paths::HOLDS => {
-            let lease: NewHold = serde_json::from_slice(&received.body).ok()?;
-            Some(StateRequest::NewHold { life_ms: lease.life_ms })
+        paths::TXN => serde_json::from_slice(&received.body).ok().map(KvRequest::Transaction),
+        paths::LEASES => {
+            let lease: LeaseRequest = serde_json::from_slice(&received.body).ok()?;
+            Some(KvRequest::GrantLease { ttl_ms: lease.ttl_ms })
         }
         _ => get(path).or_else(|| lease_request(received, path)),
     }
 }
 
-fn scan(received: &Received) -> Option<StateRequest> {
+fn scan(received: &Received) -> Option<KvRequest> {
     let after = received.parameter("after").unwrap_or_default();
-    Some(StateRequest::Scan { prefix: received.parameter("prefix")?, after })
+    Some(KvRequest::Scan { prefix: received.parameter("prefix")?, after })
 }
 
-fn watch(received: &Received) -> Option<StateRequest> {
+fn watch(received: &Received) -> Option<KvRequest> {
     let number = |name| received.parameter(name).and_then(|text| text.parse().ok());
     let prefix = received.parameter("prefix")?;
-    Some(StateRequest::Watch { prefix, after: number("after")?, hold_ms: number("holdMs")? })
+    Some(KvRequest::Watch { prefix, after: Revision(number("after")?), hold_ms: number("holdMs")? })
 }
 
-fn get(path: &str) -> Option<StateRequest> {
+fn get(path: &str) -> Option<KvRequest> {
     let key = path.strip_prefix(paths::KV)?.strip_prefix('/')?;
-    Some(StateRequest::Get { key: key.into() })
+    Some(KvRequest::Get { key: key.into() })
 }
 
-fn lease_request(received: &Received, path: &str) -> Option<StateRequest> {
-    let lease = path.strip_prefix(paths::HOLDS)?.strip_prefix('/')?;
+fn lease_request(received: &Received, path: &str) -> Option<KvRequest> {
+    let lease = path.strip_prefix(paths::LEASES)?.strip_prefix('/')?;
     let pass = lease.split('/').next()?.parse().ok()?;
-    Some(if received.method == Method::DELETE { StateRequest::EndHold { pass } } else { StateRequest::Renew { pass } })
+    Some(if received.method == Method::DELETE {
+        KvRequest::RevokeLease { pass }
+    } else {
+        KvRequest::RenewLease { pass }
+    })
 }
 
-fn reply(result: Result<StateReply, IoError>) -> Reply {
+fn reply(result: Result<KvReply, RequestError>) -> Reply {
     match result {
-        Ok(StateReply::Found(pair)) => Reply::json(200, &pair),
-        Ok(StateReply::Missing) => Reply::empty_object(404),
-        Ok(StateReply::Page(page)) => Reply::json(200, &page),
-        Ok(StateReply::Committed(ledger)) => Reply::json(200, &TxnReply { failed: Vec::new(), ledger }),
-        Ok(StateReply::Conflict(failed)) => Reply::json(409, &TxnReply { failed, ledger: 0 }),
-        Ok(StateReply::Hold(pass)) => Reply::json(200, &Hold { pass }),
-        Ok(StateReply::Fine) => Reply::empty_object(200),
-        Ok(StateReply::News(news)) => Reply::json(200, &news),
-        Ok(StateReply::TooOld) => Reply::empty_object(410),
+        Ok(KvReply::Found(pair)) => Reply::json(200, &pair),
+        Ok(KvReply::Missing) => Reply::empty_object(404),
+        Ok(KvReply::Page(page)) => Reply::json(200, &page),
+        Ok(KvReply::Committed(revision)) => Reply::json(200, &TransactionReply { failed: Vec::new(), revision }),
+        Ok(KvReply::Conflict(failed)) => Reply::json(409, &TransactionReply { failed, revision: Revision::ABSENT }),
+        Ok(KvReply::LeaseGranted(pass)) => Reply::json(200, &LeaseGrant { pass }),
+        Ok(KvReply::Done) => Reply::empty_object(200),
+        Ok(KvReply::Changes(news)) => Reply::json(200, &news),
+        Ok(KvReply::Compacted) => Reply::empty_object(410),
         Err(error) => Reply::failure(&error),
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -6,6 +6,7 @@
 //! are bytes left over.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
+use shaleshunt_wire::{Epoch, Revision};
 
 /// Version of the format.
 pub const VERSION: u8 = 3;
@@ -22,9 +23,9 @@
         node: String,
     },
     /// Sent a few times a second.
-    Pulse {
+    Heartbeat {
         /// Highest epoch that the speaker knows.
-        epoch: u64,
+        epoch: Epoch,
         /// Leader of that epoch, empty if not known.
         leader: String,
         /// Whether the speaker leads.
@@ -45,11 +46,11 @@
     },
     /// From the leader: counts of running and done tasks per job, for display only, and the version
     /// of the job's record, by which polls are compared.
-    Counts {
+    JobProgress {
         /// The leader's epoch.
-        epoch: u64,
+        epoch: Epoch,
         /// Job, version of its record, done, running.
-        jobs: Vec<(String, u64, u32, u32)>,
+        jobs: Vec<(String, Revision, u32, u32)>,
     },
     /// Asks a peer to pass a request to the state service, which refuses the speaker alone.
     Relay {
@@ -149,9 +150,9 @@
                 b.put_u8(1);
                 put_text(&mut b, node);
             }
-            Frame::Pulse { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
+            Frame::Heartbeat { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
                 b.put_u8(2);
-                b.put_u64(*epoch);
+                b.put_u64(epoch.0);
                 put_text(&mut b, leader);
                 b.put_u8(u8::from(*leads));
                 b.put_u32(*state_age_ms);
@@ -162,13 +163,13 @@
                 b.put_u32(*kept_ms);
                 b.put_u32(*waiting);
             }
-            Frame::Counts { epoch, jobs } => {
+            Frame::JobProgress { epoch, jobs } => {
                 b.put_u8(3);
-                b.put_u64(*epoch);
+                b.put_u64(epoch.0);
                 b.put_u32(jobs.len() as u32);
                 for (job, version, done, running) in jobs {
                     put_text(&mut b, job);
-                    b.put_u64(*version);
+                    b.put_u64(version.0);
                     b.put_u32(*done);
                     b.put_u32(*running);
                 }
@@ -209,8 +210,8 @@
         }
         let frame = match r.u8()? {
             1 => Frame::Hello { node: r.text()? },
-            2 => Frame::Pulse {
-                epoch: r.u64()?,
+            2 => Frame::Heartbeat {
+                epoch: Epoch(r.u64()?),
                 leader: r.text()?,
                 leads: r.u8()? != 0,
                 state_age_ms: r.u32()?,
@@ -221,13 +222,13 @@
                 waiting: r.u32()?,
             },
             3 => {
-                let epoch = r.u64()?;
+                let epoch = Epoch(r.u64()?);
                 let n = r.u32()? as usize;
                 let mut jobs = Vec::new();
                 for _ in 0..n {
-                    jobs.push((r.text()?, r.u64()?, r.u32()?, r.u32()?));
+                    jobs.push((r.text()?, Revision(r.u64()?), r.u32()?, r.u32()?));
                 }
-                Frame::Counts { epoch, jobs }
+                Frame::JobProgress { epoch, jobs }
             }
             4 => Frame::Relay { id: r.u64()?, body: r.blob()? },
             5 => Frame::Relayed { id: r.u64()?, status: r.u16()?, body: r.blob()? },
--- a/crates/testkit/src/lib.rs
+++ b/crates/testkit/src/lib.rs
@@ -9,3 +9,4 @@
 pub mod scenario;
 pub mod simulation;
 pub mod store;
+pub mod trace_digest;
--- a/crates/testkit/src/scenario.rs
+++ b/crates/testkit/src/scenario.rs
@@ -5,6 +5,7 @@
 
 mod error;
 mod expectation;
+mod files;
 mod grammar;
 mod judge;
 mod model;
@@ -14,5 +15,7 @@
 
 pub use error::{ScenarioError, SyntaxError};
 pub use expectation::{Count, Expectation};
+pub use files::{LoadError, ScenarioFile};
 pub use judge::Unmet;
 pub use model::{ExpectedLine, Scenario, TimedFault};
+pub use player::SeedDigest;
--- a/crates/testkit/src/scenario/model.rs
+++ b/crates/testkit/src/scenario/model.rs
@@ -2,8 +2,8 @@
 
 use super::expectation::Expectation;
 use crate::simulation::{Fault, PlannedJob, Version};
-use shaleshunt_core::settings::{Aim, Limits, Team};
-use shaleshunt_wire::cloud::Frame;
+use shaleshunt_core::settings::{Limits, ServiceObjective, TeamQuota};
+use shaleshunt_wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
 /// The site's settings, as far as scenarios change them.
@@ -14,8 +14,8 @@
     pub(super) report_interval_s: f64,
     pub(super) lease_s: f64,
     pub(super) cancel_s: f64,
-    pub(super) teams: BTreeMap<String, Team>,
-    pub(super) objectives: BTreeMap<String, Aim>,
+    pub(super) teams: BTreeMap<String, TeamQuota>,
+    pub(super) objectives: BTreeMap<String, ServiceObjective>,
     pub(super) store: StoreSettings,
     pub(super) version: Version,
 }
@@ -51,7 +51,7 @@
 /// The machines of a site and its cloud.
 #[derive(Debug, Clone, Default)]
 pub(super) struct MachineSetup {
-    pub(super) types: Vec<Frame>,
+    pub(super) types: Vec<MachineType>,
     pub(super) capacity: Vec<Capacity>,
     pub(super) owned: Vec<OwnedMachines>,
 }
@@ -115,7 +115,7 @@
             report_interval_s: 3.0,
             lease_s: 27.0,
             cancel_s: 52.0,
-            teams: BTreeMap::from([("t".to_string(), Team::default())]),
+            teams: BTreeMap::from([("t".to_string(), TeamQuota::default())]),
             objectives: BTreeMap::new(),
             store: StoreSettings {
                 writes_per_s: 80.0,
--- a/crates/testkit/src/simulation/controllers.rs
+++ b/crates/testkit/src/simulation/controllers.rs
@@ -5,7 +5,7 @@
 use super::{Simulation, WALL_CLOCK_START_MS, previous_version};
 use crate::process::ProcessId;
 use shaleshunt_core::io::Command;
-use shaleshunt_core::{IoError, Node, Now, Settings};
+use shaleshunt_core::{Controller as ControllerNode, RequestError, Settings, Timestamp};
 
 /// How long after a controller's death its peers learn that their connections are broken, in ms.
 const BROKEN_CONNECTION_MS: u64 = 5;
@@ -23,7 +23,7 @@
 pub(super) struct Controller {
     pub(super) settings: Settings,
     pub(super) version: Version,
-    process: Option<Node>,
+    process: Option<ControllerNode>,
     incarnation: u32,
     started_at: u64,
     paused_until: u64,
@@ -49,12 +49,12 @@
     }
 
     pub(super) fn leads(&self) -> bool {
-        self.process.as_ref().is_some_and(Node::leads)
+        self.process.as_ref().is_some_and(ControllerNode::leads)
     }
 
     /// The process's clocks: the steady one counts from its start.
-    fn clock(&self, now: u64) -> Now {
-        Now { mono: now - self.started_at + 1, wall: WALL_CLOCK_START_MS + now }
+    fn clock(&self, now: u64) -> Timestamp {
+        Timestamp { monotonic_ms: now - self.started_at + 1, wall_ms: WALL_CLOCK_START_MS + now }
     }
 
     pub(super) fn pause_until(&mut self, until: u64) {
@@ -74,8 +74,8 @@
         ProcessId { controller, incarnation: self.controllers[controller].incarnation }
     }
 
-    pub(super) fn controller_labelled(&self, label: &str) -> Option<usize> {
-        self.controllers.iter().position(|controller| controller.settings.label == label)
+    pub(super) fn controller_labelled(&self, node_name: &str) -> Option<usize> {
+        self.controllers.iter().position(|controller| controller.settings.node_name == node_name)
     }
 
     /// The controller that leads, paused or not.
@@ -106,7 +106,7 @@
         }
         let process_number = ((index as u64 + 1) << 32) + u64::from(controller.incarnation);
         let clock = controller.clock(now);
-        controller.process = Some(Node::new(settings, self.tuning.clone(), clock, process_number));
+        controller.process = Some(ControllerNode::new(settings, self.tuning.clone(), clock, process_number));
         self.step(index, Command::Tick);
     }
 
@@ -121,8 +121,8 @@
 
     /// A controller learns that its connection to another is broken.
     pub(super) fn break_connection(&mut self, at: usize, to: usize) {
-        let label = self.controllers[to].settings.label.clone();
-        let message = Event::Message { to: self.process_id(at), command: Command::PeerLost(label) };
+        let node_name = self.controllers[to].settings.node_name.clone();
+        let message = Event::Message { to: self.process_id(at), command: Command::PeerDisconnected(node_name) };
         self.queue.schedule(self.queue.now() + BROKEN_CONNECTION_MS, message);
     }
 
@@ -153,7 +153,13 @@
             Version::Current => command,
             Version::Previous => previous_version::as_read(command),
         };
+        if let Some(trace) = &mut self.trace {
+            trace.command(now, from, &command);
+        }
         for effect in process.step(clock, vec![command]) {
+            if let Some(trace) = &mut self.trace {
+                trace.effect(now, from, &effect);
+            }
             let effect = match version {
                 Version::Current => effect,
                 Version::Previous => previous_version::as_written(effect),
@@ -166,7 +172,7 @@
     /// meant for an earlier process.
     pub(super) fn take_message(&mut self, to: ProcessId, command: Command) {
         let answered = match &command {
-            Command::State(id, _) | Command::Cloud(id, _) | Command::Orders(id, _) => Some(*id),
+            Command::Kv(id, _) | Command::Cloud(id, _) | Command::DirectCommands(id, _) => Some(*id),
             _ => None,
         };
         if answered.is_some_and(|id| !self.requests.close(to, id)) {
@@ -182,9 +188,9 @@
             return;
         }
         let command = match kind {
-            RequestKind::Store => Command::State(id, Err(IoError::Unknown)),
-            RequestKind::Cloud => Command::Cloud(id, Err(IoError::Unknown)),
-            RequestKind::Agent => Command::Orders(id, Err(IoError::Unknown)),
+            RequestKind::Store => Command::Kv(id, Err(RequestError::OutcomeUnknown)),
+            RequestKind::Cloud => Command::Cloud(id, Err(RequestError::OutcomeUnknown)),
+            RequestKind::Agent => Command::DirectCommands(id, Err(RequestError::OutcomeUnknown)),
         };
         self.step(from.controller, command);
     }
--- a/crates/testkit/src/simulation/event.rs
+++ b/crates/testkit/src/simulation/event.rs
@@ -2,9 +2,9 @@
 
 use crate::agent::ReportId;
 use crate::process::ProcessId;
-use shaleshunt_core::StateRequest;
+use shaleshunt_core::KvRequest;
 use shaleshunt_core::io::{CloudRequest, Command};
-use shaleshunt_wire::worker::{Orders, Report, ReportReply};
+use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply};
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
@@ -22,19 +22,19 @@
     /// All parties look at their clocks.
     Tick,
     /// A request reaches the key-value store.
-    StoreRequest { from: ProcessId, id: u64, request: StateRequest },
+    StoreRequest { from: ProcessId, id: u64, request: KvRequest },
     /// A request reaches the cloud.
     CloudRequest { from: ProcessId, id: u64, request: CloudRequest },
     /// Direct commands reach an agent.
-    AgentCommands { from: ProcessId, id: u64, agent: String, commands: Orders },
+    AgentCommands { from: ProcessId, id: u64, agent: String, commands: DirectCommands },
     /// A message reaches a controller.
     Message { to: ProcessId, command: Command },
     /// A controller's patience with a request ends.
     RequestTimeout { from: ProcessId, id: u64, kind: RequestKind },
     /// A report reaches a controller; nobody awaits the answer to a copy.
-    AgentReport { controller: usize, report: Report, answer_to: Option<ReportId> },
+    AgentReport { controller: usize, report: Heartbeat, answer_to: Option<ReportId> },
     /// The answer to a report reaches its agent after a delay.
-    ReportAnswer { agent: String, answered: ReportId, reply: ReportReply },
+    ReportAnswer { agent: String, answered: ReportId, reply: HeartbeatReply },
     /// A controller starts.
     ControllerStart(usize),
     /// A user takes the next step with a job.
--- a/crates/testkit/src/simulation/previous_version.rs
+++ b/crates/testkit/src/simulation/previous_version.rs
@@ -2,26 +2,26 @@
 
 use serde_json::Value;
 use shaleshunt_core::io::{Command, Effect};
-use shaleshunt_core::{StateReply, StateRequest};
-use shaleshunt_wire::state::Write;
+use shaleshunt_core::{KvReply, KvRequest};
+use shaleshunt_wire::kv::Write;
 
 /// A command as the previous version understands it.
 pub(super) fn as_read(command: Command) -> Command {
     match command {
-        Command::State(id, Ok(mut reply)) => {
+        Command::Kv(id, Ok(mut reply)) => {
             match &mut reply {
-                StateReply::Found(pair) => remove_later_fields(&mut pair.v),
-                StateReply::Page(page) => page.pairs.iter_mut().for_each(|pair| remove_later_fields(&mut pair.v)),
-                StateReply::News(news) => {
-                    let values = news.news.iter_mut().filter_map(|change| change.v.as_mut());
+                KvReply::Found(pair) => remove_later_fields(&mut pair.v),
+                KvReply::Page(page) => page.pairs.iter_mut().for_each(|pair| remove_later_fields(&mut pair.v)),
+                KvReply::Changes(reply) => {
+                    let values = reply.changes.iter_mut().filter_map(|change| change.v.as_mut());
                     values.for_each(remove_later_fields);
                 }
                 _ => {}
             }
-            Command::State(id, Ok(reply))
+            Command::Kv(id, Ok(reply))
         }
         Command::Submit(id, mut submission) => {
-            submission.awaits.clear();
+            submission.dependencies.clear();
             Command::Submit(id, submission)
         }
         other => other,
@@ -31,13 +31,13 @@
 /// An effect as the previous version would have it.
 pub(super) fn as_written(effect: Effect) -> Effect {
     match effect {
-        Effect::State(id, StateRequest::Txn(mut transaction), via) => {
+        Effect::Kv(id, KvRequest::Transaction(mut transaction), via) => {
             for write in &mut transaction.writes {
                 if let Write::Set { v, .. } = write {
                     remove_later_fields(v);
                 }
             }
-            Effect::State(id, StateRequest::Txn(transaction), via)
+            Effect::Kv(id, KvRequest::Transaction(transaction), via)
         }
         other => other,
     }
--- /dev/null
+++ b/crates/testkit/tests/trace_digest.rs
@@ -0,0 +1,226 @@
+//! The digest of all commands and effects: the same for the same, another for any difference.
+
+use shaleshunt_core::io::{Answer, CloudReply, CloudRequest, DirectCommandsReply};
+use shaleshunt_core::{Command, Effect, KvReply, KvRequest, RequestError};
+use shaleshunt_peer::Frame;
+use shaleshunt_testkit::process::ProcessId;
+use shaleshunt_testkit::scenario::{Scenario, SeedDigest};
+use shaleshunt_testkit::trace_digest::TraceDigest;
+use shaleshunt_wire::kv::{Transaction, Write};
+use shaleshunt_wire::user::{JobStatus, JobView};
+use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply, TaskCommand};
+use shaleshunt_wire::{AgentEpoch, Attempt, FencingToken, Revision};
+use std::collections::BTreeSet;
+
+const SCENARIO: &str = "
+    machine-type f cores 16 memory 64 boot 5
+    machines f a 2
+    machines f b 2
+    job wk-a at 2 tasks 20 runtime 4
+    job wk-b at 4 tasks 8 runtime 3 cancel 9
+    at 8 kill leader for 6
+    until 40
+";
+
+fn digests(text: &str, seeds: u64) -> Vec<SeedDigest> {
+    Scenario::parse("digests.txt", text).unwrap().trace_digests(Some(seeds))
+}
+
+#[test]
+fn the_same_seed_gives_the_same_digest() {
+    assert_eq!(digests(SCENARIO, 2), digests(SCENARIO, 2));
+}
+
+#[test]
+fn another_seed_gives_another_digest() {
+    let digests = digests(SCENARIO, 3);
+    assert_eq!(digests.iter().map(|found| found.seed).collect::<Vec<_>>(), [1, 2, 3]);
+    assert_eq!(digests.iter().map(|found| &found.digest).collect::<BTreeSet<_>>().len(), 3);
+}
+
+#[test]
+fn a_changed_setting_gives_another_digest() {
+    let base = digests(SCENARIO, 1);
+    for line in ["store-writes-per-s 3", "report-interval 3.1", "team t limit 16 guarantee 0"] {
+        assert_ne!(digests(&format!("{line}\n{SCENARIO}"), 1), base, "{line}");
+    }
+}
+
+const PROCESS: ProcessId = ProcessId { controller: 1, incarnation: 2 };
+
+/// The digest of one command or effect.
+fn of_command(command: &Command) -> String {
+    let mut digest = TraceDigest::default();
+    digest.command(1000, PROCESS, command);
+    digest.finish()
+}
+
+fn of_effect(effect: &Effect) -> String {
+    let mut digest = TraceDigest::default();
+    digest.effect(1000, PROCESS, effect);
+    digest.finish()
+}
+
+/// Each differs from the others in one thing.
+fn commands() -> Vec<Command> {
+    let report = |sequence| Heartbeat {
+        machine: "m".into(),
+        endpoint: "m:1".into(),
+        machine_type: "f".into(),
+        zone: "a".into(),
+        spot: false,
+        agent_epoch: AgentEpoch(1),
+        sequence,
+        token: FencingToken(3),
+        preemption_notice_s: None,
+        tasks: Vec::new(),
+    };
+    let errors = [
+        RequestError::NotSent,
+        RequestError::LocalOverload,
+        RequestError::OutcomeUnknown,
+        RequestError::Unavailable,
+        RequestError::Throttled,
+        RequestError::Rejected("a".into()),
+        RequestError::Rejected("b".into()),
+        RequestError::TooLong,
+        RequestError::Malformed,
+    ];
+    let state = [
+        KvReply::Missing,
+        KvReply::Committed(Revision(1)),
+        KvReply::Committed(Revision(2)),
+        KvReply::LeaseGranted(1),
+        KvReply::Conflict(vec!["a".into(), "b".into()]),
+        KvReply::Conflict(vec!["b".into(), "a".into()]),
+        KvReply::Done,
+        KvReply::Compacted,
+    ];
+    let cloud = [
+        CloudReply::ScaledOut(vec!["a".into()]),
+        CloudReply::ScaledOut(vec!["b".into()]),
+        CloudReply::NoCapacity,
+        CloudReply::ScaledIn,
+    ];
+    let mut all = vec![
+        Command::Status(1, "wk-a".into()),
+        Command::Status(2, "wk-a".into()),
+        Command::Status(1, "wk-b".into()),
+        Command::Cancel(1, "wk-a".into()),
+        Command::HealthCheck(1),
+        Command::Heartbeat(1, Box::new(report(1))),
+        Command::Heartbeat(1, Box::new(report(2))),
+        Command::DirectCommands(1, Ok(DirectCommandsReply::Executed(report(1)))),
+        Command::DirectCommands(1, Ok(DirectCommandsReply::Fenced(report(1)))),
+        Command::Peer("n1".into(), Frame::Hello { node: "n1".into() }),
+        Command::Peer("n2".into(), Frame::Hello { node: "n1".into() }),
+        Command::Peer("n1".into(), Frame::Hello { node: "n2".into() }),
+        Command::PeerDisconnected("n1".into()),
+        Command::Tick,
+    ];
+    all.extend(errors.iter().map(|e| Command::Kv(1, Err(e.clone()))));
+    all.extend(errors.iter().map(|e| Command::Cloud(1, Err(e.clone()))));
+    all.extend(errors.iter().map(|e| Command::DirectCommands(1, Err(e.clone()))));
+    all.extend(state.map(|reply| Command::Kv(1, Ok(reply))));
+    all.extend(cloud.map(|reply| Command::Cloud(1, Ok(reply))));
+    all
+}
+
+/// Each differs from the others in one thing.
+fn effects() -> Vec<Effect> {
+    let commands = |token, attempt| DirectCommands {
+        token: FencingToken(token),
+        agent_epoch: AgentEpoch(1),
+        commands: vec![TaskCommand::Run { task: "wk-a/0".into(), attempt: Attempt(attempt) }],
+    };
+    let view = |status| JobView { id: "wk-a".into(), status, done: None, running: None };
+    let problem = |status, error, retry_after| Answer::Problem { status, error, retry_after };
+    let transaction =
+        |key: &str, v: u32| Transaction { conditions: Vec::new(), writes: vec![Write::set(key, serde_json::json!(v))] };
+    let answers = [
+        Answer::Job(200, view(JobStatus::Queued)),
+        Answer::Job(201, view(JobStatus::Queued)),
+        Answer::Job(200, view(JobStatus::Running)),
+        problem(503, "a", None),
+        problem(503, "b", None),
+        problem(503, "a", Some(0)),
+        problem(503, "a", Some(1)),
+        problem(429, "a", None),
+        Answer::Heartbeat(HeartbeatReply { token: FencingToken(1), commands: Vec::new() }),
+        Answer::Heartbeat(HeartbeatReply { token: FencingToken(2), commands: Vec::new() }),
+        Answer::Redirect(None),
+        Answer::Redirect(Some("n1".into())),
+        Answer::Redirect(Some("n2".into())),
+        Answer::Healthy,
+    ];
+    let mut all = vec![
+        Effect::Kv(1, KvRequest::Transaction(transaction("a", 1)), None),
+        Effect::Kv(2, KvRequest::Transaction(transaction("a", 1)), None),
+        Effect::Kv(1, KvRequest::Transaction(transaction("b", 1)), None),
+        Effect::Kv(1, KvRequest::Transaction(transaction("a", 2)), None),
+        Effect::Kv(1, KvRequest::Transaction(transaction("a", 1)), Some("n1".into())),
+        Effect::Kv(1, KvRequest::Get { key: "a".into() }, None),
+        Effect::Cloud(1, CloudRequest::Catalog),
+        Effect::Cloud(1, CloudRequest::ScaleIn(vec!["a".into()])),
+        Effect::Cloud(1, CloudRequest::ScaleIn(vec!["b".into()])),
+        Effect::Cloud(1, CloudRequest::List { after: "a".into() }),
+        Effect::DirectCommands(1, "m:1".into(), commands(1, 1)),
+        Effect::DirectCommands(1, "m:2".into(), commands(1, 1)),
+        Effect::DirectCommands(1, "m:1".into(), commands(2, 1)),
+        Effect::DirectCommands(1, "m:1".into(), commands(1, 2)),
+        Effect::Peer("n1".into(), Frame::Hello { node: "n1".into() }),
+    ];
+    all.extend(answers.map(|answer| Effect::Answer(1, answer)));
+    all
+}
+
+#[test]
+fn every_difference_shows() {
+    let (commands, effects) = (commands(), effects());
+    let mut digests: BTreeSet<String> = commands.iter().map(of_command).collect();
+    digests.extend(effects.iter().map(of_effect));
+    assert_eq!(digests.len(), commands.len() + effects.len());
+}
+
+#[test]
+fn time_process_and_order_show() {
+    let process = |controller, incarnation| ProcessId { controller, incarnation };
+    let digest = |steps: &[(u64, ProcessId, Command)]| {
+        let mut digest = TraceDigest::default();
+        for (now, process, command) in steps {
+            digest.command(*now, *process, command);
+        }
+        digest.finish()
+    };
+    let digests = [
+        digest(&[]),
+        digest(&[(1, process(0, 1), Command::Tick)]),
+        digest(&[(2, process(0, 1), Command::Tick)]),
+        digest(&[(1, process(1, 1), Command::Tick)]),
+        digest(&[(1, process(0, 2), Command::Tick)]),
+        digest(&[(1, process(0, 1), Command::Tick), (1, process(0, 1), Command::HealthCheck(1))]),
+        digest(&[(1, process(0, 1), Command::HealthCheck(1)), (1, process(0, 1), Command::Tick)]),
+    ];
+    assert_eq!(digests.iter().collect::<BTreeSet<_>>().len(), digests.len());
+}
+
+#[test]
+fn the_log_does_not_show() {
+    let mut digest = TraceDigest::default();
+    digest.effect(
+        1,
+        PROCESS,
+        &Effect::Log(shaleshunt_core::event::Event::LeaderElected { epoch: shaleshunt_wire::Epoch(1) }),
+    );
+    assert_eq!(digest.finish(), TraceDigest::default().finish());
+}
+
+/// Fails when the encoding changes, or a change of names gets into it: digests from before such a change
+/// say nothing about the code after it.
+#[test]
+fn the_encoding_stays() {
+    let mut digest = TraceDigest::default();
+    commands().iter().for_each(|command| digest.command(1000, PROCESS, command));
+    effects().iter().for_each(|effect| digest.effect(1000, PROCESS, effect));
+    assert_eq!(digest.finish(), "e36ffabbf83d74b610f5a5b391bef0f5");
+}
--- a/crates/wire/src/state.rs
+++ b/crates/wire/src/kv.rs
@@ -1,18 +1,19 @@
 //! The state service's interface.
 
+use crate::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
 /// A key with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Pair {
+pub struct KeyValue {
     /// Key.
     pub path: String,
     /// Value.
     pub v: Value,
     /// Revision of its last change.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
     /// Lease that it is attached to.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub pass: Option<u64>,
@@ -22,22 +23,23 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
     /// Keys in order.
-    pub pairs: Vec<Pair>,
+    pub pairs: Vec<KeyValue>,
     /// Whether there is more.
     #[serde(default)]
     pub truncated: bool,
     /// Revision that the page shows.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
-/// A condition on a key's version; 0 means that it does not exist.
+/// A condition on a key's version; [`Revision::ABSENT`] means that it does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Condition {
     /// Key.
     pub path: String,
     /// Version.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// A change in a transaction.
@@ -74,7 +76,7 @@
 
 /// A transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Txn {
+pub struct Transaction {
     /// What must hold.
     #[serde(rename = "if")]
     pub conditions: Vec<Condition>,
@@ -84,25 +86,27 @@
 
 /// Answer to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TxnReply {
+pub struct TransactionReply {
     /// Keys whose conditions failed; empty on success.
     #[serde(default)]
     pub failed: Vec<String>,
     /// Revision.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
 }
 
 /// Asks for a lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
-pub struct NewHold {
+pub struct LeaseRequest {
     /// Life without renewal.
-    pub life_ms: u64,
+    #[serde(rename = "lifeMs")]
+    pub ttl_ms: u64,
 }
 
 /// A new lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Hold {
+pub struct LeaseGrant {
     /// Its number.
     pub pass: u64,
 }
@@ -121,15 +125,16 @@
     pub v: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
-    pub version: u64,
+    pub version: Revision,
 }
 
 /// Answer to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct News {
+pub struct WatchReply {
     /// Revision up to which the changes go.
-    pub ledger: u64,
+    #[serde(rename = "ledger")]
+    pub revision: Revision,
     /// Changes.
-    #[serde(default)]
-    pub news: Vec<Change>,
+    #[serde(rename = "news", default)]
+    pub changes: Vec<Change>,
 }
