--- a/crates/testkit/src/simulation/effects.rs
+++ b/crates/testkit/src/simulation/effects.rs
@@ -56,7 +56,7 @@
 
     fn send_to_agent(&mut self, from: ProcessId, id: u64, agent: String, commands: DirectCommands, delay: u64) {
         let now = self.queue.now();
-        self.direct_calls += 1;
+        self.recording.direct_calls += 1;
         self.requests.open(from, id);
         let timeout_at = now + self.patience_ms();
         if now < self.network.no_direct_calls_until {
@@ -113,7 +113,7 @@
     }
 
     fn record_log(&mut self, controller: usize, event: &LogEvent) {
-        self.isolated_zones += u32::from(matches!(event, LogEvent::ZoneUnreachable { .. }));
+        self.recording.isolated_zones += u32::from(matches!(event, LogEvent::ZoneUnreachable { .. }));
         self.log_line(|| format!("n{controller}: {event}"));
     }
 }
