--- a/crates/loopback/src/agents.rs
+++ b/crates/loopback/src/agents.rs
@@ -8,7 +8,7 @@
 use rand::Rng;
 use shaleshunt_core::RequestError;
 use shaleshunt_core::io::DirectCommandsReply;
-use shaleshunt_testkit::agent::{Agent, JobFacts, ReportId};
+use shaleshunt_testkit::agent::{Agent, HeartbeatId, JobFacts};
 use shaleshunt_wire::paths;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply, Redirect};
 use std::cell::RefCell;
@@ -21,10 +21,10 @@
 const CLOCK_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause before the next controller is tried.
 const RETRY: Duration = Duration::from_secs(1);
-/// Longest wait for the answer to a report.
-const REPORT_TIMEOUT: Duration = Duration::from_secs(4);
-/// How much the reporting interval varies.
-const REPORT_JITTER: std::ops::Range<f64> = 0.75..1.25;
+/// Longest wait for the answer to a heartbeat.
+const HEARTBEAT_TIMEOUT: Duration = Duration::from_secs(4);
+/// How much the heartbeat interval varies.
+const HEARTBEAT_JITTER: std::ops::Range<f64> = 0.75..1.25;
 
 /// An agent with its address.
 struct AgentServer {
@@ -33,14 +33,14 @@
     address: String,
 }
 
-/// A report to be sent, and by what its answer is known.
-struct DueReport {
-    id: ReportId,
-    report: Heartbeat,
+/// A heartbeat to be sent, and by what its answer is known.
+struct DueHeartbeat {
+    id: HeartbeatId,
+    heartbeat: Heartbeat,
 }
 
-/// What the answer to a report means.
-enum ReportOutcome {
+/// What the answer to a heartbeat means.
+enum HeartbeatOutcome {
     Answered(HeartbeatReply),
     /// Another controller is to be tried after a pause.
     TurnTo {
@@ -49,7 +49,7 @@
     },
 }
 
-/// Starts an agent: it takes direct commands on `listener` and reports until the process ends.
+/// Starts an agent: it takes direct commands on `listener` and sends heartbeats until the process ends.
 pub fn start(fleet: Rc<Fleet>, agent: Agent, address: String, listener: TcpListener) {
     let server = Rc::new(AgentServer { fleet, agent: RefCell::new(agent), address });
     let commands = server.clone();
@@ -60,23 +60,23 @@
     tokio::task::spawn_local(run(server));
 }
 
-/// Lets the agent's time pass and sends its reports.
+/// Lets the agent's time pass and sends its heartbeats.
 async fn run(server: Rc<AgentServer>) {
     let fleet = &server.fleet;
-    let mut client = new_client(REPORT_TIMEOUT);
+    let mut client = new_client(HEARTBEAT_TIMEOUT);
     server.agent.borrow_mut().controller = rand::rng().random_range(0..fleet.controllers.len());
     loop {
         tokio::time::sleep(CLOCK_INTERVAL).await;
-        let Some(DueReport { id, report }) = server.advance() else { continue };
+        let Some(DueHeartbeat { id, heartbeat }) = server.advance() else { continue };
         let controller = server.agent.borrow().controller;
-        let body = serde_json::to_vec(&report).map(Bytes::from).unwrap_or_default();
+        let body = serde_json::to_vec(&heartbeat).map(Bytes::from).unwrap_or_default();
         let address = &fleet.controllers[controller].address;
-        let answer = client.send(call(address, Method::POST, paths::HEARTBEAT, body, REPORT_TIMEOUT)).await;
-        match report_outcome(fleet, controller, answer) {
-            ReportOutcome::Answered(reply) => server.take_answer(id, reply),
-            ReportOutcome::TurnTo { controller, pause } => {
+        let answer = client.send(call(address, Method::POST, paths::HEARTBEAT, body, HEARTBEAT_TIMEOUT)).await;
+        match heartbeat_outcome(fleet, controller, answer) {
+            HeartbeatOutcome::Answered(reply) => server.take_answer(id, reply),
+            HeartbeatOutcome::TurnTo { controller, pause } => {
                 fleet.counts.borrow_mut().redirects += 1;
-                client = new_client(REPORT_TIMEOUT);
+                client = new_client(HEARTBEAT_TIMEOUT);
                 tokio::time::sleep(pause).await;
                 server.agent.borrow_mut().turn_to(controller, fleet.now());
             }
@@ -85,26 +85,26 @@
 }
 
 impl AgentServer {
-    /// Lets time pass; the report that is due, if one is.
-    fn advance(&self) -> Option<DueReport> {
+    /// Lets time pass; the heartbeat that is due, if one is.
+    fn advance(&self) -> Option<DueHeartbeat> {
         let fleet = &self.fleet;
         let now = fleet.now();
-        let interval = fleet.report_interval.mul_f64(rand::rng().random_range(REPORT_JITTER));
+        let interval = fleet.heartbeat_interval.mul_f64(rand::rng().random_range(HEARTBEAT_JITTER));
         let mut agent = self.agent.borrow_mut();
         let agent_epoch = agent.agent_epoch;
         let (jobs, completed) = (fleet.jobs.borrow(), fleet.completed.borrow());
         agent.advance(now, &JobFacts { jobs: &jobs, completed: &completed, failing: &BTreeSet::new() });
         fleet.counts.borrow_mut().leases_lost += agent.agent_epoch.0 - agent_epoch.0;
         agent.events.clear();
-        let report = agent.begin_report(now, interval.as_millis() as u64)?;
-        let id = agent.reporting.in_flight?;
-        Some(DueReport { id, report: Heartbeat { endpoint: self.address.clone(), ..report } })
+        let heartbeat = agent.begin_heartbeat(now, interval.as_millis() as u64)?;
+        let id = agent.heartbeats.in_flight?;
+        Some(DueHeartbeat { id, heartbeat: Heartbeat { endpoint: self.address.clone(), ..heartbeat } })
     }
 
-    fn take_answer(&self, report: ReportId, reply: HeartbeatReply) {
+    fn take_answer(&self, heartbeat: HeartbeatId, reply: HeartbeatReply) {
         let mut agent = self.agent.borrow_mut();
-        self.fleet.report_answered(&agent.machine.id);
-        agent.take_answer(self.fleet.now(), report, reply, &self.fleet.jobs.borrow());
+        self.fleet.heartbeat_answered(&agent.machine.id);
+        agent.take_answer(self.fleet.now(), heartbeat, reply, &self.fleet.jobs.borrow());
     }
 
     fn take_commands(&self, body: &[u8]) -> Reply {
@@ -113,21 +113,21 @@
         };
         self.fleet.counts.borrow_mut().calls += 1;
         let outcome = self.agent.borrow_mut().take_commands(self.fleet.now(), commands, &self.fleet.jobs.borrow());
-        let (status, report) = match outcome {
-            DirectCommandsReply::Executed(report) => (200, report),
-            DirectCommandsReply::Fenced(report) => (409, report),
+        let (status, heartbeat) = match outcome {
+            DirectCommandsReply::Executed(heartbeat) => (200, heartbeat),
+            DirectCommandsReply::Fenced(heartbeat) => (409, heartbeat),
         };
-        Reply::json(status, &Heartbeat { endpoint: self.address.clone(), ..report })
+        Reply::json(status, &Heartbeat { endpoint: self.address.clone(), ..heartbeat })
     }
 }
 
-fn report_outcome(fleet: &Fleet, controller: usize, answer: Result<(u16, Bytes), RequestError>) -> ReportOutcome {
+fn heartbeat_outcome(fleet: &Fleet, controller: usize, answer: Result<(u16, Bytes), RequestError>) -> HeartbeatOutcome {
     let next = (controller + 1) % fleet.controllers.len();
-    let retry = ReportOutcome::TurnTo { controller: next, pause: RETRY };
+    let retry = HeartbeatOutcome::TurnTo { controller: next, pause: RETRY };
     match answer {
-        Ok((200, body)) => serde_json::from_slice(&body).map_or(retry, ReportOutcome::Answered),
+        Ok((200, body)) => serde_json::from_slice(&body).map_or(retry, HeartbeatOutcome::Answered),
         Ok((421, body)) => match named_controller(fleet, &body).filter(|named| *named != controller) {
-            Some(named) => ReportOutcome::TurnTo { controller: named, pause: Duration::ZERO },
+            Some(named) => HeartbeatOutcome::TurnTo { controller: named, pause: Duration::ZERO },
             None => retry,
         },
         _ => retry,
--- a/crates/loopback/src/arguments.rs
+++ b/crates/loopback/src/arguments.rs
@@ -15,7 +15,7 @@
     /// Number of machines.
     #[arg(long, default_value_t = 1170)]
     pub machines: u32,
-    /// Reporting interval of a machine, in seconds.
+    /// Heartbeat interval of a machine, in seconds.
     #[arg(long = "report-s", default_value_t = 5.0, value_parser = positive)]
     pub heartbeat_interval_s: f64,
     /// Lease of a machine, in seconds.
--- a/crates/loopback/src/fleet.rs
+++ b/crates/loopback/src/fleet.rs
@@ -20,7 +20,7 @@
 #[derive(Debug, Default, Clone, Copy)]
 pub struct Counts {
     /// Reports answered.
-    pub reports: u64,
+    pub heartbeats: u64,
     /// Reports that another controller was named for, or that failed.
     pub redirects: u64,
     /// Direct calls.
@@ -35,8 +35,8 @@
     pub controllers: Vec<ControllerAddress>,
     /// Jobs submitted so far.
     pub jobs: RefCell<BTreeMap<String, Submission>>,
-    /// Reporting interval.
-    pub report_interval: Duration,
+    /// Heartbeat interval.
+    pub heartbeat_interval: Duration,
     /// Counts of the run.
     pub counts: RefCell<Counts>,
     /// Names of the tasks that have completed.
@@ -47,11 +47,11 @@
 
 impl Fleet {
     /// A fleet that reports to these controllers, at times counted from `began`.
-    pub fn new(controllers: Vec<ControllerAddress>, report_interval: Duration, began: Instant) -> Fleet {
+    pub fn new(controllers: Vec<ControllerAddress>, heartbeat_interval: Duration, began: Instant) -> Fleet {
         Fleet {
             controllers,
             jobs: RefCell::default(),
-            report_interval,
+            heartbeat_interval,
             counts: RefCell::default(),
             completed: RefCell::default(),
             began,
@@ -70,8 +70,8 @@
     }
 
     /// A machine's report was answered.
-    pub fn report_answered(&self, machine: &str) {
-        self.counts.borrow_mut().reports += 1;
+    pub fn heartbeat_answered(&self, machine: &str) {
+        self.counts.borrow_mut().heartbeats += 1;
         if let Some(recovery) = self.failover.borrow_mut().answered(machine) {
             let (machines, seconds) = (recovery.machines, recovery.seconds);
             println!("        every one of {machines} machines has had an answer {seconds:.1} s after the end");
--- a/crates/loopback/src/monitor.rs
+++ b/crates/loopback/src/monitor.rs
@@ -140,7 +140,7 @@
 fn counts_text(before: &Counts, now: &Counts) -> String {
     format!(
         "a second {:.0} reports, {:.0} redirects, {:.0} calls; {} leases lost",
-        per_second(before.reports as f64, now.reports as f64),
+        per_second(before.heartbeats as f64, now.heartbeats as f64),
         per_second(before.redirects as f64, now.redirects as f64),
         per_second(before.calls as f64, now.calls as f64),
         now.leases_lost,
--- a/crates/loopback/src/site.rs
+++ b/crates/loopback/src/site.rs
@@ -64,8 +64,8 @@
             node_name: controller.node_name.clone(),
             address: controller.front.clone(),
         });
-        let report_interval = Duration::from_secs_f64(arguments.heartbeat_interval_s);
-        let fleet = Rc::new(Fleet::new(addresses.collect(), report_interval, began));
+        let heartbeat_interval = Duration::from_secs_f64(arguments.heartbeat_interval_s);
+        let fleet = Rc::new(Fleet::new(addresses.collect(), heartbeat_interval, began));
         start_machines(&fleet, &cloud, arguments).await?;
         let (store_address, cloud_address) = (store_server.address, cloud_server.address);
         Ok(Site { controllers, store_address, cloud_address, fleet })
--- a/crates/testkit/src/agent/commands.rs
+++ b/crates/testkit/src/agent/commands.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl Agent {
-    /// Executes direct commands if their fencing token and session are current.
+    /// Executes direct commands if their fencing token and agent epoch are current.
     pub fn take_commands(
         &mut self,
         now: u64,
@@ -16,14 +16,14 @@
         jobs: &BTreeMap<String, Submission>,
     ) -> DirectCommandsReply {
         if commands.token < self.token || commands.agent_epoch != self.agent_epoch {
-            return DirectCommandsReply::Fenced(self.report());
+            return DirectCommandsReply::Fenced(self.heartbeat());
         }
-        self.reporting.changed |= commands.token > self.token;
+        self.heartbeats.changed |= commands.token > self.token;
         self.token = commands.token;
         for order in commands.commands {
             self.execute(now, order, jobs);
         }
-        DirectCommandsReply::Executed(self.report())
+        DirectCommandsReply::Executed(self.heartbeat())
     }
 
     pub(super) fn execute(&mut self, now: u64, order: TaskCommand, jobs: &BTreeMap<String, Submission>) {
@@ -38,7 +38,7 @@
         if self.tasks.get(&name).is_some_and(|held| held.iter().any(|task| task.attempt == attempt)) {
             return;
         }
-        self.reporting.changed = true;
+        self.heartbeats.changed = true;
         let job = split_task_name(&name).and_then(|(job, number)| jobs.get(job).filter(|spec| number < spec.tasks));
         let refusal = self.refusal(&name, job);
         let demand = job.map_or(Resources::default(), Submission::need);
@@ -81,7 +81,7 @@
         }
         task.status = TaskStatus::Exited;
         task.cause = Some(ExitCause::Stopped);
-        self.reporting.changed = true;
+        self.heartbeats.changed = true;
     }
 
     fn forget(&mut self, name: &str, attempt: Attempt) {
--- a/crates/testkit/src/agent/tasks.rs
+++ b/crates/testkit/src/agent/tasks.rs
@@ -32,7 +32,7 @@
                     self.images.insert(task.image.clone());
                     self.events.push(TaskEvent::Started { task: name.clone(), attempt: task.attempt });
                     task.start(now, spec, facts.completed.contains(name), &self.faults);
-                    self.reporting.changed = true;
+                    self.heartbeats.changed = true;
                 }
                 let fails = task.fails || facts.failing.contains(job);
                 if task.status == TaskStatus::Running && (fails || task.ends_at.is_some_and(|end| now >= end)) {
@@ -41,7 +41,7 @@
                         self.events.push(TaskEvent::Completed { task: name.clone() });
                     }
                     self.events.push(TaskEvent::Stopped { task: name.clone(), attempt: task.attempt });
-                    self.reporting.changed = true;
+                    self.heartbeats.changed = true;
                 }
             }
         }
@@ -53,13 +53,13 @@
         std::mem::take(&mut self.events)
     }
 
-    /// All tasks are stopped and a new session begins.
+    /// All tasks are stopped and a new agent epoch begins.
     fn expire_lease(&mut self, now: u64) {
         self.drop_tasks();
         self.agent_epoch = self.agent_epoch.next();
-        self.report_number = 0;
+        self.sequence = 0;
         self.lease_renewed_at = now;
-        self.reporting.changed = true;
+        self.heartbeats.changed = true;
     }
 
     fn drop_tasks(&mut self) {
--- a/crates/testkit/src/scenario/grammar.rs
+++ b/crates/testkit/src/scenario/grammar.rs
@@ -55,7 +55,7 @@
         match setting {
             "controllers" => site.controllers = words.number("controllers")?,
             "zones" => site.zones = words.rest(),
-            "report-interval" => site.report_interval_s = words.number("the reporting interval")?,
+            "heartbeat-interval" => site.heartbeat_interval_s = words.number("the heartbeat interval")?,
             "lease" => site.lease_s = words.number("the lease")?,
             "cancel-within" => site.cancel_s = words.number("the time for cancellations")?,
             "store-writes-per-s" => site.store.writes_per_s = words.number("writes a second")?,
--- a/crates/testkit/src/scenario/grammar/fault.rs
+++ b/crates/testkit/src/scenario/grammar/fault.rs
@@ -82,15 +82,15 @@
 fn link_fault(name: &str, words: &mut Words) -> Result<Option<LinkFault>, SyntaxError> {
     Ok(Some(match name {
         "lose-messages-to" => LinkFault::LoseMessagesToAgents { machines: machines(words)?, for_ms: duration(words)? },
-        "lose-reports-of" => LinkFault::LoseReports { machines: machines(words)?, for_ms: duration(words)? },
+        "lose-heartbeats-of" => LinkFault::LoseHeartbeats { machines: machines(words)?, for_ms: duration(words)? },
         "delay-answers" => {
             LinkFault::DelayAnswers { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
         }
         "delay-commands" => {
             LinkFault::DelayCommands { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
         }
-        "copy-all-reports" => LinkFault::CopyAllReports { for_ms: duration(words)?, delay_ms: delay(words)? },
-        "copy-some-reports" => LinkFault::CopySomeReports {
+        "copy-all-heartbeats" => LinkFault::CopyAllHeartbeats { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "copy-some-heartbeats" => LinkFault::CopySomeHeartbeats {
             percent: words.number("percent")?,
             for_ms: duration(words)?,
             arrival: copy_arrival(words)?,
--- a/crates/testkit/src/scenario/model.rs
+++ b/crates/testkit/src/scenario/model.rs
@@ -11,7 +11,7 @@
 pub(super) struct SiteSettings {
     pub(super) controllers: usize,
     pub(super) zones: Vec<String>,
-    pub(super) report_interval_s: f64,
+    pub(super) heartbeat_interval_s: f64,
     pub(super) lease_s: f64,
     pub(super) cancel_s: f64,
     pub(super) teams: BTreeMap<String, TeamQuota>,
@@ -112,7 +112,7 @@
         SiteSettings {
             controllers: 3,
             zones: vec!["a".into(), "b".into(), "c".into()],
-            report_interval_s: 3.0,
+            heartbeat_interval_s: 3.0,
             lease_s: 27.0,
             cancel_s: 52.0,
             teams: BTreeMap::from([("t".to_string(), TeamQuota::default())]),
--- a/crates/testkit/src/scenario/player.rs
+++ b/crates/testkit/src/scenario/player.rs
@@ -160,7 +160,7 @@
             zones: self.zones.clone(),
             teams: self.teams.clone(),
             objectives: self.objectives.clone(),
-            heartbeat_interval_s: self.report_interval_s,
+            heartbeat_interval_s: self.heartbeat_interval_s,
             lease_s: self.lease_s,
             cancel_s: self.cancel_s,
             kv_rps: if store.requests_per_s > 0.0 { store.requests_per_s } else { DEFAULT_REQUESTS_PER_S },
--- a/crates/testkit/src/simulation.rs
+++ b/crates/testkit/src/simulation.rs
@@ -149,8 +149,10 @@
             Event::AgentCommands { from, id, agent, commands } => self.take_commands(from, id, agent, commands),
             Event::Message { to, command } => self.take_message(to, command),
             Event::RequestTimeout { from, id, kind } => self.time_out(from, id, kind),
-            Event::AgentReport { controller, report, answer_to } => self.take_report(controller, report, answer_to),
-            Event::ReportAnswer { agent, answered, reply } => self.take_report_answer(&agent, answered, reply),
+            Event::AgentHeartbeat { controller, heartbeat, answer_to } => {
+                self.take_heartbeat(controller, heartbeat, answer_to)
+            }
+            Event::HeartbeatAnswer { agent, answered, reply } => self.take_heartbeat_answer(&agent, answered, reply),
             Event::ControllerStart(index) => self.start_controller(index),
             Event::UserStep(job) => self.user_step(&job),
             Event::UserProbe { job, controller, request } => self.user_probe(job, controller, request),
@@ -195,7 +197,7 @@
         1 + slow + self.random.random_range(0..MESSAGE_JITTER_MS)
     }
 
-    fn report_interval_s(&self) -> f64 {
+    fn heartbeat_interval_s(&self) -> f64 {
         self.controllers[0].settings.heartbeat_interval_s
     }
 
--- a/crates/testkit/src/simulation/effects.rs
+++ b/crates/testkit/src/simulation/effects.rs
@@ -1,7 +1,7 @@
 //! What controllers want done: requests, messages to each other and answers.
 
 use super::Simulation;
-use super::agents::PATIENCE_IN_REPORT_INTERVALS;
+use super::agents::TIMEOUT_IN_HEARTBEAT_INTERVALS;
 use super::event::{Event, RequestKind};
 use super::network::CutSide;
 use super::requests::Requester;
@@ -12,7 +12,7 @@
 use shaleshunt_wire::worker::DirectCommands;
 
 /// How many times as long controllers wait for the cloud as for other services.
-const CLOUD_PATIENCE: u64 = 3;
+const CLOUD_TIMEOUT_FACTOR: u64 = 3;
 
 impl Simulation {
     pub(super) fn carry_out(&mut self, from: ProcessId, effect: Effect) {
@@ -28,15 +28,15 @@
     }
 
     /// How long a controller waits for an answer, in ms.
-    pub(super) fn patience_ms(&self) -> u64 {
-        (self.report_interval_s() * 1000.0 * PATIENCE_IN_REPORT_INTERVALS) as u64
+    pub(super) fn request_timeout_ms(&self) -> u64 {
+        (self.heartbeat_interval_s() * 1000.0 * TIMEOUT_IN_HEARTBEAT_INTERVALS) as u64
     }
 
     fn send_to_cloud(&mut self, from: ProcessId, id: u64, request: CloudRequest, delay: u64) {
         let now = self.queue.now();
         self.requests.open(from, id);
         let timeout = Event::RequestTimeout { from, id, kind: RequestKind::Cloud };
-        self.queue.schedule(now + self.patience_ms() * CLOUD_PATIENCE, timeout);
+        self.queue.schedule(now + self.request_timeout_ms() * CLOUD_TIMEOUT_FACTOR, timeout);
         let delayed = self.cloud.delayed_scale_out.at(now).filter(|_| matches!(request, CloudRequest::ScaleOut(_)));
         if let Some(by_ms) = delayed {
             let event = Event::CloudRequest { from: from.without_answer(), id, request };
@@ -58,7 +58,7 @@
         let now = self.queue.now();
         self.recording.direct_calls += 1;
         self.requests.open(from, id);
-        let timeout_at = now + self.patience_ms();
+        let timeout_at = now + self.request_timeout_ms();
         if now < self.network.no_direct_calls_until {
             let refused = Command::DirectCommands(id, Err(RequestError::LocalOverload));
             self.queue.schedule(timeout_at, Event::Message { to: from, command: refused });
@@ -105,7 +105,7 @@
 
     fn deliver_answer(&mut self, controller: usize, id: u64, answer: Answer) {
         match self.requests.take_requester(id) {
-            Some(Requester::Agent { agent, report }) => self.answer_agent(controller, &agent, report, answer),
+            Some(Requester::Agent { agent, heartbeat }) => self.answer_agent(controller, &agent, heartbeat, answer),
             Some(Requester::Probe { job, asked_at }) => self.answer_probe(controller, &job, asked_at, &answer),
             Some(Requester::User { job, asked_at }) => self.answer_user(controller, &job, asked_at, &answer),
             None => {}
--- a/crates/testkit/src/simulation/event.rs
+++ b/crates/testkit/src/simulation/event.rs
@@ -1,6 +1,6 @@
 //! The events of a simulation and the queue that orders them.
 
-use crate::agent::ReportId;
+use crate::agent::HeartbeatId;
 use crate::process::ProcessId;
 use shaleshunt_core::KvRequest;
 use shaleshunt_core::io::{CloudRequest, Command};
@@ -29,12 +29,12 @@
     AgentCommands { from: ProcessId, id: u64, agent: String, commands: DirectCommands },
     /// A message reaches a controller.
     Message { to: ProcessId, command: Command },
-    /// A controller's patience with a request ends.
+    /// A controller gives up waiting for the answer to a request.
     RequestTimeout { from: ProcessId, id: u64, kind: RequestKind },
-    /// A report reaches a controller; nobody awaits the answer to a copy.
-    AgentReport { controller: usize, report: Heartbeat, answer_to: Option<ReportId> },
-    /// The answer to a report reaches its agent after a delay.
-    ReportAnswer { agent: String, answered: ReportId, reply: HeartbeatReply },
+    /// A heartbeat reaches a controller; nobody awaits the answer to a copy.
+    AgentHeartbeat { controller: usize, heartbeat: Heartbeat, answer_to: Option<HeartbeatId> },
+    /// The answer to a heartbeat reaches its agent after a delay.
+    HeartbeatAnswer { agent: String, answered: HeartbeatId, reply: HeartbeatReply },
     /// A controller starts.
     ControllerStart(usize),
     /// A user takes the next step with a job.
--- a/crates/testkit/src/simulation/fault.rs
+++ b/crates/testkit/src/simulation/fault.rs
@@ -7,8 +7,8 @@
 
 /// How much later transactions without an answer are carried out.
 pub(super) const LATE_EXECUTION_MS: std::ops::Range<u64> = 2_000..12_000;
-/// How much later copies of reports arrive: at most well over a lease.
-pub(super) const LATE_REPORT_MS: std::ops::Range<u64> = 2_000..40_000;
+/// How much later copies of heartbeats arrive: at most well over a lease.
+pub(super) const LATE_HEARTBEAT_MS: std::ops::Range<u64> = 2_000..40_000;
 
 /// A controller that a fault concerns.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -41,7 +41,7 @@
     Late,
 }
 
-/// When copies of reports arrive.
+/// When copies of heartbeats arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CopyArrival {
     /// 2 to 40 s late, at the controller of the original.
@@ -171,7 +171,7 @@
 /// A fault on the way between controllers and agents.
 #[derive(Debug, Clone)]
 pub enum LinkFault {
-    /// Agents' reports arrive, but neither answers nor commands reach the agents.
+    /// Agents' heartbeats arrive, but neither answers nor commands reach the agents.
     LoseMessagesToAgents {
         /// Which.
         machines: MachineChoice,
@@ -179,13 +179,13 @@
         for_ms: u64,
     },
     /// Agents reach no controller, while direct commands reach them.
-    LoseReports {
+    LoseHeartbeats {
         /// Whose.
         machines: MachineChoice,
         /// For how long.
         for_ms: u64,
     },
-    /// Answers to reports, and agents' answers to direct commands, arrive late.
+    /// Answers to heartbeats, and agents' answers to direct commands, arrive late.
     DelayAnswers {
         /// Whose.
         machines: MachineChoice,
@@ -203,15 +203,15 @@
         /// How late.
         delay_ms: u64,
     },
-    /// A copy of every report arrives late.
-    CopyAllReports {
+    /// A copy of every heartbeat arrives late.
+    CopyAllHeartbeats {
         /// For how long.
         for_ms: u64,
         /// How late.
         delay_ms: u64,
     },
-    /// Copies of some reports arrive late.
-    CopySomeReports {
+    /// Copies of some heartbeats arrive late.
+    CopySomeHeartbeats {
         /// How many of a hundred.
         percent: u32,
         /// For how long.
--- a/crates/testkit/src/simulation/fault/duration.rs
+++ b/crates/testkit/src/simulation/fault/duration.rs
@@ -1,7 +1,7 @@
 //! How long each fault lasts, with what it delays: the checker waits for calm.
 
 use super::{
-    CloudFault, ControllerFault, Fault, JobFault, LATE_EXECUTION_MS, LATE_REPORT_MS, LinkFault, MachineFault,
+    CloudFault, ControllerFault, Fault, JobFault, LATE_EXECUTION_MS, LATE_HEARTBEAT_MS, LinkFault, MachineFault,
     StoreFault,
 };
 
@@ -49,11 +49,11 @@
 impl LinkFault {
     fn duration_ms(&self) -> u64 {
         match self {
-            LinkFault::LoseMessagesToAgents { for_ms: ms, .. } | LinkFault::LoseReports { for_ms: ms, .. } => *ms,
+            LinkFault::LoseMessagesToAgents { for_ms: ms, .. } | LinkFault::LoseHeartbeats { for_ms: ms, .. } => *ms,
             LinkFault::DelayAnswers { for_ms, delay_ms, .. }
             | LinkFault::DelayCommands { for_ms, delay_ms, .. }
-            | LinkFault::CopyAllReports { for_ms, delay_ms } => for_ms + delay_ms,
-            LinkFault::CopySomeReports { for_ms, .. } => for_ms + LATE_REPORT_MS.end,
+            | LinkFault::CopyAllHeartbeats { for_ms, delay_ms } => for_ms + delay_ms,
+            LinkFault::CopySomeHeartbeats { for_ms, .. } => for_ms + LATE_HEARTBEAT_MS.end,
         }
     }
 }
--- a/crates/testkit/src/simulation/inject.rs
+++ b/crates/testkit/src/simulation/inject.rs
@@ -117,8 +117,8 @@
             LinkFault::LoseMessagesToAgents { machines, for_ms } => {
                 self.change_links(&machines, |link| link.inbound_lost_until = now + for_ms);
             }
-            LinkFault::LoseReports { machines, for_ms } => {
-                self.change_links(&machines, |link| link.reports_lost_until = now + for_ms);
+            LinkFault::LoseHeartbeats { machines, for_ms } => {
+                self.change_links(&machines, |link| link.heartbeats_lost_until = now + for_ms);
             }
             LinkFault::DelayAnswers { machines, for_ms, delay_ms } => {
                 let delay = Delay { until: now + for_ms, by_ms: delay_ms };
@@ -128,12 +128,12 @@
                 let delay = Delay { until: now + for_ms, by_ms: delay_ms };
                 self.change_links(&machines, |link| link.command_delay = delay);
             }
-            LinkFault::CopyAllReports { for_ms, delay_ms } => {
-                self.agents.report_copies.of_all = Delay { until: now + for_ms, by_ms: delay_ms };
+            LinkFault::CopyAllHeartbeats { for_ms, delay_ms } => {
+                self.agents.heartbeat_copies.of_all = Delay { until: now + for_ms, by_ms: delay_ms };
             }
-            LinkFault::CopySomeReports { percent, for_ms, arrival } => {
-                self.agents.report_copies.of_some = Chance::of_percent(percent, now + for_ms);
-                self.agents.report_copies.arrival = Some(arrival);
+            LinkFault::CopySomeHeartbeats { percent, for_ms, arrival } => {
+                self.agents.heartbeat_copies.of_some = Chance::of_percent(percent, now + for_ms);
+                self.agents.heartbeat_copies.arrival = Some(arrival);
             }
         }
     }
--- a/crates/testkit/src/simulation/requests.rs
+++ b/crates/testkit/src/simulation/requests.rs
@@ -1,6 +1,6 @@
 //! Requests under way: of controllers to the services around them, and of users and agents to controllers.
 
-use crate::agent::ReportId;
+use crate::agent::HeartbeatId;
 use crate::process::ProcessId;
 use crate::store::RequestKey;
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,8 +14,8 @@
     User { job: String, asked_at: u64 },
     /// A user who looks at a job at every controller.
     Probe { job: String, asked_at: u64 },
-    /// An agent that has reported; nobody, if the report was a copy.
-    Agent { agent: String, report: Option<ReportId> },
+    /// An agent that has reported; nobody, if the heartbeat was a copy.
+    Agent { agent: String, heartbeat: Option<HeartbeatId> },
 }
 
 /// Requests under way.
--- a/crates/testkit/src/simulation/store_traffic.rs
+++ b/crates/testkit/src/simulation/store_traffic.rs
@@ -77,7 +77,7 @@
         self.requests.open(from, id);
         let watch_ms = if let KvRequest::Watch { hold_ms, .. } = &request { *hold_ms } else { 0 };
         let timeout = Event::RequestTimeout { from, id, kind: RequestKind::Store };
-        self.queue.schedule(now + self.patience_ms() + watch_ms, timeout);
+        self.queue.schedule(now + self.request_timeout_ms() + watch_ms, timeout);
         if let Some(late_by) = self.answer_lost(&request, delay) {
             let event = Event::StoreRequest { from: from.without_answer(), id, request };
             self.queue.schedule(now + late_by, event);
--- a/crates/testkit/src/simulation/users.rs
+++ b/crates/testkit/src/simulation/users.rs
@@ -15,7 +15,7 @@
 /// Interval at which a user asks about a job, in ms.
 const POLL_MS: u64 = 5_000;
 /// How long a user waits for an answer, in ms.
-const ANSWER_PATIENCE_MS: u64 = 5_001;
+const ANSWER_TIMEOUT_MS: u64 = 5_001;
 /// Pause before a user tries again, in ms.
 const RETRY_MS: u64 = 1_000;
 /// Interval at which a user looks whether what a job depends on has been accepted, in ms.
@@ -162,11 +162,11 @@
             self.queue.schedule(now + RETRY_MS, Event::UserStep(job.into()));
             return;
         };
-        user.next_step_at = now + ANSWER_PATIENCE_MS;
+        user.next_step_at = now + ANSWER_TIMEOUT_MS;
         let id = self.requests.next_id();
         let Some(command) = self.next_command(job, id) else { return };
         self.requests.await_answer(id, Requester::User { job: job.into(), asked_at: now });
-        self.queue.schedule(now + ANSWER_PATIENCE_MS, Event::UserStep(job.into()));
+        self.queue.schedule(now + ANSWER_TIMEOUT_MS, Event::UserStep(job.into()));
         self.step(controller, command);
     }
 
