--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -2,11 +2,16 @@
 //! users' changes.
 
 pub(crate) mod autoscaler;
+mod direct_calls;
 pub(crate) mod fleet;
+mod heartbeats;
+mod machine_failures;
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
+mod silent_machines;
 pub(crate) mod step_down;
 pub(crate) mod store;
+mod task_exits;
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
@@ -16,14 +21,15 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::Recovery;
 use crate::leader::scheduler::Scheduler;
+use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
 use crate::model::*;
-use crate::submission_parts::{SplitJobRecord, StoredJob};
+use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -67,20 +73,6 @@
     pub answer: Option<Vec<Id>>,
 }
 
-/// Actual and estimated run time of a class's tasks.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RuntimeStatistics {
-    pub actual: f64,
-    pub expected: f64,
-}
-
-/// What a class has on machines.
-#[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct ClassUsage {
-    pub all: i64,
-    pub owned: i64,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
@@ -230,21 +222,11 @@
         }
         // A zone may be cut off already: its machines have two reporting intervals to be heard.
         for m in self.fleet.machines.values().filter(|m| !m.zone.is_empty()) {
-            let z = self
-                .fleet
-                .zone_activity
-                .entry(m.zone.clone())
-                .or_insert((now + ctx.settings.heartbeat_interval_ms() * 2, 0));
-            z.1 += 1;
+            let until = now + ctx.settings.heartbeat_interval_ms() * 2;
+            self.fleet.reachability.expect_machine(&m.zone, until);
         }
         // All are asked, some at a time, so that the new token is confirmed before the next report.
-        self.fleet.unconfirmed = self
-            .fleet
-            .machines
-            .values()
-            .filter(|m| !m.agent.endpoint.is_empty() && m.agent.epoch > AgentEpoch::NONE)
-            .map(|m| m.id.clone())
-            .collect();
+        self.fleet.confirm_all_tokens();
         ctx.emit(Event::LeaderStateLoaded {
             epoch: self.epoch,
             jobs: self.jobs.len(),
@@ -254,23 +236,26 @@
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
+        let Some(n) = keys::machine_block_number(&pair.path) else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
-        let images: Vec<CachedImage> =
-            rec.i.iter().map(|(name, gb)| CachedImage { image: self.image(name), size_gb: *gb }).collect();
+        let images: Vec<CachedImage> = rec
+            .images
+            .iter()
+            .map(|image| CachedImage { image: self.fleet.images.number(&image.name), size_gb: image.gb })
+            .collect();
         let mut block =
-            Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
-        for (name, r) in rec.m {
+            Block { zone: rec.zone.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
+        for (name, r) in rec.machines {
             let id: Id = name.as_str().into();
             // In two blocks only if its move between them was not finished: either will do.
             if self.fleet.machines.contains_key(&id) {
                 continue;
             }
-            let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
-            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.e, r.s, r.t);
-            m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
+            let mut m = self.new_machine(ctx, &id, &r.machine_type, &rec.zone, r.spot, r.owned);
+            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.endpoint, r.agent_epoch, r.rented_at_ms);
+            m.images = r.images.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
             (m.record.block, m.record.committed) = (Some(n), true);
-            block.owned = r.o;
+            block.owned = r.owned;
             block.machines.insert(id.clone());
             self.fleet.machines.insert(m);
         }
@@ -288,12 +273,8 @@
         attempt: Attempt,
         task: u32,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.done.get(task) && task < j.spec.tasks) else { return };
-        let known = job
-            .tasks
-            .placements
-            .get(&task)
-            .is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
+        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.is_done(task) && task < j.spec.tasks) else { return };
+        let known = job.tasks.placements_of(task).iter().any(|l| l.machine == *machine && l.attempt == attempt);
         if known {
             return;
         }
@@ -337,12 +318,8 @@
             let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
             let job = parts.next().and_then(|j| self.jobs.get_mut(j));
             if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
-                let before = job.tasks.done.clone();
-                job.tasks.done.decode(chunk.saturating_mul(per_chunk), text);
-                job.tasks.done_count = job.tasks.done.count();
-                job.tasks.started = true;
-                let new = |i: &u32| job.tasks.done.get(*i) && !before.get(*i);
-                touched.extend((0..job.spec.tasks).filter(new).map(|i| (job.id.clone(), i)));
+                let restored = job.tasks.restore_done(chunk.saturating_mul(per_chunk), text);
+                touched.extend(restored.into_iter().map(|i| (job.id.clone(), i)));
             }
             self.store.v0_1_keys.insert(pair.path, pair.version);
         }
@@ -351,15 +328,15 @@
             self.store.v0_1_keys.insert(pair.path, pair.version);
             let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
             if !self.fleet.machines.contains_key(&name) {
-                let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
-                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                let mut m = self.new_machine(ctx, &name, &rec.machine_type, &rec.zone, rec.spot, rec.owned);
+                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.endpoint, rec.agent_epoch, rec.rented_at_ms);
                 self.fleet.machines.insert(m);
                 self.join_block(ctx, &name);
             }
-            for (job, task, attempt) in rec.p {
+            for V01PlacementRecord { job, task, attempt } in rec.placements {
                 let unknown = |j: &&Job| j.writes.page_of_task.get(task as usize).is_none_or(|at| *at == 0);
                 if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
-                    self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
+                    self.restore_placement(ctx, &id, &name, rec.agent_epoch, attempt, task);
                     touched.push((id, task));
                 }
             }
@@ -369,29 +346,15 @@
         }
     }
 
-    /// The number of an image.
-    pub(crate) fn image(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.fleet.image_numbers.get(name) {
-            return *n;
-        }
-        let n = self.fleet.image_names.len() as u32;
-        self.fleet.image_names.push(name.to_string());
-        self.fleet.image_numbers.insert(name.to_string(), n);
-        n
-    }
-
     /// Where records of the earlier form name a task twice, the earlier placement had been released
     /// when the later was planned, so it is gone; it must not be started again and is released by
     /// proof as any other.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
-            for list in job.tasks.placements.values().filter(|l| l.len() > 1) {
-                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
-                for l in list.iter().filter(|l| l.attempt < latest) {
-                    let placements = self.fleet.machines.get_mut(&l.machine).map(|m| &mut m.placements);
-                    if let Some(p) = placements.and_then(|p| p.iter_mut().find(|p| p.placement_id == l.placement_id)) {
-                        p.stop_grace_s = Some(0.0);
-                    }
+            for l in job.tasks.superseded_placements() {
+                let machine = self.fleet.machines.get_mut(&l.machine);
+                if let Some(p) = machine.and_then(|m| m.placement_mut(l.placement_id)) {
+                    p.stop_grace_s = Some(0.0);
                 }
             }
         }
@@ -415,15 +378,12 @@
             ctx.emit(Event::RecordUnreadable { key: path.into() });
             return;
         };
-        let (cancelled, _) = rec.cancelled();
+        let cancelled = rec.is_cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
-            self.scheduler.pass_wanted = true;
+            self.scheduler.request_pass();
             job.record.version = version;
             job.record.stale = false;
-            job.record.has_cancellation_key = match &rec {
-                StoredJob::Whole(r) => r.k,
-                StoredJob::SplitSubmission(r) => r.k,
-            };
+            job.record.has_cancellation_key = rec.has_cancellation_key();
             let id = job.id.clone();
             if cancelled && !job.cancelled {
                 job.cancelled = true;
@@ -442,15 +402,15 @@
 
     /// A job that was not known has come.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
-        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.record.version >= version) {
+        if self.jobs.get(rec.submission.id.as_str()).is_some_and(|j| j.record.version >= version) {
             return;
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         let mut job = Job::new(rec, version);
-        job.image = self.image(&job.spec.image);
+        job.image = self.fleet.images.number(&job.spec.image);
         let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
-        self.scheduler.ranks_outdated = true;
+        self.scheduler.jobs_changed();
         if self.active {
             self.add_dependencies(ctx, &id);
             if cancelled {
@@ -465,7 +425,7 @@
     /// A job that may run has come: as much may come again.
     pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
         let Some(j) = self.jobs.get(id) else { return };
-        let rec = JobRecord { s: j.spec.clone(), at: j.accepted_at, x: false, k: false };
+        let rec = JobRecord::new(j.spec.clone(), j.accepted_at);
         self.autoscaler.arrivals.push_back((now, Job::new(rec, j.record.version)));
         if self.autoscaler.arrivals.len() > ARRIVALS {
             self.autoscaler.arrivals.pop_front();
@@ -496,8 +456,8 @@
                 self.remove_dependencies(&job);
             }
             self.dependency_vanished(ctx.now.monotonic_ms, &id);
-            self.scheduler.ranks_outdated = true;
-            self.scheduler.pass_wanted = true;
+            self.scheduler.jobs_changed();
+            self.scheduler.request_pass();
         }
     }
 
@@ -607,8 +567,7 @@
         if self.watch.retry_at.is_some_and(|t| now >= t) {
             self.watch(ctx);
         }
-        if now >= self.fleet.next_reachability_check {
-            self.fleet.next_reachability_check = now + ctx.settings.heartbeat_interval_ms() / 8;
+        if self.fleet.reachability.take_due_check(now, ctx.settings.heartbeat_interval_ms()) {
             self.expire_silent_machines(ctx);
             self.probe_overdue(ctx);
         }
@@ -624,13 +583,12 @@
             }
         }
         self.run_autoscaler(ctx);
-        if self.scheduler.pass_wanted && now >= self.scheduler.next_pass_at {
-            self.scheduler.pass_wanted = false;
+        if self.scheduler.begin_pass(now) {
             self.detect_zone_partitions(ctx);
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            self.scheduler.next_pass_at =
-                now + apart + (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            let lag_ms = (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            self.scheduler.delay_next_pass(now + apart + lag_ms);
             self.schedule(ctx);
         }
         self.commit(ctx);
@@ -680,11 +638,6 @@
         self.last_placement_id
     }
 
-    /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
-        FencingToken::new(self.epoch, m.agent.token_counter)
-    }
-
     pub(crate) fn new_machine(
         &self,
         ctx: &Context,
@@ -709,22 +662,16 @@
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         self.fleet.machines.take_room(machine, &p.need);
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let list = job.tasks.placements.entry(p.task).or_default();
-        if list.is_empty() && !job.tasks.done.get(p.task) {
-            job.tasks.placed_count += 1;
-        }
-        list.push(TaskPlacement {
+        let of_task = TaskPlacement {
             machine: machine.clone(),
             placement_id: p.placement_id,
             attempt: p.attempt,
             agent_epoch: p.agent_epoch,
             planned: p.stage == PlacementState::Planned,
-        });
-        *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
-        self.scheduler.usage_by_team.entry(job.spec.team.clone()).or_default().add(&p.need, 1);
-        let usage_by_class = self.scheduler.usage_by_class.entry(job.spec.class.clone()).or_default();
-        usage_by_class.all += 1;
-        usage_by_class.owned += i64::from(m.owned);
+        };
+        job.tasks.add_placement(p.task, of_task, &m.zone);
+        let ownership = Ownership::from_owned(m.owned);
+        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
     }
 
@@ -744,31 +691,11 @@
         }
         self.fleet.machines.give_room(machine, &p.need);
         let m = self.fleet.machines.get(machine)?;
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
-            if let Some(list) = job.tasks.placements.get_mut(&p.task) {
-                list.retain(|l| l.placement_id != placement_id);
-                if list.is_empty() {
-                    job.tasks.placements.remove(&p.task);
-                    job.tasks.first_free_hint = job.tasks.first_free_hint.min(p.task);
-                    if !job.tasks.done.get(p.task) {
-                        job.tasks.placed_count = job.tasks.placed_count.saturating_sub(1);
-                    }
-                }
-            }
-            if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
-                job.tasks.running_count = job.tasks.running_count.saturating_sub(1);
-            }
-            if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
-                *n = n.saturating_sub(1);
-            }
-            if let Some(t) = self.scheduler.usage_by_team.get_mut(&job.spec.team) {
-                t.add(&p.need, -1);
-            }
-            if let Some(usage_by_class) = self.scheduler.usage_by_class.get_mut(&job.spec.class) {
-                usage_by_class.all -= 1;
-                usage_by_class.owned -= i64::from(m.owned);
-            }
+            job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
+            let ownership = Ownership::from_owned(m.owned);
+            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
             if !done {
                 self.record_change(now, &p.job, p.task, false);
@@ -783,8 +710,7 @@
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> =
-            job.tasks.placements.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        let live: Vec<(Id, u64)> = job.tasks.placements().map(|l| (l.machine.clone(), l.placement_id)).collect();
         for (machine, placement_id) in live {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
@@ -797,7 +723,7 @@
         let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
         if p.sent {
             p.stop_grace_s = Some(0.0);
-            self.fleet.machines_to_call.insert(machine.clone());
+            self.fleet.calls.call_soon(machine.clone());
         } else {
             self.release_placement(now, machine, placement_id, false);
         }
@@ -805,7 +731,7 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count, j.tasks.running_count))
+        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
     }
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
@@ -816,7 +742,7 @@
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count, j.tasks.running_count))
+            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count(), j.tasks.running_count()))
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
