--- /dev/null
+++ b/crates/cli/src/settings/conversion.rs
@@ -0,0 +1,96 @@
+//! Turns a checked settings file into what the scheduler and the network are started with.
+
+use super::Platform;
+use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
+use shaleshunt_core::settings::{ComputeAmount, Limits, ServiceObjective, Settings, TeamQuota};
+use shaleshunt_net::{NetworkConfig, PeerAddress};
+use shaleshunt_wire::to_milli;
+use std::collections::BTreeMap;
+
+/// An objective without a multiple means the deadline itself.
+const DEFAULT_DEADLINE_MULTIPLE: f64 = 1.0;
+
+/// What a node is started with. The file has been checked.
+pub fn platform(file: SettingsFile) -> Platform {
+    let settings = settings(&file);
+    Platform { settings, network: network(file) }
+}
+
+fn settings(file: &SettingsFile) -> Settings {
+    let parameters = &file.params;
+    Settings {
+        node_name: file.name.clone(),
+        location: file.zone.clone(),
+        peers: file.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect(),
+        zones: parameters.zones.clone(),
+        teams: parameters.teams.iter().map(|entry| (entry.name.clone(), team(entry))).collect(),
+        objectives: objectives_by_class(&parameters.objectives),
+        heartbeat_interval_s: parameters.workers.heartbeat_interval_s,
+        lease_s: parameters.workers.lease_s,
+        cancel_s: parameters.workers.cancel_s,
+        kv_rps: parameters.kv.requests_per_s,
+        state: limits(&parameters.kv),
+        state_next: next_limits(&parameters.kv),
+        cloud_rps: parameters.cloud.requests_per_s,
+        machine_list_lag_s: parameters.cloud.max_list_age_s,
+        mem_mb: parameters.resources.memory_mib,
+        core_share: parameters.resources.cores,
+        sockets: parameters.resources.max_open_files,
+    }
+}
+
+fn network(file: SettingsFile) -> NetworkConfig {
+    let address = |peer: Peer| PeerAddress { name: peer.name, address: peer.address };
+    NetworkConfig {
+        client_address: file.client_address,
+        peer_address: file.peer_address,
+        peers: file.peers.into_iter().map(address).collect(),
+        kv_address: file.endpoints.kv,
+        cloud_address: file.endpoints.cloud,
+        max_sockets: file.params.resources.max_open_files,
+    }
+}
+
+fn team(entry: &TeamEntry) -> TeamQuota {
+    TeamQuota {
+        guarantee: compute_amount(entry.guaranteed_cpus, entry.guaranteed_gpus),
+        limit: compute_amount(entry.max_cpus, entry.max_gpus),
+    }
+}
+
+fn compute_amount(cpus: f64, gpus: f64) -> ComputeAmount {
+    ComputeAmount { cores: to_milli(cpus), accelerators: to_milli(gpus) }
+}
+
+/// Objectives by class.
+fn objectives_by_class(objectives: &[Objective]) -> BTreeMap<String, ServiceObjective> {
+    let mut by_class: BTreeMap<String, ServiceObjective> = BTreeMap::new();
+    for objective in objectives {
+        let Some(class) = &objective.class else { continue };
+        let of_class = by_class.entry(class.clone()).or_default();
+        match objective.kind {
+            ObjectiveKind::Start => of_class.start_s.extend(objective.within_s),
+            ObjectiveKind::Finish => of_class.finish_s.extend(objective.within_s),
+            ObjectiveKind::Deadline => {
+                of_class.deadline_multiples.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
+            }
+            ObjectiveKind::Unknown => {}
+        }
+    }
+    by_class
+}
+
+/// The key-value store's limits today.
+fn limits(kv: &KvLimits) -> Limits {
+    Limits { value_kb: kv.value_kib, txn_ops: kv.transaction_writes, write_rps: kv.writes_per_s }
+}
+
+/// The key-value store's limits that are to come; what is not named stays as it is today.
+fn next_limits(kv: &KvLimits) -> Option<Limits> {
+    let next = kv.next.as_ref()?;
+    Some(Limits {
+        value_kb: next.value_kib.unwrap_or(kv.value_kib),
+        txn_ops: next.transaction_writes.unwrap_or(kv.transaction_writes),
+        write_rps: next.writes_per_s.unwrap_or(kv.writes_per_s),
+    })
+}
--- a/crates/core/src/controller/peer_views/tests.rs
+++ b/crates/core/src/controller/peer_views/tests.rs
@@ -1,6 +1,6 @@
 use super::{PeerActivity, PeerViews};
-use crate::controller::peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
 use crate::settings::Settings;
+use shaleshunt_peer::{HeartbeatEcho, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 
 /// Peers are live for half of this.
