--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -316,3 +316,6 @@
         job.writes.page_of_task[*task as usize] = fact.page;
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/leader/store/pages/tests.rs
@@ -0,0 +1,157 @@
+use super::*;
+use crate::leader::store::transaction::TransactionLimits;
+use crate::model::TaskPlacement;
+use crate::model::samples::{AGENT, attempt, job};
+use shaleshunt_wire::kv::{Transaction, Write};
+
+const PAGE_BYTES: usize = 400;
+
+fn jobs_with(tasks: u32) -> BTreeMap<Id, Job> {
+    let job = job(tasks);
+    BTreeMap::from([(job.id.clone(), job)])
+}
+
+fn only_job(jobs: &mut BTreeMap<Id, Job>) -> &mut Job {
+    jobs.values_mut().next().unwrap()
+}
+
+fn builder() -> TransactionBuilder {
+    TransactionBuilder::new(TransactionLimits { writes: 24, conditions: 96 })
+}
+
+fn place(job: &mut Job, task: u32) {
+    let (placement_id, attempt) = (u64::from(task), attempt(u64::from(task) + 1));
+    let placement = TaskPlacement { machine: "vm-1".into(), placement_id, attempt, agent_epoch: AGENT, planned: true };
+    job.tasks.add_placement(task, placement, "a");
+    job.writes.tasks.insert(task, 1);
+}
+
+fn finish(job: &mut Job, tasks: impl IntoIterator<Item = u32>) {
+    for task in tasks {
+        job.mark_done(task);
+        job.writes.tasks.insert(task, 1);
+    }
+}
+
+/// Writes all that is pending of the job, in as many transactions as it takes; numbers of the pages.
+fn write(pages: &mut TaskPages, jobs: &mut BTreeMap<Id, Job>) -> Vec<u32> {
+    let mut written = Vec::new();
+    while !only_job(jobs).writes.tasks.is_empty() {
+        let (mut builder, mut changes) = (builder(), PageChanges::default());
+        pages.collect_facts(&mut builder, &mut changes, only_job(jobs), PAGE_BYTES);
+        pages.collect_drafts(&mut builder, &mut changes);
+        written.extend(changes.written.iter().map(PageDraft::number));
+        pages.apply_committed(changes, jobs, Revision(1));
+    }
+    written
+}
+
+/// What a new leader would read.
+fn stored(transaction: &Transaction, version: u64) -> Vec<KeyValue> {
+    let value_of = |write: &Write| match write {
+        Write::Set { set, v, .. } => {
+            Some(KeyValue { path: set.clone(), v: v.clone(), version: Revision(version), pass: None })
+        }
+        Write::Drop { .. } => None,
+    };
+    transaction.writes.iter().filter_map(value_of).collect()
+}
+
+#[test]
+fn the_newest_page_is_written_again_until_it_is_full() {
+    let (mut pages, mut jobs) = (TaskPages::default(), jobs_with(100));
+    finish(only_job(&mut jobs), [0]);
+    assert_eq!(write(&mut pages, &mut jobs), [1]);
+    finish(only_job(&mut jobs), [2]);
+    assert_eq!(write(&mut pages, &mut jobs), [1]);
+    finish(only_job(&mut jobs), (4..96).step_by(2));
+    assert_eq!(write(&mut pages, &mut jobs), [1, 2, 2], "twenty tasks at a time, until they don't fit");
+    assert_eq!((pages.len(), only_job(&mut jobs).writes.tasks.len()), (2, 0));
+}
+
+#[test]
+fn a_placement_requires_its_jobs_version_and_counts_once_committed() {
+    let (mut pages, mut jobs) = (TaskPages::default(), jobs_with(3));
+    place(only_job(&mut jobs), 1);
+    let (mut builder, mut changes) = (builder(), PageChanges::default());
+    pages.collect_facts(&mut builder, &mut changes, only_job(&mut jobs), PAGE_BYTES);
+    pages.collect_drafts(&mut builder, &mut changes);
+    assert_eq!(builder.required_version("j/wk-1"), Revision(1));
+    let planned = pages.apply_committed(changes, &mut jobs, Revision(7));
+    assert_eq!(planned, [PlannedPlacement { machine: "vm-1".into(), placement_id: 1 }]);
+}
+
+#[test]
+fn what_is_given_up_is_named_and_stays_pending() {
+    let (pages, mut jobs) = (TaskPages::default(), jobs_with(3));
+    place(only_job(&mut jobs), 1);
+    let (mut builder, mut changes) = (builder(), PageChanges::default());
+    pages.collect_facts(&mut builder, &mut changes, only_job(&mut jobs), PAGE_BYTES);
+    assert!(changes.has_drafts() && changes.has_facts_of(&"wk-1".into()));
+    let (given_up, planned) = changes.into_abandoned();
+    assert_eq!((given_up, planned.len()), (vec!["wk-1".into()], 1));
+    assert_eq!(only_job(&mut jobs).writes.tasks.len(), 1);
+}
+
+#[test]
+fn facts_without_room_wait() {
+    let (pages, mut jobs) = (TaskPages::default(), jobs_with(3));
+    finish(only_job(&mut jobs), [0]);
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 0, conditions: 0 });
+    let mut changes = PageChanges::default();
+    assert!(!pages.collect_facts(&mut builder, &mut changes, only_job(&mut jobs), PAGE_BYTES));
+    assert!(!changes.has_drafts());
+}
+
+#[test]
+fn a_page_that_nothing_refers_to_is_removed() {
+    let (mut pages, mut jobs) = (TaskPages::default(), jobs_with(100));
+    finish(only_job(&mut jobs), [0]);
+    write(&mut pages, &mut jobs);
+    finish(only_job(&mut jobs), (2..96).step_by(2));
+    write(&mut pages, &mut jobs);
+    assert_eq!(pages.len(), 2);
+    let job = jobs.remove("wk-1").unwrap();
+    pages.forget_job(&job);
+    let (mut builder, mut changes) = (builder(), PageChanges::default());
+    pages.collect_unreferenced(&mut builder, &mut changes);
+    assert_eq!(changes.removed, [1], "the newest one stays: it is written again");
+}
+
+#[test]
+fn an_old_page_of_which_little_counts_is_written_anew() {
+    let (mut pages, mut jobs) = (TaskPages::default(), jobs_with(100));
+    finish(only_job(&mut jobs), (0..60).step_by(2));
+    write(&mut pages, &mut jobs);
+    // Facts about all but a few of those tasks are on a newer page.
+    only_job(&mut jobs).writes.tasks.extend((4..60).step_by(2).map(|task| (task, 2)));
+    assert_eq!(write(&mut pages, &mut jobs), [2, 2]);
+    let compaction = pages.begin_compaction().unwrap();
+    assert_eq!((compaction.page, &compaction.jobs[..]), (1, &["wk-1".into()][..]));
+    assert!(pages.begin_compaction().is_none(), "one at a time");
+    only_job(&mut jobs).writes.tasks.extend([(0, 3), (2, 3)]);
+    write(&mut pages, &mut jobs);
+    assert!(pages.begin_compaction().is_none());
+    assert_eq!(only_job(&mut jobs).writes.page_of_task[0], 2);
+}
+
+#[test]
+fn a_new_leader_learns_the_last_fact_of_each_task() {
+    let (pages, mut jobs) = (TaskPages::default(), jobs_with(5));
+    finish(only_job(&mut jobs), [0]);
+    place(only_job(&mut jobs), 1);
+    let (mut builder, mut changes) = (builder(), PageChanges::default());
+    pages.collect_facts(&mut builder, &mut changes, only_job(&mut jobs), PAGE_BYTES);
+    pages.collect_drafts(&mut builder, &mut changes);
+
+    let (mut restored, mut jobs) = (TaskPages::default(), jobs_with(5));
+    let placements = restored.restore(stored(builder.transaction(), 9), &mut jobs);
+    let [placement] = &placements[..] else { panic!("one task was placed") };
+    assert_eq!((&*placement.job, placement.task, &*placement.machine), ("wk-1", 1, "vm-1"));
+    assert_eq!((placement.agent_epoch, placement.attempt), (AGENT, attempt(2)));
+    let job = only_job(&mut jobs);
+    assert!(job.tasks.is_done(0) && job.tasks.started() && job.tasks.done_count() == 1);
+    assert_eq!(job.writes.page_of_task, [1, 1, 0, 0, 0]);
+    finish(job, [2]);
+    assert_eq!(write(&mut restored, &mut jobs), [2], "what was read is not written again");
+}
--- a/crates/core/src/leader/store/split_submissions.rs
+++ b/crates/core/src/leader/store/split_submissions.rs
@@ -109,3 +109,6 @@
         self.parts.remove(job)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/store/unreferenced.rs
+++ b/crates/core/src/leader/store/unreferenced.rs
@@ -70,3 +70,6 @@
         Some(key)
     }
 }
+
+#[cfg(test)]
+mod tests;
