--- a/crates/core/src/leader/fleet/interruption.rs
+++ b/crates/core/src/leader/fleet/interruption.rs
@@ -31,3 +31,6 @@
 fn checkpoint_time_s(job: &Job) -> f64 {
     if job.spec.checkpoint_interval_s > 0.0 { job.spec.checkpoint_duration_s } else { 0.0 }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/leader/fleet/interruption/tests.rs
@@ -0,0 +1,57 @@
+use super::*;
+use crate::model::{PlacementState, samples};
+use shaleshunt_wire::user::JobKind;
+
+const NOW: u64 = 100_000;
+
+/// A machine that is taken away in so many seconds, with a task that runs since a time.
+fn machine(left_s: Option<u64>, running: Option<u64>) -> Machine {
+    let mut machine = samples::machine("vm-1");
+    machine.lifecycle.preempted_at = left_s.map(|left_s| NOW + left_s * 1000);
+    machine.placements.push(Placement { running, ..samples::placement(PlacementState::Running) });
+    machine
+}
+
+fn jobs(change: impl FnOnce(&mut Job)) -> BTreeMap<Id, Job> {
+    let mut job = samples::job(4);
+    change(&mut job);
+    BTreeMap::from([(job.id.clone(), job)])
+}
+
+#[test]
+fn what_cannot_finish_in_time_is_stopped() {
+    let began_50_s_ago = Some(NOW - 50_000);
+    let cases = [
+        ("no notice", machine(None, None), None),
+        ("not begun, 60 s to run, 60 s left", machine(Some(60), None), None),
+        ("not begun, 60 s to run, 59 s left", machine(Some(59), None), Some(0.0)),
+        ("10 s to run, 10 s left", machine(Some(10), began_50_s_ago), None),
+        ("10 s to run, 9 s left", machine(Some(9), began_50_s_ago), Some(0.0)),
+    ];
+    for (name, mut machine, expected) in cases {
+        let any = stop_before_interruption(&mut machine, &jobs(|_| ()), NOW);
+        assert_eq!((any, machine.placements[0].stop_grace_s), (expected.is_some(), expected), "{name}");
+    }
+}
+
+#[test]
+fn a_service_is_always_stopped_and_a_job_with_checkpoints_gets_time_to_save() {
+    let service = jobs(|job| job.spec.kind = JobKind::Service);
+    let with_checkpoints = jobs(|job| {
+        job.spec.checkpoint_interval_s = 30.0;
+        job.spec.checkpoint_duration_s = 5.0;
+    });
+    for (jobs, left_s, grace_s) in [(service, 600, 0.0), (with_checkpoints, 20, 5.0)] {
+        let mut machine = machine(Some(left_s), None);
+        assert!(stop_before_interruption(&mut machine, &jobs, NOW));
+        assert_eq!(machine.placements[0].stop_grace_s, Some(grace_s));
+    }
+}
+
+#[test]
+fn what_is_to_stop_already_is_left_as_it_is() {
+    let mut machine = machine(Some(1), None);
+    machine.placements[0].stop_grace_s = Some(7.0);
+    assert!(!stop_before_interruption(&mut machine, &jobs(|_| ()), NOW));
+    assert_eq!(machine.placements[0].stop_grace_s, Some(7.0));
+}
--- a/crates/core/src/leader/fleet/probes.rs
+++ b/crates/core/src/leader/fleet/probes.rs
@@ -29,3 +29,6 @@
 fn may_be_probed(machine: &Machine, now: u64) -> bool {
     !machine.owned && !machine.placements.is_empty() && machine.call.is_idle() && now >= machine.call.not_before()
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -103,3 +103,6 @@
         self.few_overdue = overdue <= (machines / 50).max(2);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/model/agent.rs
+++ b/crates/core/src/model/agent.rs
@@ -99,3 +99,6 @@
         !self.endpoint.is_empty() && self.epoch > AgentEpoch::NONE
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/model/agent/tests.rs
@@ -0,0 +1,31 @@
+use super::*;
+
+fn order(agent_epoch: u64, sequence: u64) -> HeartbeatOrder {
+    HeartbeatOrder { agent_epoch: AgentEpoch(agent_epoch), sequence }
+}
+
+#[test]
+fn a_heartbeat_is_outdated_if_a_later_one_was_taken() {
+    let mut agent = Agent { epoch: AgentEpoch(2), ..Agent::default() };
+    let outdated = |agent: &Agent| {
+        [order(1, 9), order(2, 0), order(2, 4), order(2, 5), order(3, 0)].map(|heartbeat| agent.is_outdated(heartbeat))
+    };
+    // Known from its record alone: any heartbeat of its agent epoch or a later one counts.
+    assert_eq!(outdated(&agent), [true, false, false, false, false]);
+    agent.heard(order(2, 4), 100);
+    assert_eq!(outdated(&agent), [true, true, true, false, false]);
+    agent.heard(order(3, 0), 200);
+    assert_eq!(outdated(&agent), [true; 5]);
+    assert_eq!((agent.epoch, agent.last_heard), (AgentEpoch(3), Some(200)));
+}
+
+#[test]
+fn a_raised_token_has_to_be_confirmed_anew() {
+    let mut agent = Agent { unacknowledged_commands: 3, ..Agent::default() };
+    let first = agent.token(Epoch(7));
+    assert!(agent.confirm_token() && !agent.confirm_token());
+    assert_eq!(agent.unacknowledged_commands, 0);
+    agent.raise_token();
+    assert!(!agent.token_confirmed && agent.token(Epoch(7)) > first);
+    assert_eq!(agent.token(Epoch(7)).epoch(), Epoch(7));
+}
--- a/crates/core/src/model/machine.rs
+++ b/crates/core/src/model/machine.rs
@@ -142,3 +142,6 @@
         self.placements.iter_mut().find(|placement| placement.placement_id == placement_id)
     }
 }
+
+#[cfg(test)]
+mod tests;
