--- a/crates/core/src/leader/fleet/machines.rs
+++ b/crates/core/src/leader/fleet/machines.rs
@@ -4,7 +4,7 @@
 //! machines are also kept by the CPUs that they have free: what is asked then grows with those, not with
 //! the fleet.
 
-use crate::model::{Id, Machine};
+use crate::model::{Id, Machine, Placement};
 use shaleshunt_wire::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
@@ -52,14 +52,25 @@
         Some(machine)
     }
 
-    /// A task takes room on a machine.
-    pub(crate) fn take_room(&mut self, id: &str, need: &Resources) {
-        self.change(id, |machine| machine.capacity.used.add(need, 1));
+    /// Puts a placement on a machine, which takes room there. Returns the machine, if it is known.
+    pub(crate) fn add_placement(&mut self, id: &str, placement: Placement) -> Option<&Machine> {
+        let need = placement.need;
+        self.change(id, |machine| machine.capacity.used.add(&need, 1));
+        let machine = self.machines.get_mut(id)?;
+        machine.placements.push(placement);
+        Some(machine)
     }
 
-    /// A task's room on a machine is free again.
-    pub(crate) fn give_room(&mut self, id: &str, need: &Resources) {
-        self.change(id, |machine| machine.capacity.used.add(need, -1));
+    /// Takes a placement off a machine, by its number; its room is free again.
+    pub(crate) fn remove_placement(&mut self, id: &str, placement_id: u64, now: u64) -> Option<Placement> {
+        let machine = self.machines.get_mut(id)?;
+        let at = machine.placements.iter().position(|placement| placement.placement_id == placement_id)?;
+        let placement = machine.placements.remove(at);
+        if machine.placements.is_empty() {
+            machine.lifecycle.idle_since = now;
+        }
+        self.change(id, |machine| machine.capacity.used.add(&placement.need, -1));
+        Some(placement)
     }
 
     /// All the room that a machine has became known.
--- a/crates/core/src/leader/fleet/machines/tests.rs
+++ b/crates/core/src/leader/fleet/machines/tests.rs
@@ -1,13 +1,15 @@
 use super::*;
-use crate::io::Timestamp;
-use crate::model::Capacity;
+use crate::model::{Capacity, PlacementState, samples};
+
+const NOW: u64 = 9;
+
+fn placement(placement_id: u64, need: Resources) -> Placement {
+    Placement { placement_id, need, ..samples::placement(PlacementState::Planned) }
+}
 
 fn machine(number: u32, cores: f64) -> Machine {
-    let id = format!("vm-{number:06}").as_str().into();
-    Machine {
-        capacity: Capacity { total: Resources::new(cores, 0.0, 64.0), used: Resources::default() },
-        ..Machine::new(id, Timestamp { monotonic_ms: 1, wall_ms: 1 })
-    }
+    let capacity = Capacity { total: Resources::new(cores, 0.0, 64.0), used: Resources::default() };
+    Machine { capacity, ..samples::machine(&format!("vm-{number:06}")) }
 }
 
 fn names<'a>(machines: impl Iterator<Item = &'a Machine>) -> Vec<&'a str> {
@@ -23,15 +25,16 @@
     let need = Resources::new(4.0, 0.0, 1.0);
     // Fill all but the last two, one of these in part.
     for number in 0..99 {
-        for _ in 0..if number == 98 { 2 } else { 4 } {
-            fleet.take_room(&format!("vm-{number:06}"), &need);
+        for placement_id in 0..if number == 98 { 2 } else { 4 } {
+            fleet.add_placement(&format!("vm-{number:06}"), placement(placement_id, need));
         }
     }
     assert!(fleet.consistent());
     assert_eq!(names(fleet.fullest_first(need.cores)), ["vm-000098", "vm-000099"]);
     assert_eq!(names(fleet.emptiest_first(need.cores)), ["vm-000099", "vm-000098"]);
     assert_eq!(names(fleet.with_cores(Resources::new(10.0, 0.0, 1.0).cores)), ["vm-000099"]);
-    fleet.give_room("vm-000007", &need);
+    assert!(fleet.remove_placement("vm-000007", 3, NOW).is_some());
+    assert!(fleet.remove_placement("vm-000007", 3, NOW).is_none());
     assert_eq!(names(fleet.fullest_first(need.cores))[0], "vm-000007");
     assert_eq!(fleet.count_with_cores(need.cores), 3);
     assert!(fleet.remove("vm-000007").is_some() && fleet.remove("vm-000007").is_none());
@@ -64,3 +67,22 @@
     }
     assert!(!fleet.consistent());
 }
+
+#[test]
+fn a_machine_is_idle_from_when_its_last_placement_is_removed() {
+    let mut fleet = MachineIndex::default();
+    fleet.insert(machine(1, 16.0));
+    let need = Resources::new(4.0, 0.0, 1.0);
+    for placement_id in [1, 2] {
+        let machine = fleet.add_placement("vm-000001", placement(placement_id, need));
+        assert!(machine.is_some_and(|machine| machine.placement(placement_id).is_some()));
+    }
+    assert!(fleet.add_placement("vm-000002", placement(3, need)).is_none());
+    let idle_since = |fleet: &MachineIndex| fleet["vm-000001"].lifecycle.idle_since;
+    let before = idle_since(&fleet);
+    fleet.remove_placement("vm-000001", 1, NOW);
+    assert_eq!(idle_since(&fleet), before);
+    fleet.remove_placement("vm-000001", 2, NOW);
+    assert_eq!(idle_since(&fleet), NOW);
+    assert!(fleet.consistent() && fleet["vm-000001"].capacity.used == Resources::default());
+}
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -6,6 +6,7 @@
 pub(crate) mod fleet;
 mod heartbeats;
 mod machine_failures;
+mod placements;
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
 mod silent_machines;
@@ -21,7 +22,6 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::Recovery;
 use crate::leader::scheduler::Scheduler;
-use crate::leader::scheduler::usage::Ownership;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
@@ -29,7 +29,7 @@
 use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -638,97 +638,6 @@
         self.last_placement_id
     }
 
-    pub(crate) fn new_machine(
-        &self,
-        ctx: &Context,
-        id: &Id,
-        machine_type: &str,
-        zone: &str,
-        spot: bool,
-        owned: bool,
-    ) -> Machine {
-        let resources =
-            ctx.catalog.as_ref().and_then(|c| c.machine_type(machine_type)).map(|f| f.resources()).unwrap_or_default();
-        let (machine_type, zone) = (machine_type.to_string(), zone.to_string());
-        let capacity = Capacity { total: resources, used: Resources::default() };
-        Machine { machine_type, zone, spot, owned, capacity, ..Machine::new(id.clone(), ctx.now) }
-    }
-
-    /// Puts a placement on a machine and counts it everywhere.
-    pub(crate) fn add_placement(&mut self, machine: &Id, p: Placement) {
-        if !self.fleet.machines.contains_key(machine) {
-            return;
-        }
-        let Some(job) = self.jobs.get_mut(&p.job) else { return };
-        self.fleet.machines.take_room(machine, &p.need);
-        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let of_task = TaskPlacement {
-            machine: machine.clone(),
-            placement_id: p.placement_id,
-            attempt: p.attempt,
-            agent_epoch: p.agent_epoch,
-            planned: p.stage == PlacementState::Planned,
-        };
-        job.tasks.add_placement(p.task, of_task, &m.zone);
-        let ownership = Ownership::from_owned(m.owned);
-        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
-        m.placements.push(p);
-    }
-
-    /// Takes a placement off a machine; the caller has the proof that it is gone.
-    pub(crate) fn release_placement(
-        &mut self,
-        now: u64,
-        machine: &Id,
-        placement_id: u64,
-        done: bool,
-    ) -> Option<Placement> {
-        let m = self.fleet.machines.get_mut(machine)?;
-        let at = m.placements.iter().position(|p| p.placement_id == placement_id)?;
-        let p = m.placements.remove(at);
-        if m.placements.is_empty() {
-            m.lifecycle.idle_since = now;
-        }
-        self.fleet.machines.give_room(machine, &p.need);
-        let m = self.fleet.machines.get(machine)?;
-        self.scheduler.request_pass();
-        if let Some(job) = self.jobs.get_mut(&p.job) {
-            job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
-            let ownership = Ownership::from_owned(m.owned);
-            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
-            let cancelled = job.cancelled;
-            if !done {
-                self.record_change(now, &p.job, p.task, false);
-            }
-            if cancelled {
-                self.queue_write(now, &p.job);
-            }
-        }
-        Some(p)
-    }
-
-    /// Stops all tasks of a cancelled job. What never left is released at once.
-    pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> = job.tasks.placements().map(|l| (l.machine.clone(), l.placement_id)).collect();
-        for (machine, placement_id) in live {
-            self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
-        }
-        self.queue_write(ctx.now.monotonic_ms, id);
-    }
-
-    /// Stops a task at once; one whose `run` never left is released.
-    pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
-        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
-        if p.sent {
-            p.stop_grace_s = Some(0.0);
-            self.fleet.calls.call_soon(machine.clone());
-        } else {
-            self.release_placement(now, machine, placement_id, false);
-        }
-    }
-
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
         self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
--- /dev/null
+++ b/crates/core/src/leader/placements.rs
@@ -0,0 +1,98 @@
+//! Placements as they come and go: on the machine, at the job, in what classes and teams use, and in
+//! what is to be written. Here alone a placement is added or removed, so that these agree.
+
+use crate::controller::Context;
+use crate::leader::Leader;
+use crate::leader::scheduler::usage::Ownership;
+use crate::model::{Capacity, Id, Machine, Placement, PlacementState, TaskPlacement};
+use shaleshunt_wire::Resources;
+
+impl Leader {
+    /// A machine with what is known of it, not yet among the others.
+    pub(crate) fn new_machine(
+        &self,
+        ctx: &Context,
+        id: &Id,
+        machine_type: &str,
+        zone: &str,
+        spot: bool,
+        owned: bool,
+    ) -> Machine {
+        let in_catalog = ctx.catalog.as_ref().and_then(|catalog| catalog.machine_type(machine_type));
+        let total = in_catalog.map(|machine_type| machine_type.resources()).unwrap_or_default();
+        Machine {
+            machine_type: machine_type.to_string(),
+            zone: zone.to_string(),
+            spot,
+            owned,
+            capacity: Capacity { total, used: Resources::default() },
+            ..Machine::new(id.clone(), ctx.now)
+        }
+    }
+
+    /// Puts a placement on a machine, if that and the job are known.
+    pub(crate) fn add_placement(&mut self, machine: &Id, placement: Placement) {
+        let Some(job) = self.jobs.get_mut(&placement.job) else { return };
+        let of_task = TaskPlacement {
+            machine: machine.clone(),
+            placement_id: placement.placement_id,
+            attempt: placement.attempt,
+            agent_epoch: placement.agent_epoch,
+            planned: placement.stage == PlacementState::Planned,
+        };
+        let (task, need) = (placement.task, placement.need);
+        let Some(m) = self.fleet.machines.add_placement(machine, placement) else { return };
+        job.tasks.add_placement(task, of_task, &m.zone);
+        let ownership = Ownership::from_owned(m.owned);
+        self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &need, ownership);
+    }
+
+    /// Takes a placement off a machine; the caller has the proof that it is gone. Of one that is
+    /// `done` nothing is written here: its outcome will be.
+    pub(crate) fn release_placement(
+        &mut self,
+        now: u64,
+        machine: &Id,
+        placement_id: u64,
+        done: bool,
+    ) -> Option<Placement> {
+        let placement = self.fleet.machines.remove_placement(machine, placement_id, now)?;
+        let m = self.fleet.machines.get(machine)?;
+        self.scheduler.request_pass();
+        if let Some(job) = self.jobs.get_mut(&placement.job) {
+            job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.stage.is_running());
+            let ownership = Ownership::from_owned(m.owned);
+            self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &placement.need, ownership);
+            let cancelled = job.cancelled;
+            if !done {
+                self.record_change(now, &placement.job, placement.task, false);
+            }
+            if cancelled {
+                self.queue_write(now, &placement.job);
+            }
+        }
+        Some(placement)
+    }
+
+    /// Stops all tasks of a cancelled job. What never left is released at once.
+    pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
+        let Some(job) = self.jobs.get(id) else { return };
+        let placements: Vec<(Id, u64)> = job.tasks.placements().map(|p| (p.machine.clone(), p.placement_id)).collect();
+        for (machine, placement_id) in placements {
+            self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
+        }
+        self.queue_write(ctx.now.monotonic_ms, id);
+    }
+
+    /// Stops a task at once; one whose start command never left is released.
+    pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
+        let Some(m) = self.fleet.machines.get_mut(machine) else { return };
+        let Some(placement) = m.placement_mut(placement_id) else { return };
+        if placement.sent {
+            placement.stop_grace_s = Some(0.0);
+            self.fleet.calls.call_soon(machine.clone());
+        } else {
+            self.release_placement(now, machine, placement_id, false);
+        }
+    }
+}
