--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,6 +1,7 @@
 //! Commands that go into a controller, effects that come out, and the requests and replies that they carry.
 
 use crate::event::Event;
+pub use crate::model::{RequestId, Timestamp};
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::{Catalog, ListPage, ScaleOutRequest};
@@ -8,15 +9,6 @@
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply};
 
-/// The time of a batch of commands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timestamp {
-    /// Steady clock, in milliseconds.
-    pub monotonic_ms: u64,
-    /// Time of day, in milliseconds since the Unix epoch; only for deadlines, never for safety.
-    pub wall_ms: u64,
-}
-
 /// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum KvRequest {
@@ -157,9 +149,6 @@
     Fenced(Heartbeat),
 }
 
-/// Identifies a request until its reply.
-pub type RequestId = u64;
-
 /// Something that happened outside, to be taken in by the controller.
 #[derive(Debug)]
 pub enum Command {
--- a/crates/core/src/model/machine.rs
+++ b/crates/core/src/model/machine.rs
@@ -1,7 +1,6 @@
 //! A machine: what it is, what it holds, what its agent has said and been told.
 
-use super::{Agent, DirectCall, Id, ImageCache, MachineHealth, Placement};
-use crate::io::Timestamp;
+use super::{Agent, DirectCall, Id, ImageCache, MachineHealth, Placement, Timestamp};
 use crate::settings::Settings;
 use shaleshunt_wire::Resources;
 
--- a/crates/core/src/model/mod.rs
+++ b/crates/core/src/model/mod.rs
@@ -1,4 +1,11 @@
-//! Jobs, machines and placements.
+//! Jobs, machines and placements, as the leader knows them. Nothing here knows who uses it.
+//!
+//! - [`Job`] and [`Machine`] group what belongs together in small structs. A task on a machine is a
+//!   [`Placement`] there and a [`TaskPlacement`] at its job; `leader/placements.rs` keeps the two the
+//!   same.
+//! - [`TaskProgress`], [`DirectCall`] and [`ImageCache`] keep what must hold between their fields:
+//!   these are private.
+//! - Times are in milliseconds, monotonic unless said otherwise.
 
 mod agent;
 mod block;
@@ -12,6 +19,7 @@
 pub(crate) mod samples;
 mod task_progress;
 mod task_set;
+mod timestamp;
 
 pub use agent::{Agent, HeartbeatOrder, UnexpectedTask};
 pub use block::Block;
@@ -23,6 +31,7 @@
 pub use placement::{Placement, PlacementState, TaskPlacement};
 pub use task_progress::{RunTimes, TaskProgress};
 pub use task_set::TaskSet;
+pub use timestamp::Timestamp;
 
 pub use crate::records::{FinalRecord, JobRecord, keys};
 
@@ -30,3 +39,6 @@
 
 /// A job's or machine's name.
 pub type Id = Arc<str>;
+
+/// Identifies a request until its reply.
+pub type RequestId = u64;
--- a/crates/core/src/model/placement.rs
+++ b/crates/core/src/model/placement.rs
@@ -3,18 +3,18 @@
 use super::Id;
 use shaleshunt_wire::{AgentEpoch, Attempt, Resources};
 
-/// How far a placement is.
+/// How far a placement is. It is planned, then committed; the rest is as its machine shows it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementState {
     /// Not committed: nothing may leave.
     Planned,
-    /// Committed; the machine has not shown it.
+    /// Committed; no heartbeat has shown it.
     Committed,
     /// Waiting for its image.
     Fetching,
     /// Running.
     Running,
-    /// Saving.
+    /// Saving a checkpoint.
     Checkpointing,
 }
 
@@ -28,43 +28,43 @@
 /// A task on a machine, from the plan until it is proven gone.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// Job.
+    /// The job.
     pub job: Id,
-    /// Task.
+    /// Number of the task in the job.
     pub task: u32,
-    /// Attempt.
+    /// The attempt at the task.
     pub attempt: Attempt,
-    /// The machine's session that it is for: gone in any newer one.
+    /// The agent epoch that it is for: gone in any newer one.
     pub agent_epoch: AgentEpoch,
     /// Its number inside this process.
     pub placement_id: u64,
-    /// Room it takes.
+    /// Room that it takes.
     pub need: Resources,
     /// Number of its image.
     pub image: u32,
     /// How far it is.
     pub stage: PlacementState,
-    /// Whether a `run` may have left.
+    /// Whether a command to start it may have left.
     pub sent: bool,
-    /// When it was planned (steady clock).
+    /// When it was planned (ms, monotonic).
     pub since: u64,
-    /// When it was first seen running.
+    /// When it was first seen running (ms, monotonic).
     pub running: Option<u64>,
-    /// It is to stop, with this time to save.
+    /// It is to stop, with this time to save a checkpoint.
     pub stop_grace_s: Option<f64>,
 }
 
 /// Where a task of a job is.
 #[derive(Debug, Clone)]
 pub struct TaskPlacement {
-    /// Machine.
+    /// The machine.
     pub machine: Id,
     /// The placement's number inside this process.
     pub placement_id: u64,
-    /// Attempt.
+    /// The attempt at the task.
     pub attempt: Attempt,
-    /// The machine's session.
+    /// The agent epoch that it is for.
     pub agent_epoch: AgentEpoch,
-    /// Not committed yet.
+    /// It is not committed yet.
     pub planned: bool,
 }
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -1,7 +1,6 @@
 //! Jobs, machines and placements for unit tests.
 
-use super::{Job, Machine, Placement, PlacementState};
-use crate::io::Timestamp;
+use super::{Job, Machine, Placement, PlacementState, Timestamp};
 use crate::records::JobRecord;
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
