--- a/crates/core/src/controller/relay/tests.rs
+++ b/crates/core/src/controller/relay/tests.rs
@@ -1,7 +1,7 @@
 use super::{Relay, RelayDecision, RelayInputs};
-use crate::controller::peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
 use crate::controller::peer_views::PeerViews;
 use crate::settings::Settings;
+use shaleshunt_peer::{HeartbeatEcho, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 
 const INTERVAL_MS: u64 = 4000;
