--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -176,3 +176,6 @@
         Ok(())
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/api/acceptance/tests.rs
@@ -0,0 +1,111 @@
+use super::*;
+use crate::api::tests::pending;
+use crate::settings::{Limits, Settings};
+
+fn limits(value_kb: f64, txn_ops: usize) -> StoreLimits {
+    StoreLimits::new(&Settings { state: Limits { value_kb, txn_ops, write_rps: 100.0 }, ..Settings::default() })
+}
+
+/// A queue that takes as many submissions into a batch as the store allows.
+fn grown(limits: &StoreLimits) -> AcceptanceQueue {
+    let mut queue = AcceptanceQueue::default();
+    for _ in 0..10 {
+        queue.grow_batches(limits);
+    }
+    queue
+}
+
+fn requests(submissions: &[PendingSubmission]) -> Vec<u64> {
+    submissions.iter().map(|submission| submission.request).collect()
+}
+
+#[test]
+fn a_job_is_created_only_if_neither_of_its_records_exists() {
+    let limits = limits(64.0, 100);
+    for (cancelled_by_dependency, key) in [(false, "j/wk-1"), (true, "f/wk-1")] {
+        let mut queue = AcceptanceQueue::default();
+        queue.push(PendingSubmission { cancelled_by_dependency, ..pending(1, "wk-1", 0) });
+        let batch = queue.next_batch(&limits).unwrap();
+        let conditions = ["j/wk-1", "f/wk-1"].map(|path| Condition { path: path.into(), version: Revision::ABSENT });
+        assert_eq!(batch.transaction.conditions, conditions);
+        assert!(matches!(&batch.transaction.writes[..], [Write::Set { set, .. }] if set == key));
+    }
+}
+
+#[test]
+fn a_job_that_is_in_the_batch_already_and_a_large_one_are_left_out() {
+    let limits = limits(1.0, 100);
+    let mut queue = grown(&limits);
+    let mut large = pending(3, "wk-3", 0);
+    large.submission.dependencies = (0..100).map(|number| format!("wk-{number:010}")).collect();
+    for submission in [pending(1, "wk-1", 0), pending(2, "wk-1", 0), large, pending(4, "wk-4", 0)] {
+        queue.push(submission);
+    }
+    let batch = queue.next_batch(&limits).unwrap();
+    assert_eq!(requests(&batch.submissions), [1, 4]);
+    assert_eq!((requests(&batch.duplicates), requests(&batch.oversized)), (vec![2], vec![3]));
+    assert_eq!(batch.transaction.writes.len(), 2);
+}
+
+#[test]
+fn a_full_transaction_leaves_the_rest_in_the_queue() {
+    let limits = limits(64.0, 10_000);
+    let mut queue = grown(&limits);
+    for request in 0..1000 {
+        queue.push(pending(request, &format!("wk-{request}"), 0));
+    }
+    let batch = queue.next_batch(&limits).unwrap();
+    let body = serde_json::to_string(&batch.transaction).unwrap();
+    assert!(body.len() <= MAX_BODY && body.len() > MAX_BODY / 2, "{}", body.len());
+    assert_eq!(queue.len(), 1000 - batch.submissions.len());
+    let next = queue.next_batch(&limits).unwrap();
+    assert_eq!(next.submissions[0].request, batch.submissions.len() as u64);
+}
+
+#[test]
+fn batches_begin_with_one_grow_with_success_and_shrink_with_throttling() {
+    let limits = limits(64.0, 10);
+    let mut queue = AcceptanceQueue::default();
+    for request in 0..100 {
+        queue.push(pending(request, &format!("wk-{request}"), 0));
+    }
+    for expected in [1, 2, 4, 8, 10, 10] {
+        let batch = queue.next_batch(&limits).unwrap();
+        assert_eq!(batch.submissions.len(), expected);
+        queue.finish();
+        queue.grow_batches(&limits);
+    }
+    let batch = queue.next_batch(&limits).unwrap();
+    let first = batch.submissions[0].request;
+    queue.finish();
+    queue.retry_in_smaller_batches(batch.submissions);
+    let smaller = queue.next_batch(&limits).unwrap();
+    assert_eq!(requests(&smaller.submissions), (first..first + 5).collect::<Vec<_>>());
+}
+
+#[test]
+fn two_transactions_are_in_flight_at_most_and_empty_ones_do_not_count() {
+    let limits = limits(1.0, 10);
+    let mut queue = AcceptanceQueue::default();
+    let mut large = pending(9, "wk-9", 0);
+    large.submission.image = "x".repeat(2000);
+    queue.push(large);
+    assert!(queue.next_batch(&limits).unwrap().submissions.is_empty());
+    for request in 0..3 {
+        queue.push(pending(request, &format!("wk-{request}"), 0));
+    }
+    assert!(queue.next_batch(&limits).is_some() && queue.next_batch(&limits).is_some());
+    assert!(queue.next_batch(&limits).is_none());
+    queue.finish();
+    assert!(queue.next_batch(&limits).is_some());
+}
+
+#[test]
+fn submissions_are_overdue_after_their_users_patience() {
+    let mut queue = AcceptanceQueue::default();
+    queue.push(pending(1, "wk-1", 100));
+    queue.push(pending(2, "wk-2", 200));
+    assert!(queue.pop_overdue(1100, 1000).is_none());
+    assert_eq!(queue.pop_overdue(1101, 1000).unwrap().request, 1);
+    assert!(queue.pop_overdue(1101, 1000).is_none());
+}
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -40,3 +40,6 @@
         JobKind::Service | JobKind::Gang => i64::from(submission.tasks),
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/answers.rs
+++ b/crates/core/src/api/answers.rs
@@ -106,3 +106,6 @@
     };
     JobView { id: job.to_string(), status, done, running: None }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/comparisons.rs
+++ b/crates/core/src/api/comparisons.rs
@@ -2,8 +2,8 @@
 //! whether their records still have the known revisions. That is as fresh as reads, at a fraction of
 //! the requests.
 
+use crate::api::job_query::JobQuery;
 use crate::api::known_jobs::KnownJobs;
-use crate::api::queries::JobQuery;
 use crate::records::keys;
 use shaleshunt_wire::kv::{Condition, Transaction};
 use std::collections::VecDeque;
@@ -103,3 +103,6 @@
         self.queries.push(query);
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/dependencies.rs
+++ b/crates/core/src/api/dependencies.rs
@@ -103,3 +103,6 @@
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/core/src/api/dependencies/tests.rs
@@ -0,0 +1,93 @@
+use super::*;
+use crate::api::known_jobs::UnfinishedJob;
+use shaleshunt_wire::Revision;
+
+const SINCE: BatchTime = BatchTime { step: 5, at: 50 };
+const LATER: BatchTime = BatchTime { step: 6, at: 60 };
+const EARLIER: BatchTime = BatchTime { step: 4, at: 40 };
+
+fn names(jobs: &[&str]) -> Vec<String> {
+    jobs.iter().map(|job| job.to_string()).collect()
+}
+
+fn unfinished(confirmed_at: BatchTime, dependencies: &[&str]) -> UnfinishedJob {
+    UnfinishedJob { revision: Revision(1), dependencies: names(dependencies), confirmed_at }
+}
+
+/// Jobs whose names tell what is known of them.
+fn known() -> KnownJobs {
+    let mut known = KnownJobs::new(10_000);
+    known.record_final("done", FinalState::Done { tasks: 1 });
+    known.record_final("cancelled", FinalState::Cancelled);
+    known.record_unfinished("fresh", unfinished(LATER, &[]));
+    known.record_unfinished("stale", unfinished(EARLIER, &["cancelled"]));
+    known.record_unfinished("same_batch", unfinished(SINCE, &[]));
+    known.record_unfinished("after_done", unfinished(LATER, &["done"]));
+    known.record_unfinished("after_cancelled", unfinished(LATER, &["cancelled"]));
+    known.record_unfinished("after_stale", unfinished(LATER, &["stale"]));
+    known.record_unfinished("after_unknown", unfinished(LATER, &["unknown"]));
+    known.record_unfinished("circle", unfinished(LATER, &["circle"]));
+    known
+}
+
+#[test]
+fn dependencies_are_followed_through_what_is_known_since_the_query() {
+    let unknown = |jobs: &[&str]| DependencyState::Unknown(names(jobs));
+    let cases: [(&[&str], DependencyState); 14] = [
+        (&[], DependencyState::Clear),
+        (&["done", "fresh", "same_batch"], DependencyState::Clear),
+        (&["after_done"], DependencyState::Clear),
+        (&["circle"], DependencyState::Clear),
+        (&["cancelled"], DependencyState::Cancelled),
+        (&["after_cancelled"], DependencyState::Cancelled),
+        (&["done", "cancelled", "fresh"], DependencyState::Cancelled),
+        (&["unknown"], unknown(&["unknown"])),
+        (&["stale"], unknown(&["stale"])),
+        (&["after_stale"], unknown(&["stale"])),
+        (&["after_unknown", "unknown", "done"], unknown(&["unknown"])),
+        // With a cancelled one, only what is named and may never have been accepted matters.
+        (&["cancelled", "unknown"], unknown(&["unknown"])),
+        (&["cancelled", "stale"], DependencyState::Cancelled),
+        (&["cancelled", "after_unknown"], DependencyState::Cancelled),
+    ];
+    for (dependencies, state) in cases {
+        let expected = DependencyReport { state, is_long: false };
+        assert_eq!(resolve(&known(), &names(dependencies), SINCE), expected, "{dependencies:?}");
+    }
+}
+
+#[test]
+fn the_last_named_is_followed_first() {
+    let report = resolve(&known(), &names(&["unknown", "after_stale", "other"]), SINCE);
+    assert_eq!(report.state, DependencyState::Unknown(names(&["other", "stale", "unknown"])));
+}
+
+#[test]
+fn more_jobs_than_are_looked_up_for_each_query_make_a_long_list() {
+    for (count, is_long) in [(LONG_LIST, false), (LONG_LIST + 1, true)] {
+        let jobs: Vec<String> = (0..count).map(|number| format!("wk-{number}")).collect();
+        assert_eq!(resolve(&known(), &jobs, SINCE).is_long, is_long);
+    }
+}
+
+#[test]
+fn a_bounded_number_of_long_lists_is_kept_for_a_while() {
+    let mut known = known();
+    let mut lists = LongDependencyLists::default();
+    for number in 0..=MAX_LONG_LISTS {
+        let job = format!("wk-{number}");
+        known.record_unfinished(&job, unfinished(LATER, &["stale"]));
+        lists.keep(&job, 100);
+    }
+    // The one too many is not kept; one that is kept may be prolonged.
+    assert_eq!(lists.refreshed_until_ms.len(), MAX_LONG_LISTS);
+    lists.keep("wk-0", 200);
+    lists.expire(100, &known);
+    assert_eq!(lists.refreshed_until_ms.keys().collect::<Vec<_>>(), ["wk-0"]);
+    assert_eq!(lists.stale_dependencies(&known, SINCE), Some(names(&["stale"])));
+    known.confirm_unfinished("stale", LATER);
+    assert_eq!(lists.stale_dependencies(&known, SINCE), None);
+    known.forget_unfinished("wk-0");
+    lists.expire(100, &known);
+    assert!(lists.refreshed_until_ms.is_empty());
+}
--- /dev/null
+++ b/crates/core/src/api/dependency_checks.rs
@@ -0,0 +1,109 @@
+//! Checks of the jobs that a job depends on: what is known, lookups of the rest, and the requests that
+//! wait for them.
+
+use crate::api::answers::{self, RefusalReason, UnavailableReason};
+use crate::api::dependencies::{self, DependencyReport, LOOKUPS_PER_ROUND};
+use crate::api::job_query::{JobQuery, QueryPurpose};
+use crate::api::lookups::{DeferredRequest, ResumedRequests};
+use crate::api::{Api, TaskProgress};
+use crate::controller::{BatchTime, Context};
+
+/// Share of the time limit of cancellations for which what was seen of dependencies counts as recent.
+const RECENT_SHARE: f64 = 0.25;
+
+impl Api {
+    /// What is known of the dependencies of a job that a user asks about; none for a lookup or if the
+    /// job's record is not known.
+    pub(super) fn dependency_report(
+        &mut self,
+        ctx: &Context,
+        query: &JobQuery,
+        since: BatchTime,
+    ) -> Option<DependencyReport> {
+        if query.is_dependency_lookup() {
+            return None;
+        }
+        let known = self.known.unfinished(&query.job)?;
+        let report = dependencies::resolve(&self.known, &known.dependencies, since);
+        if !report.is_long {
+            return Some(report);
+        }
+        // Thousands cannot all be looked up for each query. Then what was seen lately is enough, and a
+        // cancellation is told once it is in the job's own record: no controller tells it sooner.
+        self.long_lists.keep(&query.job, ctx.now_ms() + (ctx.settings.cancel_s * 1000.0) as u64);
+        let recent = recent_enough(ctx);
+        let since = BatchTime { at: since.at.min(recent.at), ..recent };
+        let state = dependencies::resolve(&self.known, &known.dependencies, since).state;
+        Some(DependencyReport { state, is_long: true })
+    }
+
+    /// Requests lookups of jobs: by comparison if their records are known, else by reads.
+    pub(super) fn look_up(&mut self, ctx: &Context, jobs: Vec<String>) {
+        for job in jobs.into_iter().take(LOOKUPS_PER_ROUND) {
+            if !self.lookups.request(&job) {
+                continue;
+            }
+            if self.known.unfinished(&job).is_some() {
+                let query = JobQuery::dependency_lookup(job, self.next_sequence());
+                self.comparisons.push(ctx.now_ms(), query);
+            } else {
+                self.lookups.push_read(job);
+            }
+        }
+    }
+
+    /// Sends the reads of dependency lookups that are due.
+    pub(super) fn send_lookup_reads(&mut self, ctx: &mut Context) {
+        while self.lookups.is_read_due(ctx.now_ms())
+            && self.may_read(ctx)
+            && let Some(job) = self.lookups.pop_read()
+        {
+            let query = JobQuery::dependency_lookup(job, self.next_sequence());
+            self.read(ctx, query);
+        }
+    }
+
+    /// Tries deferred requests again once lookups have brought something new.
+    pub(super) fn resume_deferred_requests(&mut self, ctx: &mut Context, progress: &dyn TaskProgress) {
+        let now_ms = ctx.now_ms();
+        let Some(ResumedRequests { requests, found }) = self.lookups.resume(now_ms) else { return };
+        for request in requests {
+            let is_overdue = request.is_overdue(now_ms);
+            match request {
+                DeferredRequest::Submit(submission) if found.refute(&submission) => {
+                    let purpose = QueryPurpose::Refusal(RefusalReason::DependencyNeverAccepted);
+                    self.read(ctx, JobQuery::new(submission.request, submission.submission.id, purpose));
+                }
+                DeferredRequest::Submit(submission) if is_overdue => {
+                    ctx.answer(submission.request, answers::unavailable(UnavailableReason::DependenciesUnknown));
+                }
+                DeferredRequest::Submit(submission) => self.admit(ctx, *submission),
+                DeferredRequest::Query(query, _) if is_overdue => {
+                    ctx.answer(query.request, answers::unavailable(UnavailableReason::DependenciesUnknown));
+                }
+                DeferredRequest::Query(query, since) => self.reply_unfinished(ctx, query, since, progress),
+            }
+        }
+    }
+
+    /// Looks up the dependencies of jobs with long lists again, one round at a time, when half of the
+    /// time has passed for which what was seen of them counts as recent.
+    pub(super) fn refresh_long_lists(&mut self, ctx: &Context) {
+        let now_ms = ctx.now_ms();
+        self.long_lists.expire(now_ms, &self.known);
+        if !self.lookups.is_idle() || ctx.kv_unavailable() {
+            return;
+        }
+        let recent = recent_enough(ctx);
+        let half_as_old = BatchTime { at: recent.at.midpoint(now_ms), ..recent };
+        if let Some(jobs) = self.long_lists.stale_dependencies(&self.known, half_as_old) {
+            self.look_up(ctx, jobs);
+        }
+    }
+}
+
+/// Since when what was seen of a dependency is recent enough for a new job or a long list.
+pub(super) fn recent_enough(ctx: &Context) -> BatchTime {
+    let window_ms = (ctx.settings.cancel_s * 1000.0 * RECENT_SHARE) as u64;
+    BatchTime { step: 0, at: ctx.now_ms().saturating_sub(window_ms).max(1) }
+}
--- a/crates/core/src/api/known_jobs.rs
+++ b/crates/core/src/api/known_jobs.rs
@@ -164,3 +164,6 @@
         }
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/lookups.rs
+++ b/crates/core/src/api/lookups.rs
@@ -1,7 +1,7 @@
 //! Lookups of jobs that other jobs depend on, and the requests that wait for them.
 
 use crate::api::acceptance::PendingSubmission;
-use crate::api::queries::JobQuery;
+use crate::api::job_query::JobQuery;
 use crate::api::{STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS};
 use crate::controller::BatchTime;
 use std::collections::{HashSet, VecDeque};
@@ -29,26 +29,34 @@
 
 /// A job that a lookup showed never to have been accepted.
 #[derive(Debug)]
-pub(super) struct NeverAccepted {
+struct NeverAccepted {
     job: String,
     /// Sequence number of the lookup.
     sequence: u64,
 }
 
-impl NeverAccepted {
-    /// Whether this refutes a submission: it names the job, and the lookup began after it came.
-    pub fn refutes(&self, submission: &PendingSubmission) -> bool {
-        self.sequence > submission.sequence && submission.submission.dependencies.contains(&self.job)
-    }
-}
-
 /// Deferred requests that are to be tried again.
 #[derive(Debug)]
 pub(super) struct ResumedRequests {
     /// In the order in which they were deferred.
     pub requests: Vec<DeferredRequest>,
     /// What lookups found meanwhile.
-    pub never_accepted: Vec<NeverAccepted>,
+    pub found: LookupFindings,
+}
+
+/// Jobs that lookups showed never to have been accepted.
+#[derive(Debug)]
+pub(super) struct LookupFindings(Vec<NeverAccepted>);
+
+impl LookupFindings {
+    /// Whether a lookup that began after a submission came found that a job which it names was never
+    /// accepted.
+    pub fn refute(&self, submission: &PendingSubmission) -> bool {
+        let refutes = |found: &NeverAccepted| {
+            found.sequence > submission.sequence && submission.submission.dependencies.contains(&found.job)
+        };
+        self.0.iter().any(refutes)
+    }
 }
 
 /// Lookups that wait, are in flight or have finished.
@@ -136,7 +144,10 @@
         }
         Some(ResumedRequests {
             requests: std::mem::take(&mut self.deferred),
-            never_accepted: std::mem::take(&mut self.never_accepted),
+            found: LookupFindings(std::mem::take(&mut self.never_accepted)),
         })
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -7,7 +7,7 @@
 //! [`SplitSubmissions`], submissions on their way; [`ComparisonQueue`] and [`ReadBudget`], queries on
 //! their way; [`DependencyLookups`] and [`LongDependencyLists`], what is to be found out about jobs
 //! that others depend on. Each keeps its own invariants. [`Api`] composes them: `submissions`,
-//! `queries` and `replies` hold what a request goes through.
+//! `queries`, `dependency_checks` and `replies` hold the steps that requests go through.
 //!
 //! What always holds:
 //! - A user is told of a status only as it was in the store after the query came, or of a final one,
@@ -20,9 +20,9 @@
 use crate::api::acceptance::AcceptanceQueue;
 use crate::api::comparisons::ComparisonQueue;
 use crate::api::dependencies::LongDependencyLists;
+use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, KnownJobs};
 use crate::api::lookups::DependencyLookups;
-use crate::api::queries::{JobQuery, QueryPurpose};
 use crate::api::read_budget::ReadBudget;
 use crate::api::split_submission::SplitSubmissions;
 use crate::controller::Context;
@@ -35,6 +35,8 @@
 mod answers;
 mod comparisons;
 mod dependencies;
+mod dependency_checks;
+mod job_query;
 mod known_jobs;
 mod lookups;
 mod queries;
@@ -164,3 +166,6 @@
 fn retry_delay_ms(settings: &Settings) -> u64 {
     settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT_INTERVAL
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/read_budget.rs
+++ b/crates/core/src/api/read_budget.rs
@@ -20,3 +20,6 @@
         available
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -1,8 +1,8 @@
 //! Replies of the key-value store to queries: one function for each kind of request.
 
 use crate::api::answers::{self, UnavailableReason};
+use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, UnfinishedJob};
-use crate::api::queries::{JobQuery, QueryPurpose};
 use crate::api::requests::{self, ApiRequest, PartsRead};
 use crate::api::{Api, TaskProgress};
 use crate::controller::{BatchTime, Context};
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -1,7 +1,7 @@
 //! Requests to the key-value store that users' requests cause, by what their replies are for.
 
 use crate::api::acceptance::PendingSubmission;
-use crate::api::queries::JobQuery;
+use crate::api::job_query::JobQuery;
 use crate::api::split_submission::SplitSubmission;
 use crate::controller::{Context, PendingRequest};
 use crate::io::KvRequest;
--- a/crates/core/src/api/split_submission/tests.rs
+++ b/crates/core/src/api/split_submission/tests.rs
@@ -1,4 +1,6 @@
 use super::*;
+use crate::api::NO_REQUEST;
+use crate::api::tests::pending;
 
 #[test]
 fn parts_fit_into_values_and_make_up_the_text_again() {
@@ -7,3 +9,59 @@
     assert!(parts.iter().all(|p| json!(p).to_string().len() <= 300) && parts.len() > 20);
     assert_eq!(parts.concat(), text);
 }
+
+fn split(parts: &[&str]) -> SplitSubmission {
+    SplitSubmission {
+        submission: pending(1, "wk-1", 100),
+        prefix: "s/wk-1/n0-5-1/".into(),
+        parts: parts.iter().map(|part| part.to_string()).collect(),
+        written: 0,
+        first_part: Revision::ABSENT,
+        in_flight: InFlight::Record,
+        user_answered: false,
+    }
+}
+
+fn paths(transaction: &Transaction) -> Vec<(&str, u64)> {
+    transaction.conditions.iter().map(|condition| (condition.path.as_str(), condition.version.0)).collect()
+}
+
+#[test]
+fn the_record_is_written_last_on_the_condition_that_the_first_part_is_still_there() {
+    let mut split = split(&["one", "two", "three"]);
+    let first = split.next_transaction(2);
+    assert_eq!(paths(&first), [("s/wk-1/n0-5-1/0000", 0), ("s/wk-1/n0-5-1/0001", 0)]);
+    assert!(split.is_writing_parts());
+    split.commit_parts(Revision(7));
+    let second = split.next_transaction(2);
+    assert_eq!(paths(&second), [("s/wk-1/n0-5-1/0002", 0)]);
+    // Not carried out, and sent again.
+    assert_eq!(split.next_transaction(2), second);
+    split.commit_parts(Revision(8));
+    let record = split.next_transaction(2);
+    assert_eq!(paths(&record), [("j/wk-1", 0), ("f/wk-1", 0), ("s/wk-1/n0-5-1/0000", 7)]);
+    assert!(matches!(&record.writes[..], [Write::Set { set, .. }] if set == "j/wk-1"));
+    assert!(!split.is_writing_parts());
+}
+
+#[test]
+fn a_transaction_holds_no_more_parts_than_a_body_but_at_least_one() {
+    let long = "x".repeat(MAX_BODY);
+    let mut split = split(&[&long, "two", "three"]);
+    assert_eq!(split.next_transaction(10).writes.len(), 1);
+    split.commit_parts(Revision(7));
+    assert_eq!(split.next_transaction(10).writes.len(), 2);
+}
+
+#[test]
+fn an_overdue_user_is_answered_once_and_the_writing_goes_on() {
+    let mut all = SplitSubmissions::default();
+    all.begin(split(&["one"]));
+    assert!(all.contains("wk-1"));
+    assert!(all.take_overdue_requests(1100, 1000).is_empty());
+    assert_eq!(all.take_overdue_requests(1101, 1000), [1]);
+    assert!(all.take_overdue_requests(1101, 1000).is_empty());
+    assert_eq!(all.pop().unwrap().into_answerable().request, NO_REQUEST);
+    all.finish("wk-1");
+    assert!(!all.contains("wk-1") && all.pop().is_none());
+}
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -3,9 +3,10 @@
 use crate::api::acceptance::PendingSubmission;
 use crate::api::answers::{self, RefusalReason, UnavailableReason};
 use crate::api::dependencies::{self, DependencyState};
+use crate::api::dependency_checks::recent_enough;
+use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, UnfinishedJob};
 use crate::api::lookups::DeferredRequest;
-use crate::api::queries::{JobQuery, QueryPurpose, recent_enough};
 use crate::api::requests::{self, ApiRequest};
 use crate::api::split_submission::SplitSubmission;
 use crate::api::{Api, SUBMIT_PATIENCE_MS, admission};
--- /dev/null
+++ b/crates/core/src/api/tests.rs
@@ -0,0 +1,276 @@
+//! Tests of the API as the controller uses it, and values that the tests of its modules begin with.
+
+use super::*;
+use crate::api::acceptance::PendingSubmission;
+use crate::io::{Answer, Effect, KvReply, KvRequest, RequestError, Timestamp};
+use crate::settings::{Limits, TeamQuota, Tuning};
+use serde_json::{Value, json};
+use shaleshunt_wire::cloud::{Catalog, MachineType};
+use shaleshunt_wire::kv::KeyValue;
+use shaleshunt_wire::user::{JobKind, JobStatus, Priority, Submission};
+use std::collections::BTreeMap;
+
+/// An array of three small tasks.
+pub(super) fn submission(job: &str) -> Submission {
+    Submission {
+        id: job.into(),
+        class: "batch".into(),
+        team: "research".into(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        tasks: 3,
+        cores: 2.0,
+        accelerators: 0.0,
+        memory_gb: 4.0,
+        image: "image".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
+        single_zone: false,
+        spread_zones: false,
+        spot: false,
+        estimated_run_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    }
+}
+
+/// A submission that came at a time, with the request's number as its place in the order.
+pub(super) fn pending(request: u64, job: &str, received_at_ms: u64) -> PendingSubmission {
+    PendingSubmission {
+        request,
+        submission: submission(job),
+        submitted_at_ms: 1_700_000_000_000,
+        received_at_ms,
+        sequence: request,
+        cancelled_by_dependency: false,
+    }
+}
+
+/// A machine type of these cores, to be had in these zones.
+pub(super) fn machine_type(name: &str, cores: f64, zones: &[&str]) -> MachineType {
+    MachineType {
+        name: name.into(),
+        cores,
+        accelerators: 0.0,
+        memory_gb: 64.0,
+        local_gb: 100.0,
+        fetch_gb_per_s: 1.0,
+        price: 1.0,
+        spot_price: 0.5,
+        boot_s: 30.0,
+        zones: zones.iter().map(|zone| zone.to_string()).collect(),
+    }
+}
+
+/// A controller's API with a store that the test answers for.
+struct Fixture {
+    ctx: Context,
+    api: Api,
+    now_ms: u64,
+}
+
+/// One task of each job runs.
+struct OneRunning;
+
+impl TaskProgress for OneRunning {
+    fn task_counts(&self, _job: &str) -> TaskCounts {
+        TaskCounts { done: 0, running: 1 }
+    }
+}
+
+impl Fixture {
+    fn new() -> Fixture {
+        let settings = Settings {
+            node_name: "n0".into(),
+            teams: BTreeMap::from([("research".to_string(), TeamQuota::default())]),
+            heartbeat_interval_s: 6.0,
+            cancel_s: 20.0,
+            kv_rps: 100.0,
+            mem_mb: 100.0,
+            state: Limits { value_kb: 64.0, txn_ops: 100, write_rps: 100.0 },
+            ..Settings::default()
+        };
+        let now = Timestamp { monotonic_ms: 10_000, wall_ms: 1_700_000_000_000 };
+        let api = Api::new(&settings);
+        let mut ctx = Context::new(settings, Tuning::default(), now, 5);
+        ctx.catalog = Some(Catalog { machine_types: vec![machine_type("std", 8.0, &[])] });
+        Fixture { ctx, api, now_ms: now.monotonic_ms }
+    }
+
+    /// Begins a batch some time later.
+    fn pass(&mut self, ms: u64) {
+        self.now_ms += ms;
+        self.ctx.begin_batch(Timestamp { monotonic_ms: self.now_ms, wall_ms: 1_700_000_000_000 });
+    }
+
+    /// Ends a batch: the answers to users and the requests to the store.
+    fn finish(&mut self) -> (Vec<(u64, Answer)>, Vec<KvRequest>) {
+        self.api.run_due(&mut self.ctx, &OneRunning);
+        let (mut answers, mut requests) = (Vec::new(), Vec::new());
+        for effect in self.ctx.take_effects() {
+            match effect {
+                Effect::Answer(id, answer) => answers.push((id, answer)),
+                Effect::Kv(_, request, _) => requests.push(request),
+                _ => {}
+            }
+        }
+        (answers, requests)
+    }
+
+    fn reply(&mut self, request: ApiRequest, result: Result<KvReply, RequestError>) {
+        let sent = self.ctx.batch_time();
+        self.api.handle_kv_reply(&mut self.ctx, request, sent, result, &OneRunning);
+    }
+}
+
+fn status_query(request: u64, job: &str) -> JobQuery {
+    JobQuery::new(request, job.into(), QueryPurpose::Status)
+}
+
+fn found(path: &str, v: Value) -> Result<KvReply, RequestError> {
+    Ok(KvReply::Found(KeyValue { path: path.into(), v, version: Revision(7), pass: None }))
+}
+
+fn get(key: &str) -> KvRequest {
+    KvRequest::Get { key: key.into() }
+}
+
+fn statuses(answers: &[(u64, Answer)]) -> Vec<(u64, u16, Option<JobStatus>)> {
+    let status = |answer: &Answer| match answer {
+        Answer::Job(code, view) => (*code, Some(view.status)),
+        Answer::Problem { status, .. } => (*status, None),
+        other => panic!("{other:?}"),
+    };
+    answers.iter().map(|(id, answer)| (*id, status(answer).0, status(answer).1)).collect()
+}
+
+#[test]
+fn a_submission_is_answered_once_its_record_is_committed() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
+    let (answers, requests) = fixture.finish();
+    assert!(answers.is_empty() && matches!(requests[..], [KvRequest::Transaction(_)]));
+    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Ok(KvReply::Committed(Revision(7))));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 201, Some(JobStatus::Queued))]);
+}
+
+#[test]
+fn a_repeated_submission_is_answered_with_the_jobs_state() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
+    fixture.finish();
+    let batch = ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]);
+    fixture.reply(batch, Ok(KvReply::Conflict(vec!["j/wk-1".into()])));
+    assert_eq!(fixture.finish().1, [get("j/wk-1")]);
+    let read = JobQuery::new(1, "wk-1".into(), QueryPurpose::Resubmission);
+    let record = json!({"s": submission("wk-1"), "at": 5});
+    fixture.reply(ApiRequest::ReadRecord(read), found("j/wk-1", record));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 200, Some(JobStatus::Running))]);
+}
+
+#[test]
+fn only_the_jobs_of_a_conflict_are_read_and_the_others_are_sent_again() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
+    fixture.finish();
+    let batch = ApiRequest::Accept(vec![pending(1, "wk-1", 10_000), pending(2, "wk-2", 10_000)]);
+    fixture.reply(batch, Ok(KvReply::Conflict(vec!["f/wk-2".into()])));
+    let (answers, requests) = fixture.finish();
+    assert!(answers.is_empty());
+    assert_eq!(requests[0], get("j/wk-2"));
+    assert!(matches!(&requests[1..], [KvRequest::Transaction(t)] if t.conditions[0].path == "j/wk-1"));
+}
+
+#[test]
+fn throttled_acceptances_wait_and_unknown_outcomes_are_told_to_come_back() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
+    fixture.finish();
+    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Err(RequestError::Throttled));
+    fixture.pass(99);
+    assert!(fixture.finish().1.is_empty());
+    fixture.pass(1);
+    assert_eq!(fixture.finish().1.len(), 1);
+    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Err(RequestError::OutcomeUnknown));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 503, None)]);
+}
+
+#[test]
+fn a_refusal_is_told_only_if_the_job_was_never_accepted() {
+    for (reply, expected) in [
+        (Ok(KvReply::Missing), (1, 422, None)),
+        (found("f/wk-1", json!({"x": false, "n": 3, "t": 5})), (1, 200, Some(JobStatus::Done))),
+    ] {
+        let mut fixture = Fixture::new();
+        fixture.pass(0);
+        let refused = Submission { team: "nobody".into(), ..submission("wk-1") };
+        fixture.api.submit(&mut fixture.ctx, 1, refused);
+        assert_eq!(fixture.finish().1, [get("j/wk-1")]);
+        let query = || JobQuery::new(1, "wk-1".into(), QueryPurpose::Refusal(answers::RefusalReason::UnknownTeam));
+        fixture.reply(ApiRequest::ReadRecord(query()), Ok(KvReply::Missing));
+        assert_eq!(fixture.finish().1, [get("f/wk-1")]);
+        fixture.reply(ApiRequest::ReadFinalRecord(query()), reply);
+        assert_eq!(statuses(&fixture.finish().0), [expected]);
+    }
+}
+
+#[test]
+fn a_job_whose_dependency_is_cancelled_is_called_cancelled() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    let record = json!({"s": Submission { dependencies: vec!["wk-9".into()], ..submission("wk-1") }, "at": 5});
+    fixture.reply(ApiRequest::ReadRecord(status_query(1, "wk-1")), found("j/wk-1", record));
+    let (answers, requests) = fixture.finish();
+    // The query waits for a lookup, which is sent in the same batch.
+    assert!(answers.is_empty());
+    assert_eq!(requests, [get("j/wk-9")]);
+    let lookup = JobQuery::dependency_lookup("wk-9".into(), 1);
+    fixture.reply(ApiRequest::ReadFinalRecord(lookup), found("f/wk-9", json!({"x": true, "n": 3, "t": 5})));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 200, Some(JobStatus::Cancelled))]);
+    assert!(fixture.api.is_cancelled("wk-1"));
+    assert_eq!(fixture.api.take_newly_cancelled(), ["wk-9", "wk-1"]);
+}
+
+#[test]
+fn a_cancellation_that_loses_a_race_is_tried_again_a_few_times() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.cancel(&mut fixture.ctx, 1, "wk-1".into());
+    assert_eq!(fixture.finish().1, [get("j/wk-1")]);
+    let mut query = JobQuery::new(1, "wk-1".into(), QueryPurpose::Cancellation);
+    for _ in 0..3 {
+        fixture.reply(ApiRequest::Cancel(query.clone()), Ok(KvReply::Conflict(vec!["j/wk-1".into()])));
+        assert_eq!(fixture.finish().1, [get("j/wk-1")]);
+        assert!(query.retry());
+    }
+    fixture.reply(ApiRequest::Cancel(query.clone()), Ok(KvReply::Conflict(vec!["j/wk-1".into()])));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 503, None)]);
+    fixture.reply(ApiRequest::Cancel(query), Ok(KvReply::Committed(Revision(8))));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 200, Some(JobStatus::Cancelled))]);
+}
+
+#[test]
+fn of_changed_records_only_these_are_read_again() {
+    let mut fixture = Fixture::new();
+    fixture.pass(0);
+    fixture.api.learn_revisions([("wk-1", Revision(3)), ("wk-2", Revision(4))].into_iter());
+    fixture.api.status(&mut fixture.ctx, 1, "wk-1".into());
+    fixture.api.status(&mut fixture.ctx, 2, "wk-2".into());
+    fixture.pass(500);
+    let requests = fixture.finish().1;
+    assert!(matches!(&requests[..], [KvRequest::Transaction(t)] if t.conditions.len() == 2 && t.writes.is_empty()));
+    let batch = ApiRequest::CompareRecords(vec![status_query(1, "wk-1"), status_query(2, "wk-2")]);
+    fixture.reply(batch, Ok(KvReply::Conflict(vec!["j/wk-2".into()])));
+    let requests = fixture.finish().1;
+    assert_eq!(requests[0], get("j/wk-2"));
+    assert!(matches!(&requests[1..], [KvRequest::Transaction(t)] if t.conditions[0].path == "j/wk-1"));
+    fixture.reply(ApiRequest::CompareRecords(vec![status_query(1, "wk-1")]), Ok(KvReply::Committed(Revision(9))));
+    assert_eq!(statuses(&fixture.finish().0), [(1, 200, Some(JobStatus::Running))]);
+}
