--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -453,7 +453,7 @@
             let mut images = Vec::new();
             for cached in m.images.iter() {
                 let at = *index.entry(cached.image).or_insert_with(|| {
-                    let name = self.fleet.image_names.get(cached.image as usize).cloned().unwrap_or_default();
+                    let name = self.fleet.images.name(cached.image).to_string();
                     rec.images.push(ImageRecord { name, gb: cached.size_gb });
                     rec.images.len() as u32 - 1
                 });
@@ -752,16 +752,10 @@
             let Some(m) = self.fleet.machines.get_mut(&machine) else { continue };
             let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { continue };
             p.stage = PlacementState::Committed;
-            if let Some(job) = self.jobs.get_mut(&p.job)
-                && let Some(l) = job
-                    .tasks
-                    .placements
-                    .get_mut(&p.task)
-                    .and_then(|l| l.iter_mut().find(|l| l.placement_id == placement_id))
-            {
-                l.planned = false;
+            if let Some(job) = self.jobs.get_mut(&p.job) {
+                job.tasks.commit_placement(p.task, placement_id);
             }
-            self.fleet.machines_to_call.insert(machine);
+            self.fleet.calls.call_soon(machine);
         }
         for id in f.finals {
             if let Some(job) = self.jobs.remove(&id) {
