--- a/crates/core/src/api/known_jobs.rs
+++ b/crates/core/src/api/known_jobs.rs
@@ -129,8 +129,8 @@
 #[derive(Debug)]
 struct BoundedMap<T> {
     entries: HashMap<String, T>,
-    /// Keys in the order of their insertion. A removed key keeps its place, which evicts nothing
-    /// when its turn comes, or the key's later entry early.
+    /// Keys in the order of their insertion. The place of a removed key stays until its turn comes: it
+    /// then evicts nothing, or the same key if that was inserted again.
     insertion_order: VecDeque<String>,
     capacity: usize,
 }
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -10,10 +10,11 @@
 //! `queries`, `dependency_checks` and `replies` hold the steps that requests go through.
 //!
 //! What always holds:
-//! - A user is told of a status only as it was in the store after the query came, or of a final one,
-//!   which never changes. Nothing else is answered from memory.
+//! - Whether a job is unfinished, done or cancelled is told as it was in the store after the query came;
+//!   only a final state, which never changes, is told from memory. How many tasks run or are done is
+//!   for display and may be older.
 //! - A repeated submission is idempotent: it finds the job's record and is answered with its state.
-//! - Each request is answered within the user's patience, if need be with the advice to come back.
+//! - No request waits in a queue longer than its user's patience: then the user is told to come back.
 //!
 //! Only the controller calls in here, in the course of its batches.
 
@@ -50,11 +51,14 @@
 
 /// Stands for a request in what nobody waits for.
 const NO_REQUEST: RequestId = 0;
-/// How long a submission may take, in milliseconds: 60 % of the user's time limit.
-const SUBMIT_PATIENCE_MS: u64 = (SUBMIT_TIMEOUT_S * 600.0) as u64;
-/// How long a status query may take, in milliseconds: 60 % of the user's time limit.
-const STATUS_PATIENCE_MS: u64 = (STATUS_TIMEOUT_S * 600.0) as u64;
-/// A request that the store throttled is tried again after this part of a heartbeat interval.
+/// Share of a user's time limit after which a request that still waits is answered with the advice to
+/// come back: the answer must arrive within the limit.
+const PATIENCE_SHARE: f64 = 0.6;
+/// How long a submission may wait, in milliseconds.
+const SUBMIT_PATIENCE_MS: u64 = (SUBMIT_TIMEOUT_S * 1000.0 * PATIENCE_SHARE) as u64;
+/// How long a status query may wait, in milliseconds.
+const STATUS_PATIENCE_MS: u64 = (STATUS_TIMEOUT_S * 1000.0 * PATIENCE_SHARE) as u64;
+/// How often a request that the store throttles is tried again in a heartbeat interval.
 const RETRIES_PER_HEARTBEAT_INTERVAL: u64 = 60;
 /// Known jobs of each kind may take one part in so many of the memory limit.
 const MEMORY_PARTS: f64 = 100.0;
