--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -18,7 +18,6 @@
 mod context;
 mod election;
 mod kv_availability;
-mod peer_heartbeat;
 mod peer_lease_reports;
 mod peer_views;
 mod peers;
@@ -44,11 +43,10 @@
 use crate::work_counters::Work;
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
-use peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
-use peers::{Peers, SharedProgress};
+use peers::Peers;
 use progress::ReportedProgress;
 use relay::{RelayDecision, RelayInputs};
-use shaleshunt_peer::Frame;
+use shaleshunt_peer::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply};
 use zone_leases::ZoneLeases;
@@ -245,23 +243,10 @@
 
     fn handle_frame(&mut self, from: String, frame: Frame) {
         match frame {
-            Frame::Heartbeat { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
-                let heartbeat = PeerHeartbeat {
-                    epoch,
-                    leader,
-                    is_leader: leads,
-                    store_contact_age_ms: state_age_ms,
-                    process_id: born,
-                    sent_at_ms: at,
-                    echo: HeartbeatEcho { process_id: echo.0, sent_at_ms: echo.1 },
-                    lease_extension_age_ms: kept_ms,
-                    pending_submissions: waiting,
-                };
-                self.handle_peer_heartbeat(&from, heartbeat);
-            }
+            Frame::Heartbeat(heartbeat) => self.handle_peer_heartbeat(&from, heartbeat),
             Frame::JobProgress { epoch, jobs } => self.handle_progress(epoch, jobs),
             // The first belongs to the connection, the others to the clients of the key-value store.
-            Frame::Hello { .. } | Frame::Relay { .. } | Frame::Relayed { .. } => {}
+            Frame::Hello { .. } | Frame::ForwardedRequest { .. } | Frame::ForwardedResponse { .. } => {}
         }
     }
 
@@ -287,7 +272,7 @@
         }
     }
 
-    fn handle_progress(&mut self, epoch: Epoch, jobs: SharedProgress) {
+    fn handle_progress(&mut self, epoch: Epoch, jobs: Vec<JobProgress>) {
         if epoch < self.election.epoch() || self.leader.is_some() {
             return;
         }
@@ -295,8 +280,8 @@
         self.peers.record_progress(jobs);
     }
 
-    fn learn_versions(&mut self, jobs: &SharedProgress) {
-        let versions = jobs.iter().map(|(job, version, _, _)| (job.as_str(), *version));
+    fn learn_versions(&mut self, jobs: &[JobProgress]) {
+        let versions = jobs.iter().map(|progress| (progress.job.as_str(), progress.record_version));
         self.api.learn_revisions(versions);
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -736,13 +736,18 @@
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
     /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn job_progress(&self) -> Vec<(String, Revision, u32, u32)> {
+    pub(crate) fn job_progress(&self) -> Vec<shaleshunt_peer::JobProgress> {
         // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
         // shown by the leader alone and read at each poll.
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count(), j.tasks.running_count()))
+            .map(|j| shaleshunt_peer::JobProgress {
+                job: j.id.to_string(),
+                record_version: j.record.version,
+                done: j.tasks.done_count(),
+                running: j.tasks.running_count(),
+            })
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
