--- a/crates/core/src/api/admission/tests.rs
+++ b/crates/core/src/api/admission/tests.rs
@@ -1,14 +1,14 @@
 use super::check;
 use crate::api::answers::RefusalReason;
 use crate::api::tests::{machine_type, submission};
-use crate::settings::{Settings, TeamQuota};
+use crate::settings::{ComputeAmount, Settings, TeamQuota};
 use shaleshunt_wire::cloud::Catalog;
 use shaleshunt_wire::user::{JobKind, Submission};
 use std::collections::BTreeMap;
 
 /// Team `research` may use 8 cores at once.
 fn settings() -> Settings {
-    let quota = TeamQuota { guarantee: (0, 0), limit: (8000, 0) };
+    let quota = TeamQuota { limit: ComputeAmount { cores: 8000, accelerators: 0 }, ..TeamQuota::default() };
     Settings { teams: BTreeMap::from([("research".to_string(), quota)]), ..Settings::default() }
 }
 
