--- /dev/null
+++ b/crates/testkit/src/simulation/previous_version.rs
@@ -0,0 +1,57 @@
+//! What the previous version of the program reads and writes: it knows no field that came later.
+
+use serde_json::Value;
+use shaleshunt_core::io::{Command, Effect};
+use shaleshunt_core::{KvReply, KvRequest};
+use shaleshunt_wire::kv::Write;
+
+/// A command as the previous version understands it.
+pub(super) fn as_read(command: Command) -> Command {
+    match command {
+        Command::Kv(id, Ok(mut reply)) => {
+            match &mut reply {
+                KvReply::Found(pair) => remove_later_fields(&mut pair.v),
+                KvReply::Page(page) => page.pairs.iter_mut().for_each(|pair| remove_later_fields(&mut pair.v)),
+                KvReply::Changes(reply) => {
+                    let values = reply.changes.iter_mut().filter_map(|change| change.v.as_mut());
+                    values.for_each(remove_later_fields);
+                }
+                _ => {}
+            }
+            Command::Kv(id, Ok(reply))
+        }
+        Command::Submit(id, mut submission) => {
+            submission.dependencies.clear();
+            Command::Submit(id, submission)
+        }
+        other => other,
+    }
+}
+
+/// An effect as the previous version would have it.
+pub(super) fn as_written(effect: Effect) -> Effect {
+    match effect {
+        Effect::Kv(id, KvRequest::Transaction(mut transaction), via) => {
+            for write in &mut transaction.writes {
+                if let Write::Set { v, .. } = write {
+                    remove_later_fields(v);
+                }
+            }
+            Effect::Kv(id, KvRequest::Transaction(transaction), via)
+        }
+        other => other,
+    }
+}
+
+/// Removes a submission's dependencies; a record in parts is none to the previous version.
+fn remove_later_fields(record: &mut Value) {
+    if let Some(submission) = record.get_mut("s").and_then(Value::as_object_mut) {
+        submission.remove("awaits");
+    }
+    if let Some(fields) = record.as_object_mut() {
+        fields.remove("p");
+        if fields.contains_key("n") {
+            fields.remove("t");
+        }
+    }
+}
