--- /dev/null
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -0,0 +1,262 @@
+//! Which machines to rent: the cheapest for the demand that free capacity and machines on their way don't
+//! cover.
+
+use crate::leader::autoscaler::arrivals::Arrivals;
+use crate::leader::autoscaler::demand::demand;
+use crate::leader::autoscaler::offers::{Offer, UnavailableOffers, ZoneMarket, cheapest_offer};
+use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::scheduler::constraints::{allows, zone_headroom};
+use crate::leader::scheduler::view::SchedulingView;
+use crate::model::{Id, Job, Machine};
+use shaleshunt_wire::cloud::Catalog;
+use shaleshunt_wire::{MAX_MACHINES_PER_SCALE_OUT, Resources};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// So many requests may be made in a round, however few the cloud takes.
+const LEAST_REQUESTS_PER_ROUND: u32 = 3;
+
+/// What a decision to scale out reads.
+pub(crate) struct ScaleOutView<'a> {
+    pub(super) scheduling: SchedulingView<'a>,
+    pub(super) catalog: &'a Catalog,
+    pub(super) scale_outs: &'a ScaleOutRequests,
+    pub(super) unavailable: &'a UnavailableOffers,
+    pub(super) arrivals: &'a Arrivals,
+    /// Zones whose machines can't be heard.
+    pub(super) partitioned_zones: &'a BTreeSet<String>,
+}
+
+impl ScaleOutView<'_> {
+    /// The longest usual boot time of any type, in seconds.
+    pub(super) fn longest_boot_s(&self) -> f64 {
+        longest_boot_s(self.catalog)
+    }
+}
+
+/// The longest usual boot time of the catalog's types, in seconds.
+pub(super) fn longest_boot_s(catalog: &Catalog) -> f64 {
+    catalog.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
+}
+
+/// Machines of one offer to ask for.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub(super) struct PlannedRequest {
+    pub(super) offer: Offer,
+    pub(super) count: u32,
+}
+
+/// What a round of the autoscaler decided.
+#[derive(Debug, Default, PartialEq, Eq)]
+pub(super) struct ScaleOutPlan {
+    /// In the order in which they are to be made.
+    pub(super) requests: Vec<PlannedRequest>,
+    /// Machines whose free capacity the demand counts on.
+    pub(super) needed_machines: Vec<Id>,
+}
+
+/// Plans a round: what waits or is expected takes free capacity and machines on their way; for the rest
+/// the cheapest offers are rented.
+pub(super) fn plan_scale_out(view: &ScaleOutView) -> ScaleOutPlan {
+    let demand = demand(view);
+    view.scheduling.work.round();
+    view.scheduling.work.spaces_examined(view.scheduling.machines.len());
+    let mut planner = Planner::new(view, &demand);
+    for job in demand {
+        planner.cover(job);
+    }
+    planner.plan
+}
+
+/// Capacity that is free or on its way: of a machine that is up or booting, or of one asked for.
+struct SpareCapacity {
+    offer: Offer,
+    free: Resources,
+    /// The machine, until it is counted on.
+    machine: Option<Id>,
+}
+
+struct Planner<'a, 'b> {
+    view: &'b ScaleOutView<'a>,
+    spare: Vec<SpareCapacity>,
+    /// Spare capacity before this does not hold even the smallest task any more.
+    first_usable: usize,
+    smallest_cores: i64,
+    team_usage: BTreeMap<String, Resources>,
+    machines_left: u32,
+    max_requests: u32,
+    machines_by_market: BTreeMap<ZoneMarket, u32>,
+    plan: ScaleOutPlan,
+}
+
+impl<'a, 'b> Planner<'a, 'b> {
+    fn new(view: &'b ScaleOutView<'a>, demand: &[&Job]) -> Planner<'a, 'b> {
+        let tuning = view.scheduling.tuning;
+        let requests_per_round =
+            view.scheduling.settings.cloud_rps * tuning.autoscaler_interval_s * tuning.scale_out_request_share;
+        let max_requests = requests_per_round.max(1.0) as u32;
+        Planner {
+            view,
+            spare: spare_capacity(view),
+            first_usable: 0,
+            smallest_cores: demand.iter().map(|job| job.need.cores).min().unwrap_or(0),
+            team_usage: view.scheduling.scheduler.usage().by_team().clone(),
+            machines_left: max_requests * MAX_MACHINES_PER_SCALE_OUT,
+            max_requests,
+            machines_by_market: machines_by_market(view),
+            plan: ScaleOutPlan::default(),
+        }
+    }
+
+    /// Finds capacity for the job's waiting tasks, within its team's limit.
+    fn cover(&mut self, job: &Job) {
+        let Some(quota) = self.view.scheduling.settings.teams.get(&job.spec.team) else { return };
+        let used = self.team_usage.entry(job.spec.team.clone()).or_default();
+        let tasks = job.waiting().min(quota.max_tasks(used, &job.need));
+        let uncovered = self.use_spare(job, tasks);
+        self.rent(job, uncovered);
+    }
+
+    /// Takes spare capacity for up to so many tasks; returns how many found none.
+    fn use_spare(&mut self, job: &Job, tasks: u32) -> u32 {
+        let mut left = tasks;
+        let mut by_zone = ZoneTasks::default();
+        while self.spare.get(self.first_usable).is_some_and(|spare| spare.free.cores < self.smallest_cores) {
+            self.first_usable += 1;
+        }
+        for spare in &mut self.spare[self.first_usable..] {
+            self.view.scheduling.work.spaces_examined(1);
+            if left == 0 {
+                break;
+            }
+            if !spare.free.fits(&job.need) || !allows(job, spare.offer.kind()) {
+                continue;
+            }
+            let fitting = spare.free.times(&job.need, i64::from(left)) as u32;
+            let placed = by_zone.place(job, &spare.offer.zone, fitting);
+            if placed == 0 {
+                continue;
+            }
+            spare.free.add(&job.need, -i64::from(placed));
+            left -= placed;
+            self.plan.needed_machines.extend(spare.machine.take());
+        }
+        self.add_team_usage(job, tasks - left);
+        left
+    }
+
+    /// Rents machines for so many tasks, as long as there are offers and this round may ask for more.
+    fn rent(&mut self, job: &Job, tasks: u32) {
+        let mut left = tasks;
+        while left > 0 && self.machines_left > 0 {
+            let Some(offer) = cheapest_offer(self.view, job, &self.machines_by_market) else { break };
+            let placed = self.rent_machine(job, left, &offer);
+            left = left.saturating_sub(placed);
+            if !self.add_to_requests(offer) {
+                break;
+            }
+        }
+    }
+
+    /// Counts on a machine of this offer; returns how many of the tasks it takes.
+    fn rent_machine(&mut self, job: &Job, tasks: u32, offer: &Offer) -> u32 {
+        let machine_type = self.view.catalog.machine_type(&offer.machine_type);
+        let mut free = machine_type.map(|machine_type| machine_type.resources()).unwrap_or_default();
+        let fitting = free.times(&job.need, i64::from(tasks)) as u32;
+        let placed = fitting.min(zone_headroom(job, &offer.zone)).max(1);
+        free.add(&job.need, -i64::from(placed));
+        self.spare.push(SpareCapacity { offer: offer.clone(), free, machine: None });
+        self.add_team_usage(job, placed);
+        self.machines_left -= 1;
+        let market = ZoneMarket { zone: offer.zone.clone(), spot: offer.spot };
+        *self.machines_by_market.entry(market).or_default() += 1;
+        placed
+    }
+
+    /// Adds one machine to a request for this offer, or to a new one. False if this round may make no
+    /// further request.
+    fn add_to_requests(&mut self, offer: Offer) -> bool {
+        let requests = &mut self.plan.requests;
+        let open = |planned: &&mut PlannedRequest| planned.offer == offer && planned.count < MAX_MACHINES_PER_SCALE_OUT;
+        if let Some(planned) = requests.iter_mut().find(open) {
+            planned.count += 1;
+            return true;
+        }
+        if requests.len() as u32 >= self.max_requests.max(LEAST_REQUESTS_PER_ROUND) {
+            return false;
+        }
+        requests.push(PlannedRequest { offer, count: 1 });
+        true
+    }
+
+    fn add_team_usage(&mut self, job: &Job, tasks: u32) {
+        self.team_usage.entry(job.spec.team.clone()).or_default().add(&job.need, i64::from(tasks));
+    }
+}
+
+/// How many tasks of one job were given spare capacity, by zone.
+#[derive(Default)]
+struct ZoneTasks {
+    by_zone: BTreeMap<String, u32>,
+}
+
+impl ZoneTasks {
+    /// How many of `fitting` tasks may be in this zone beside those placed so far; they are placed.
+    fn place(&mut self, job: &Job, zone: &str, fitting: u32) -> u32 {
+        if !job.spec.spread_zones && !job.spec.single_zone {
+            return fitting;
+        }
+        let elsewhere = self.by_zone.iter().any(|(other, tasks)| *tasks > 0 && other != zone);
+        if job.spec.single_zone && elsewhere {
+            return 0;
+        }
+        let here = self.by_zone.get(zone).copied().unwrap_or(0);
+        let placed = fitting.min(zone_headroom(job, zone).saturating_sub(here));
+        if placed > 0 {
+            self.by_zone.insert(zone.to_string(), here + placed);
+        }
+        placed
+    }
+}
+
+/// Capacity that is free or on its way. The fullest machines come first, so that one that is not needed
+/// stays empty and goes back.
+fn spare_capacity(view: &ScaleOutView) -> Vec<SpareCapacity> {
+    let machines = view.scheduling.machines.values().filter(|machine| is_usable_soon(view, machine));
+    let mut spare: Vec<SpareCapacity> = machines
+        .map(|machine| SpareCapacity {
+            offer: Offer { machine_type: machine.machine_type.clone(), zone: machine.zone.clone(), spot: machine.spot },
+            free: machine.free(),
+            machine: Some(machine.id.clone()),
+        })
+        .collect();
+    for request in view.scale_outs.unanswered() {
+        let Some(machine_type) = view.catalog.machine_type(&request.machine_type) else { continue };
+        let offer =
+            Offer { machine_type: request.machine_type.clone(), zone: request.zone.clone(), spot: request.spot };
+        let free = machine_type.resources();
+        spare.extend((0..request.count).map(|_| SpareCapacity { offer: offer.clone(), free, machine: None }));
+    }
+    spare.retain(|spare| spare.free.cores > 0 && spare.free.memory > 0);
+    spare.sort_by_key(|spare| spare.free.cores);
+    spare
+}
+
+/// Whether the machine takes tasks now or is booting. One that boots in a partitioned zone is of no use
+/// before the partition is over.
+fn is_usable_soon(view: &ScaleOutView, machine: &Machine) -> bool {
+    let booting = machine.agent.last_heard.is_none()
+        && !machine.lifecycle.scale_in_wanted
+        && !view.partitioned_zones.contains(&machine.zone);
+    booting || machine.is_schedulable(view.scheduling.now.monotonic_ms, view.scheduling.settings)
+}
+
+fn machines_by_market(view: &ScaleOutView) -> BTreeMap<ZoneMarket, u32> {
+    let mut machines: BTreeMap<ZoneMarket, u32> = BTreeMap::new();
+    for machine in view.scheduling.machines.values() {
+        *machines.entry(ZoneMarket { zone: machine.zone.clone(), spot: machine.spot }).or_default() += 1;
+    }
+    machines
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/core/src/leader/fleet/heartbeats.rs
+++ b/crates/core/src/leader/fleet/heartbeats.rs
@@ -35,9 +35,9 @@
     /// A machine nobody expected: a hire carried out late, perhaps. It is adopted. But its report
     /// may be a late copy from a machine long returned, so it gets no tasks before it has heard us.
     fn adopt(&mut self, ctx: &mut Context, machine: &Id, r: &Heartbeat) {
-        let owned = self.autoscaler.owned.as_ref().is_some_and(|o| o.contains(&r.machine));
+        let owned = self.autoscaler.owned.contains(&r.machine);
         let mut m = self.new_machine(ctx, machine, &r.machine_type, &r.zone, r.spot, owned);
-        m.agent.unacknowledged_commands = if self.autoscaler.owned.is_some() && !owned { u32::MAX / 2 } else { 0 };
+        m.agent.unacknowledged_commands = if self.autoscaler.owned.is_known() && !owned { u32::MAX / 2 } else { 0 };
         self.fleet.machines.insert(m);
         self.fleet.unconfirmed.push_back(machine.clone());
         ctx.emit(Event::MachineAdopted { machine: machine.clone() });
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -30,10 +30,6 @@
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
 const LAG_BETWEEN_PASSES: u64 = 4;
 
-/// Most arrivals remembered: three times what comes within two boot times in a threefold burst at 4,000
-/// machines. Of more the oldest are forgotten.
-const ARRIVALS: usize = 6000;
-
 /// Steps of the leader that wait for an answer.
 #[derive(Debug)]
 pub(crate) enum LeaderRequest {
@@ -55,19 +51,6 @@
     Catalog,
 }
 
-/// A hire under way.
-#[derive(Debug)]
-pub(crate) struct ScaleOutState {
-    pub request: shaleshunt_wire::cloud::ScaleOutRequest,
-    /// Version of its record; absent until recorded.
-    pub version: Revision,
-    pub writing: bool,
-    pub asking: bool,
-    pub retry_at: u64,
-    /// Answered, with these machines.
-    pub answer: Option<Vec<Id>>,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
@@ -149,22 +132,13 @@
                 keys::V01_MACHINES => self.recovery.v0_1_machines.push(pair),
                 keys::SCALE_OUTS => {
                     if let Ok(request) = serde_json::from_value::<shaleshunt_wire::cloud::ScaleOutRequest>(pair.v) {
-                        let state = ScaleOutState {
-                            request,
-                            version: pair.version,
-                            writing: false,
-                            asking: false,
-                            retry_at: 0,
-                            answer: None,
-                        };
-                        self.autoscaler.scale_outs.insert(state.request.request.clone(), state);
+                        self.autoscaler.scale_outs.load(request, pair.version);
                     }
                 }
                 _ => match pair.path.as_str() {
                     path if path.starts_with(keys::OWNED) => {
-                        self.autoscaler
-                            .owned_parts
-                            .extend(serde_json::from_value::<Vec<String>>(pair.v).unwrap_or_default());
+                        let names = serde_json::from_value::<Vec<String>>(pair.v).unwrap_or_default();
+                        self.autoscaler.owned.load_part(names);
                         self.store.owned_list_versions.insert(pair.path, pair.version);
                     }
                     keys::CATALOG => {
@@ -194,7 +168,7 @@
     fn activate(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
         if self.store.owned_list_versions.contains_key(keys::OWNED) {
-            self.autoscaler.owned = Some(std::mem::take(&mut self.autoscaler.owned_parts));
+            self.autoscaler.owned.finish_loading();
         }
         let (parts, large) =
             (std::mem::take(&mut self.recovery.part_pairs), std::mem::take(&mut self.recovery.split_records));
@@ -449,16 +423,6 @@
         self.queue_write(ctx.now.monotonic_ms, &id);
     }
 
-    /// A job that may run has come: as much may come again.
-    pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
-        let Some(j) = self.jobs.get(id) else { return };
-        let rec = JobRecord { s: j.spec.clone(), at: j.accepted_at, x: false, k: false };
-        self.autoscaler.arrivals.push_back((now, Job::new(rec, j.record.version)));
-        if self.autoscaler.arrivals.len() > ARRIVALS {
-            self.autoscaler.arrivals.pop_front();
-        }
-    }
-
     /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
     /// never does. Its record is read for the rest.
     pub(crate) fn stop_cancelled_job(&mut self, ctx: &mut Context, job: &str) {
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -14,6 +14,7 @@
 use crate::controller::{Context, PendingRequest};
 use crate::event::Event;
 use crate::io::*;
+use crate::leader::autoscaler::requests::ScaleOutRecordChange;
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::pages::{PageDraft, Pages, RecordedFacts};
 use crate::leader::{Leader, LeaderRequest};
@@ -405,22 +406,24 @@
     }
 
     fn collect_scale_outs(&mut self, f: &mut InFlightTransaction) {
-        for (name, h) in &mut self.autoscaler.scale_outs {
-            if h.writing || !f.transaction.has_space_for(1, 1, 300) {
+        for (name, scale_out) in self.autoscaler.scale_outs.iter_mut() {
+            if !f.transaction.has_space_for(1, 1, 300) {
                 continue;
             }
             let key = format!("{}{name}", keys::SCALE_OUTS);
-            if h.version == Revision::ABSENT && h.answer.is_none() {
-                f.transaction.set(key, Revision::ABSENT, json!(h.request), 200);
-                f.scale_outs.push(name.clone());
-                h.writing = true;
-            } else if let Some(machines) = &h.answer
-                && machines.iter().all(|id| self.fleet.machines.get(id).is_none_or(|m| m.record.committed))
-            {
-                f.transaction.drop_key(key, h.version);
-                f.hires_dropped.push(name.clone());
-                h.writing = true;
+            let is_settled = |id: &Id| self.fleet.machines.get(id).is_none_or(|m| m.record.committed);
+            match scale_out.record_change(is_settled) {
+                Some(ScaleOutRecordChange::Write(request)) => {
+                    f.transaction.set(key, Revision::ABSENT, json!(request), 200);
+                    f.scale_outs.push(name.clone());
+                }
+                Some(ScaleOutRecordChange::Remove(version)) => {
+                    f.transaction.drop_key(key, version);
+                    f.hires_dropped.push(name.clone());
+                }
+                None => continue,
             }
+            scale_out.record_change_sent();
         }
     }
 
@@ -797,13 +800,10 @@
             }
         }
         for name in f.scale_outs {
-            if let Some(h) = self.autoscaler.scale_outs.get_mut(&name) {
-                h.version = revision;
-                h.writing = false;
-            }
+            self.autoscaler.scale_outs.recorded(&name, revision);
         }
         for name in f.hires_dropped {
-            self.autoscaler.scale_outs.remove(&name);
+            self.autoscaler.scale_outs.removed(&name);
         }
         self.store.obsolete_keys.extend(f.parts.into_iter().flat_map(|parts| parts.into_iter().skip(1)));
         self.store.owned_list_versions.extend(f.owned.into_iter().map(|(key, ..)| (key, revision)));
@@ -847,9 +847,7 @@
         }
         self.store.dirty_blocks.extend(f.blocks.iter().map(|(n, _)| *n));
         for name in f.scale_outs.iter().chain(&f.hires_dropped) {
-            if let Some(h) = self.autoscaler.scale_outs.get_mut(name) {
-                h.writing = false;
-            }
+            self.autoscaler.scale_outs.record_change_failed(name);
         }
         // Those of a job that was accepted meanwhile may be in use.
         let taken = |parts: &Parts| stale.iter().any(|id| parts.iter().any(|(key, _)| key[2..].starts_with(&**id)));
