--- a/crates/core/src/leader/autoscaler/arrivals.rs
+++ b/crates/core/src/leader/autoscaler/arrivals.rs
@@ -1,7 +1,8 @@
 //! Jobs that arrived lately. As much is expected to arrive again, and room for it is kept.
 
 use crate::leader::Leader;
-use crate::model::{Id, Job, JobRecord};
+use crate::model::{Id, Job};
+use crate::records::JobRecord;
 use std::collections::VecDeque;
 
 /// Most arrivals remembered: three times what comes within two boot times in a threefold burst at 4,000
@@ -25,7 +26,7 @@
 impl Arrivals {
     /// A job arrived at `now` (steady clock, ms).
     fn record(&mut self, now: u64, job: &Job) {
-        let record = JobRecord { s: job.spec.clone(), at: job.accepted_at, x: false, k: false };
+        let record = JobRecord::new(job.spec.clone(), job.accepted_at);
         self.recent.push_back(Arrival { at: now, job: Job::new(record, job.record.version) });
         if self.recent.len() > MAX_ARRIVALS {
             self.recent.pop_front();
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -21,7 +21,7 @@
 use crate::leader::store::Store;
 use crate::leader::watch::JobWatch;
 use crate::model::*;
-use crate::submission_parts::{SplitJobRecord, StoredJob};
+use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
@@ -215,23 +215,23 @@
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Ok(n) = pair.path[keys::MACHINE_BLOCKS.len()..].parse::<u32>() else { return };
+        let Some(n) = keys::machine_block_number(&pair.path) else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
         let images: Vec<CachedImage> =
-            rec.i.iter().map(|(name, gb)| CachedImage { image: self.image(name), size_gb: *gb }).collect();
+            rec.images.iter().map(|image| CachedImage { image: self.image(&image.name), size_gb: image.gb }).collect();
         let mut block =
-            Block { zone: rec.z.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
-        for (name, r) in rec.m {
+            Block { zone: rec.zone.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
+        for (name, r) in rec.machines {
             let id: Id = name.as_str().into();
             // In two blocks only if its move between them was not finished: either will do.
             if self.fleet.machines.contains_key(&id) {
                 continue;
             }
-            let mut m = self.new_machine(ctx, &id, &r.f, &rec.z, r.b, r.o);
-            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.e, r.s, r.t);
-            m.images = r.i.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
+            let mut m = self.new_machine(ctx, &id, &r.machine_type, &rec.zone, r.spot, r.owned);
+            (m.agent.endpoint, m.agent.epoch, m.rented_at) = (r.endpoint, r.agent_epoch, r.rented_at_ms);
+            m.images = r.images.iter().filter_map(|i| images.get(*i as usize).copied()).collect();
             (m.record.block, m.record.committed) = (Some(n), true);
-            block.owned = r.o;
+            block.owned = r.owned;
             block.machines.insert(id.clone());
             self.fleet.machines.insert(m);
         }
@@ -312,15 +312,15 @@
             self.store.v0_1_keys.insert(pair.path, pair.version);
             let Ok(rec) = serde_json::from_value::<V01MachineRecord>(pair.v) else { continue };
             if !self.fleet.machines.contains_key(&name) {
-                let mut m = self.new_machine(ctx, &name, &rec.f, &rec.z, rec.b, rec.o);
-                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.e, rec.s, rec.t);
+                let mut m = self.new_machine(ctx, &name, &rec.machine_type, &rec.zone, rec.spot, rec.owned);
+                (m.agent.endpoint, m.agent.epoch, m.rented_at) = (rec.endpoint, rec.agent_epoch, rec.rented_at_ms);
                 self.fleet.machines.insert(m);
                 self.join_block(ctx, &name);
             }
-            for (job, task, attempt) in rec.p {
+            for V01PlacementRecord { job, task, attempt } in rec.placements {
                 let unknown = |j: &&Job| j.writes.page_of_task.get(task as usize).is_none_or(|at| *at == 0);
                 if let Some(id) = self.jobs.get(job.as_str()).filter(unknown).map(|j| j.id.clone()) {
-                    self.restore_placement(ctx, &id, &name, rec.s, attempt, task);
+                    self.restore_placement(ctx, &id, &name, rec.agent_epoch, attempt, task);
                     touched.push((id, task));
                 }
             }
@@ -376,15 +376,12 @@
             ctx.emit(Event::RecordUnreadable { key: path.into() });
             return;
         };
-        let (cancelled, _) = rec.cancelled();
+        let cancelled = rec.is_cancelled();
         if let Some(job) = self.jobs.get_mut(id) {
             self.scheduler.request_pass();
             job.record.version = version;
             job.record.stale = false;
-            job.record.has_cancellation_key = match &rec {
-                StoredJob::Whole(r) => r.k,
-                StoredJob::SplitSubmission(r) => r.k,
-            };
+            job.record.has_cancellation_key = rec.has_cancellation_key();
             let id = job.id.clone();
             if cancelled && !job.cancelled {
                 job.cancelled = true;
@@ -403,7 +400,7 @@
 
     /// A job that was not known has come.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, rec: JobRecord, version: Revision) {
-        if self.jobs.get(rec.s.id.as_str()).is_some_and(|j| j.record.version >= version) {
+        if self.jobs.get(rec.submission.id.as_str()).is_some_and(|j| j.record.version >= version) {
             return;
         }
         self.scheduler.request_pass();
@@ -579,7 +576,7 @@
             self.detect_zone_partitions(ctx);
             // The shorter of processor time, the longer between passes: leases and answers come first.
             let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            let lag_ms = (ctx.batch_lag_ms * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
+            let lag_ms = (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
             self.scheduler.delay_next_pass(now + apart + lag_ms);
             self.schedule(ctx);
         }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -10,7 +10,8 @@
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::scheduler::dependency_graph::clear_inherited;
 use crate::leader::{Leader, LeaderRequest};
-use crate::model::{FinalRecord, Id, Job, keys};
+use crate::model::{Id, Job};
+use crate::records::{FinalRecord, keys};
 
 /// A final record that could not be read is asked for again after this part of a heartbeat interval.
 const READ_RETRIES_PER_HEARTBEAT: u64 = 12;
@@ -53,14 +54,14 @@
     /// A job's committed end is known: its dependents are released or cancelled.
     pub(crate) fn dependency_ended(&mut self, ctx: &mut Context, id: &str, end: &FinalRecord) {
         let Some(dependents) = self.scheduler.dependencies.take_dependents(id) else { return };
-        if end.x {
+        if end.cancelled {
             self.cancel_dependents(ctx, dependents.into_iter().collect());
             return;
         }
         for dependent in dependents {
             let Some(job) = self.jobs.get_mut(&dependent) else { continue };
             job.open_dependencies.remove(id);
-            job.scheduling.ready_at = job.scheduling.ready_at.max(end.t);
+            job.scheduling.ready_at = job.scheduling.ready_at.max(end.ended_at_ms);
             if job.cancelled || job.is_blocked() {
                 continue;
             }
