--- /dev/null
+++ b/crates/core/src/leader/scheduler/fixture.rs
@@ -0,0 +1,175 @@
+//! Jobs, machines and settings for tests of decisions.
+
+use crate::io::Timestamp;
+use crate::leader::fleet::machines::MachineIndex;
+use crate::leader::scheduler::Scheduler;
+use crate::leader::scheduler::estimates::Estimates;
+use crate::leader::scheduler::view::SchedulingView;
+use crate::model::{Capacity, Id, Job, Machine, Placement, PlacementState};
+use crate::records::JobRecord;
+use crate::settings::{Settings, TeamQuota, Tuning};
+use crate::work_counters::WorkCounter;
+use shaleshunt_wire::cloud::{Catalog, MachineType};
+use shaleshunt_wire::user::{JobKind, Priority, Submission};
+use shaleshunt_wire::{AgentEpoch, Attempt, Resources, Revision};
+use std::collections::BTreeMap;
+
+/// The time at which decisions are taken.
+pub(crate) const NOW: Timestamp = Timestamp { monotonic_ms: 10_000_000, wall_ms: 50_000_000 };
+
+/// What decisions read.
+pub(crate) struct Fixture {
+    pub(crate) jobs: BTreeMap<Id, Job>,
+    pub(crate) machines: MachineIndex,
+    pub(crate) scheduler: Scheduler,
+    pub(crate) catalog: Catalog,
+    pub(crate) settings: Settings,
+    pub(crate) tuning: Tuning,
+    pub(crate) work: WorkCounter,
+    last_placement_id: u64,
+}
+
+impl Fixture {
+    /// Nothing but a team without limits.
+    pub(crate) fn new() -> Fixture {
+        let settings = Settings {
+            node_name: "node".into(),
+            teams: [("team".to_string(), TeamQuota::default())].into(),
+            heartbeat_interval_s: 3.0,
+            lease_s: 12.0,
+            cancel_s: 60.0,
+            cloud_rps: 10.0,
+            machine_list_lag_s: 5.0,
+            ..Settings::default()
+        };
+        Fixture {
+            jobs: BTreeMap::new(),
+            machines: MachineIndex::default(),
+            scheduler: Scheduler::new(0),
+            catalog: Catalog::default(),
+            settings,
+            tuning: Tuning::default(),
+            work: WorkCounter::default(),
+            last_placement_id: 0,
+        }
+    }
+
+    pub(crate) fn view(&self) -> SchedulingView<'_> {
+        SchedulingView {
+            jobs: &self.jobs,
+            machines: &self.machines,
+            scheduler: &self.scheduler,
+            estimates: Estimates {
+                runtimes: &self.scheduler.runtimes,
+                catalog: Some(&self.catalog),
+                heartbeat_interval_s: self.settings.heartbeat_interval_s,
+            },
+            settings: &self.settings,
+            tuning: &self.tuning,
+            now: NOW,
+            work: &self.work,
+        }
+    }
+
+    /// Adds a job that was submitted just now, changed by `change`.
+    pub(crate) fn add_job(&mut self, id: &str, change: impl FnOnce(&mut Job)) -> Id {
+        let job = job(id, change);
+        let id = job.id.clone();
+        self.jobs.insert(id.clone(), job);
+        id
+    }
+
+    /// Adds a machine of 16 cores that takes tasks, changed by `change`.
+    pub(crate) fn add_machine(&mut self, id: &str, change: impl FnOnce(&mut Machine)) -> Id {
+        let mut machine = Machine::new(id.into(), NOW);
+        machine.machine_type = "std".into();
+        machine.zone = "a".into();
+        machine.owned = true;
+        machine.capacity = Capacity { total: Resources::new(16.0, 0.0, 64.0), used: Resources::default() };
+        machine.record.committed = true;
+        machine.agent.endpoint = "http://machine".into();
+        machine.agent.epoch = AgentEpoch(1);
+        machine.agent.last_heard = Some(NOW.monotonic_ms);
+        change(&mut machine);
+        let id = machine.id.clone();
+        self.machines.insert(machine);
+        id
+    }
+
+    /// Places a task of a job on a machine, where it has run for `run_ms`; returns the placement's number.
+    pub(crate) fn run_task(&mut self, job: &Id, machine: &Id, run_ms: u64) -> u64 {
+        self.last_placement_id += 1;
+        let found = self.jobs.get_mut(job).expect("job");
+        let placement = Placement {
+            job: job.clone(),
+            task: found.tasks.placed_count,
+            attempt: Attempt::default(),
+            agent_epoch: AgentEpoch(1),
+            placement_id: self.last_placement_id,
+            need: found.need,
+            image: found.image,
+            stage: PlacementState::Running,
+            sent: true,
+            since: NOW.monotonic_ms - run_ms,
+            running: Some(NOW.monotonic_ms - run_ms),
+            stop_grace_s: None,
+        };
+        found.tasks.placed_count += 1;
+        let zone = self.machines.get(machine).expect("machine").zone.clone();
+        *found.tasks.by_zone.entry(zone).or_default() += 1;
+        self.machines.take_room(machine, &placement.need);
+        self.machines.get_mut(machine).expect("machine").placements.push(placement);
+        self.last_placement_id
+    }
+
+    /// Adds a machine type of 16 cores to the catalog.
+    pub(crate) fn add_machine_type(&mut self, name: &str, price: f64, spot_price: f64, zones: &[&str]) {
+        self.catalog.machine_types.push(MachineType {
+            name: name.into(),
+            cores: 16.0,
+            accelerators: 0.0,
+            memory_gb: 64.0,
+            local_gb: 100.0,
+            fetch_gb_per_s: 1.0,
+            price,
+            spot_price,
+            boot_s: 60.0,
+            zones: zones.iter().map(|zone| zone.to_string()).collect(),
+        });
+    }
+}
+
+/// A job of one task of four cores that runs for a minute, submitted just now, changed by `change`.
+pub(crate) fn job(id: &str, change: impl FnOnce(&mut Job)) -> Job {
+    let submission = Submission {
+        id: id.into(),
+        class: "class".into(),
+        team: "team".into(),
+        kind: JobKind::Array,
+        priority: Priority::Normal,
+        tasks: 1,
+        cores: 4.0,
+        accelerators: 0.0,
+        memory_gb: 1.0,
+        image: "image".into(),
+        image_gb: 1.0,
+        machine_types: None,
+        zone: None,
+        single_zone: false,
+        spread_zones: false,
+        spot: false,
+        estimated_run_s: 60.0,
+        checkpoint_interval_s: 0.0,
+        checkpoint_duration_s: 0.0,
+        deadline_s: None,
+        dependencies: Vec::new(),
+    };
+    let mut job = Job::new(JobRecord::new(submission, NOW.wall_ms), Revision::ABSENT);
+    change(&mut job);
+    job
+}
+
+/// Names as text, to compare.
+pub(crate) fn names(ids: &[Id]) -> Vec<&str> {
+    ids.iter().map(|id| &**id).collect()
+}
--- a/crates/core/src/leader/scheduler/mod.rs
+++ b/crates/core/src/leader/scheduler/mod.rs
@@ -15,6 +15,8 @@
 pub(crate) mod dependencies;
 pub(crate) mod dependency_graph;
 pub(crate) mod estimates;
+#[cfg(test)]
+pub(crate) mod fixture;
 pub(crate) mod offloading;
 pub(crate) mod overload;
 pub(crate) mod pass;
--- a/crates/core/src/leader/scheduler/pass/tests.rs
+++ b/crates/core/src/leader/scheduler/pass/tests.rs
@@ -1,1 +1,87 @@
+use super::*;
+use crate::leader::scheduler::fixture::{Fixture, job, names};
+use crate::settings::TeamQuota;
+use shaleshunt_wire::user::JobKind;
 
+#[test]
+fn a_demand_without_room_rules_out_what_needs_as_much_of_the_same_machines() {
+    let cases: [(&str, fn(&mut Job), fn(&mut Job), bool); 7] = [
+        ("the same", |_| {}, |_| {}, true),
+        ("needs more", |_| {}, |j| j.need = Resources::new(5.0, 0.0, 1.0), true),
+        ("needs less", |_| {}, |j| j.need = Resources::new(3.0, 0.0, 8.0), false),
+        ("may use spot machines too", |_| {}, |j| j.spec.spot = true, false),
+        ("may use slow machines too", |_| {}, |j| j.spec.kind = JobKind::Service, false),
+        ("one zone of all", |_| {}, |j| j.spec.zone = Some("a".into()), true),
+        ("all zones of which one is full", |j| j.spec.zone = Some("a".into()), |_| {}, false),
+    ];
+    for (name, without_room, other, ruled_out) in cases {
+        let demand = PlacementDemand::of(&job("without-room", without_room));
+        assert_eq!(demand.includes(&job("other", other)), ruled_out, "{name}");
+    }
+}
+
+#[test]
+fn a_pass_remembers_what_found_no_room() {
+    let mut fixture = Fixture::new();
+    fixture.add_machine("machine", |_| {});
+    let large = fixture.add_job("large", |j| j.need = Resources::new(17.0, 0.0, 1.0));
+    let restricted = fixture.add_job("restricted", |j| {
+        j.need = Resources::new(17.0, 0.0, 1.0);
+        j.failures.machines = ["machine".into()].into();
+    });
+    let small = fixture.add_job("small", |_| {});
+    let view = fixture.view();
+    let mut pass = Pass { examined_at_start: 0, unplaceable: Vec::new(), preemption_searches_left: 1 };
+    assert!(pass.find_machines(&view, &fixture.jobs[&restricted], 1).is_empty());
+    assert!(pass.unplaceable.is_empty(), "a job that avoids machines says nothing about those");
+    assert!(pass.find_machines(&view, &fixture.jobs[&large], 1).is_empty());
+    assert_eq!(pass.unplaceable.len(), 1);
+    assert_eq!(names(&pass.find_machines(&view, &fixture.jobs[&small], 1)), ["machine"]);
+}
+
+#[test]
+fn a_pass_that_examined_many_machines_goes_on_with_samples() {
+    let mut fixture = Fixture::new();
+    (fixture.tuning.pass_machines, fixture.tuning.sample) = (100.0, 64.0);
+    let pass = Pass { examined_at_start: 0, unplaceable: Vec::new(), preemption_searches_left: 1 };
+    assert_eq!(pass.max_candidates(&fixture.view(), 5), None);
+    fixture.work.examined(100);
+    assert_eq!(pass.max_candidates(&fixture.view(), 5), Some(64));
+    assert_eq!(pass.max_candidates(&fixture.view(), 500), Some(500));
+}
+
+#[test]
+fn limits_and_failures_bound_how_many_tasks_are_placed() {
+    let cases: [(&str, fn(&mut Job), u32); 4] = [
+        ("waiting", |_| {}, 3),
+        ("unknown team", |j| j.spec.team = "nobody".into(), 0),
+        ("team's limit", |j| j.spec.team = "limited".into(), 2),
+        ("only failed", |j| j.failures.count = 3, 1),
+    ];
+    for (name, change, tasks) in cases {
+        let mut fixture = Fixture::new();
+        let quota = TeamQuota { limit: (8_000, 0), ..TeamQuota::default() };
+        fixture.settings.teams.insert("limited".into(), quota);
+        let id = fixture.add_job("job", |j| {
+            j.spec.tasks = 3;
+            change(j);
+        });
+        assert_eq!(tasks_to_place(&fixture.view(), &fixture.jobs[&id]), tasks, "{name}");
+    }
+}
+
+#[test]
+fn a_gang_is_placed_whole_or_not_at_all() {
+    let mut fixture = Fixture::new();
+    for (id, zone) in [("a-1", "a"), ("b-1", "b"), ("b-2", "b")] {
+        fixture.add_machine(id, |m| m.zone = zone.into());
+    }
+    let gang = |tasks: u32, single_zone: bool| {
+        job("gang", |j| (j.spec.kind, j.spec.tasks, j.spec.single_zone) = (JobKind::Gang, tasks, single_zone))
+    };
+    let machines = |gang: Job| find_gang_machines(&fixture.view(), &gang).map(|machines| machines.len());
+    assert_eq!(machines(gang(12, false)), Some(12));
+    assert_eq!(machines(gang(13, false)), None);
+    assert_eq!(machines(gang(8, true)), Some(8));
+    assert_eq!(machines(gang(9, true)), None);
+}
--- a/crates/core/src/leader/scheduler/preemption/tests.rs
+++ b/crates/core/src/leader/scheduler/preemption/tests.rs
@@ -1,1 +1,163 @@
+use super::*;
+use crate::leader::scheduler::fixture::{Fixture, NOW};
+use crate::settings::TeamQuota;
+use shaleshunt_wire::Resources;
+use shaleshunt_wire::user::{JobKind, Priority};
 
+/// Whether a job of one priority that fills the only machine is stopped for another.
+struct Case {
+    name: &'static str,
+    urgent: fn(&mut Job),
+    victim: fn(&mut Job),
+    preempted: bool,
+}
+
+fn high(job: &mut Job) {
+    job.scheduling.priority = Priority::High;
+}
+
+#[test]
+fn only_less_urgent_work_without_checkpoints_is_preempted() {
+    let plain: fn(&mut Job) = |_| {};
+    let cases = [
+        Case { name: "less urgent", urgent: high, victim: plain, preempted: true },
+        Case { name: "as urgent", urgent: plain, victim: plain, preempted: false },
+        Case { name: "more urgent", urgent: plain, victim: high, preempted: false },
+        Case {
+            name: "takes checkpoints",
+            urgent: high,
+            victim: |j| j.spec.checkpoint_interval_s = 60.0,
+            preempted: false,
+        },
+        Case {
+            name: "a service is not spared",
+            urgent: high,
+            victim: |j| j.spec.kind = JobKind::Service,
+            preempted: true,
+        },
+        Case {
+            name: "type not allowed",
+            urgent: |j| {
+                high(j);
+                j.spec.machine_types = Some(vec!["big".into()]);
+            },
+            victim: plain,
+            preempted: false,
+        },
+    ];
+    for case in cases {
+        let mut fixture = Fixture::new();
+        let machine = fixture.add_machine("machine", |_| {});
+        let victim = fixture.add_job("victim", case.victim);
+        fixture.jobs.get_mut(&victim).expect("job").need = Resources::new(16.0, 0.0, 1.0);
+        let placement = fixture.run_task(&victim, &machine, 1_000);
+        let urgent = fixture.add_job("urgent", case.urgent);
+        let search = choose_preemption(&fixture.view(), &fixture.jobs[&urgent], PreemptionReason::NoRoom, None);
+        let expected = case.preempted.then(|| Preemption { machine: machine.clone(), placements: vec![placement] });
+        assert_eq!(search.preemption, expected, "{}", case.name);
+        assert_eq!(search.last_examined, Some(machine), "{}", case.name);
+    }
+}
+
+#[test]
+fn the_least_run_time_is_lost_and_no_more_than_needed() {
+    let mut fixture = Fixture::new();
+    let victim = fixture.add_job("victim", |_| {});
+    let machines = ["one", "two"].map(|id| fixture.add_machine(id, |_| {}));
+    for run_ms in [9_000, 4_000, 6_000, 5_000] {
+        fixture.run_task(&victim, &machines[0], run_ms);
+    }
+    let shorter = [8_000, 1_000, 7_000, 3_000].map(|run_ms| fixture.run_task(&victim, &machines[1], run_ms));
+    let urgent = fixture.add_job("urgent", |j| {
+        high(j);
+        j.need = Resources::new(8.0, 0.0, 1.0);
+    });
+    let search = choose_preemption(&fixture.view(), &fixture.jobs[&urgent], PreemptionReason::NoRoom, None);
+    let expected = Preemption { machine: machines[1].clone(), placements: vec![shorter[1], shorter[3]] };
+    assert_eq!(search.preemption, Some(expected));
+    // A machine that holds the image is better, whatever is lost.
+    fixture.machines.get_mut("one").expect("machine").images.add_known(0, 1.0);
+    let search = choose_preemption(&fixture.view(), &fixture.jobs[&urgent], PreemptionReason::NoRoom, None);
+    assert_eq!(search.preemption.map(|preemption| preemption.machine), Some(machines[0].clone()));
+}
+
+#[test]
+fn a_task_that_is_stopping_already_is_not_counted() {
+    let mut fixture = Fixture::new();
+    let machine = fixture.add_machine("machine", |_| {});
+    let victim = fixture.add_job("victim", |j| j.need = Resources::new(16.0, 0.0, 1.0));
+    fixture.run_task(&victim, &machine, 1_000);
+    fixture.machines.get_mut("machine").expect("machine").placements[0].stop_grace_s = Some(0.0);
+    let urgent = fixture.add_job("urgent", high);
+    let search = choose_preemption(&fixture.view(), &fixture.jobs[&urgent], PreemptionReason::NoRoom, None);
+    assert_eq!(search.preemption, None);
+}
+
+#[test]
+fn for_a_fetch_only_little_run_time_is_thrown_away_unless_by_a_service() {
+    let preempted = |run_ms: u64, kind: JobKind| {
+        let mut fixture = Fixture::new();
+        fixture.add_machine_type("std", 1.0, 0.5, &["a"]);
+        let machine = fixture.add_machine("machine", |m| m.images.add_known(0, 1.0));
+        fixture.add_machine("without-image", |_| {});
+        let victim = fixture.add_job("victim", |j| j.need = Resources::new(16.0, 0.0, 1.0));
+        fixture.run_task(&victim, &machine, run_ms);
+        let urgent = fixture.add_job("urgent", |j| {
+            high(j);
+            (j.spec.kind, j.spec.image_gb) = (kind, 10.0);
+        });
+        let reason = PreemptionReason::ImageAbsent;
+        choose_preemption(&fixture.view(), &fixture.jobs[&urgent], reason, None).preemption.is_some()
+    };
+    // The fetch takes ten seconds.
+    assert!(preempted(20_000, JobKind::Array));
+    assert!(!preempted(20_001, JobKind::Array));
+    assert!(preempted(20_001, JobKind::Service));
+}
+
+#[test]
+fn a_guarantee_is_reclaimed_from_teams_beyond_theirs() {
+    let preempted = |guarantee_of_other: i64, reason: PreemptionReason, guaranteed: &[&str]| {
+        let mut fixture = Fixture::new();
+        let quota = TeamQuota { guarantee: (guarantee_of_other, 0), ..TeamQuota::default() };
+        fixture.settings.teams.insert("other".into(), quota);
+        let machine = fixture.add_machine("machine", |m| m.images.add_known(0, 1.0));
+        let victim = fixture.add_job("victim", |j| {
+            j.spec.team = "other".into();
+            j.need = Resources::new(16.0, 0.0, 1.0);
+        });
+        fixture.run_task(&victim, &machine, 1_000);
+        let need = Resources::new(16.0, 0.0, 1.0);
+        fixture.scheduler.usage.add("class", "other", &need, crate::leader::scheduler::usage::Ownership::Owned);
+        fixture.scheduler.ranks.guaranteed = guaranteed.iter().map(|id| Id::from(*id)).collect();
+        let owed = fixture.add_job("owed", |_| {});
+        choose_preemption(&fixture.view(), &fixture.jobs[&owed], reason, None).preemption.is_some()
+    };
+    assert!(preempted(8_000, PreemptionReason::NoRoom, &["owed"]));
+    assert!(!preempted(16_000, PreemptionReason::NoRoom, &["owed"]), "the other is within its guarantee");
+    assert!(!preempted(8_000, PreemptionReason::NoRoom, &[]), "nothing is owed");
+    assert!(!preempted(8_000, PreemptionReason::NoRoom, &["owed", "victim"]), "the victim is guaranteed too");
+    assert!(!preempted(8_000, PreemptionReason::ImageAbsent, &["owed"]), "there is room elsewhere");
+}
+
+#[test]
+fn each_search_examines_another_sample() {
+    let mut fixture = Fixture::new();
+    fixture.tuning.sample = 2.0;
+    let victim = fixture.add_job("victim", |j| j.need = Resources::new(16.0, 0.0, 1.0));
+    for number in 0..3 {
+        let machine = fixture.add_machine(&format!("machine-{number}"), |_| {});
+        fixture.run_task(&victim, &machine, 1_000);
+    }
+    fixture.add_machine("machine-slow", |m| m.health.slow_until = NOW.monotonic_ms + 1);
+    let urgent = fixture.add_job("urgent", high);
+    let mut start = None;
+    let mut chosen = Vec::new();
+    for _ in 0..3 {
+        let reason = PreemptionReason::NoRoom;
+        let search = choose_preemption(&fixture.view(), &fixture.jobs[&urgent], reason, start.as_ref());
+        start = search.last_examined;
+        chosen.extend(search.preemption.map(|preemption| preemption.machine.to_string()));
+    }
+    assert_eq!(chosen, ["machine-0", "machine-2", "machine-1"]);
+}
