--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -63,8 +63,8 @@
 }
 
 impl ScaleInView<'_> {
-    /// Why the machine is to be returned, if it is. Owned machines are not, unless they were recorded with
-    /// an agent that this leader never heard.
+    /// Why the machine is to be returned, if it is. An owned machine is not: it goes only when the cloud's
+    /// list shows that it failed.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         match machine.agent.last_heard {
             None if machine.owned => None,
