--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -1,6 +1,6 @@
 //! Demand for rented machines: jobs that wait for room, and jobs that are expected to arrive.
 
-use crate::leader::autoscaler::plan::ScaleOutView;
+use crate::leader::autoscaler::view::ScaleOutView;
 use crate::leader::scheduler::constraints::{MachineKind, allows};
 use crate::model::Job;
 use shaleshunt_wire::Resources;
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -14,11 +14,13 @@
 pub(crate) mod catalog;
 pub(crate) mod demand;
 pub(crate) mod machine_list;
+pub(crate) mod offer_selection;
 pub(crate) mod offers;
 pub(crate) mod owned_machines;
 pub(crate) mod plan;
 pub(crate) mod requests;
 pub(crate) mod scale_in;
+pub(crate) mod view;
 
 use crate::controller::Context;
 use crate::io::{CloudReply, RequestError};
@@ -27,8 +29,9 @@
 use crate::leader::autoscaler::machine_list::MachineListScan;
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::owned_machines::OwnedMachines;
-use crate::leader::autoscaler::plan::{ScaleOutView, longest_boot_s, plan_scale_out};
+use crate::leader::autoscaler::plan::plan_scale_out;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::autoscaler::view::{ScaleOutView, longest_boot_s};
 use crate::leader::{Leader, LeaderRequest};
 use shaleshunt_wire::cloud::Catalog;
 
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -1,43 +1,18 @@
 //! Which machines to rent: the cheapest for the demand that free capacity and machines on their way don't
 //! cover.
 
-use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::demand::demand;
-use crate::leader::autoscaler::offers::{Offer, UnavailableOffers, ZoneMarket, cheapest_offer};
-use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::autoscaler::offer_selection::{ZoneMarket, cheapest_offer};
+use crate::leader::autoscaler::offers::Offer;
+use crate::leader::autoscaler::view::ScaleOutView;
 use crate::leader::scheduler::constraints::{allows, zone_headroom};
-use crate::leader::scheduler::view::SchedulingView;
 use crate::model::{Id, Job, Machine};
-use shaleshunt_wire::cloud::Catalog;
 use shaleshunt_wire::{MAX_MACHINES_PER_SCALE_OUT, Resources};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 
 /// So many requests may be made in a round, however few the cloud takes.
 const LEAST_REQUESTS_PER_ROUND: u32 = 3;
 
-/// What a decision to scale out reads.
-pub(crate) struct ScaleOutView<'a> {
-    pub(super) scheduling: SchedulingView<'a>,
-    pub(super) catalog: &'a Catalog,
-    pub(super) scale_outs: &'a ScaleOutRequests,
-    pub(super) unavailable: &'a UnavailableOffers,
-    pub(super) arrivals: &'a Arrivals,
-    /// Zones whose machines can't be heard.
-    pub(super) partitioned_zones: &'a BTreeSet<String>,
-}
-
-impl ScaleOutView<'_> {
-    /// The longest usual boot time of any type, in seconds.
-    pub(super) fn longest_boot_s(&self) -> f64 {
-        longest_boot_s(self.catalog)
-    }
-}
-
-/// The longest usual boot time of the catalog's types, in seconds.
-pub(super) fn longest_boot_s(catalog: &Catalog) -> f64 {
-    catalog.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
-}
-
 /// Machines of one offer to ask for.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PlannedRequest {
--- a/crates/core/src/leader/autoscaler/plan/tests.rs
+++ b/crates/core/src/leader/autoscaler/plan/tests.rs
@@ -1,9 +1,13 @@
 use super::*;
+use crate::leader::autoscaler::arrivals::Arrivals;
+use crate::leader::autoscaler::offers::UnavailableOffers;
+use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::scheduler::fixture::{Fixture, job, names};
 use crate::settings::TeamQuota;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::user::JobKind;
+use std::collections::BTreeSet;
 
 /// What the autoscaler knows besides jobs and machines.
 #[derive(Default)]
--- /dev/null
+++ b/crates/core/src/leader/autoscaler/view.rs
@@ -0,0 +1,31 @@
+//! What decisions to scale out read: a borrowed picture of the cloud, the fleet and the queue at one time.
+
+use crate::leader::autoscaler::arrivals::Arrivals;
+use crate::leader::autoscaler::offers::UnavailableOffers;
+use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::scheduler::view::SchedulingView;
+use shaleshunt_wire::cloud::Catalog;
+use std::collections::BTreeSet;
+
+/// What a decision to scale out reads.
+pub(crate) struct ScaleOutView<'a> {
+    pub(super) scheduling: SchedulingView<'a>,
+    pub(super) catalog: &'a Catalog,
+    pub(super) scale_outs: &'a ScaleOutRequests,
+    pub(super) unavailable: &'a UnavailableOffers,
+    pub(super) arrivals: &'a Arrivals,
+    /// Zones whose machines can't be heard.
+    pub(super) partitioned_zones: &'a BTreeSet<String>,
+}
+
+impl ScaleOutView<'_> {
+    /// The longest usual boot time of any type, in seconds.
+    pub(super) fn longest_boot_s(&self) -> f64 {
+        longest_boot_s(self.catalog)
+    }
+}
+
+/// The longest usual boot time of the catalog's types, in seconds.
+pub(super) fn longest_boot_s(catalog: &Catalog) -> f64 {
+    catalog.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
+}
