--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -18,15 +18,16 @@
 mod context;
 mod election;
 mod kv_availability;
-mod peer_heartbeat;
 mod peer_lease_reports;
 mod peer_views;
 mod peers;
 mod pending;
+mod progress;
 mod relay;
 mod zone_leases;
 
 pub(crate) use context::{BatchTime, Context};
+pub(crate) use peer_lease_reports::PeerLeaseReport;
 pub(crate) use pending::PendingRequest;
 
 use crate::api::{Api, ApiRequest};
@@ -42,10 +43,10 @@
 use crate::work_counters::Work;
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
-use peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
-use peers::{Peers, SharedProgress};
+use peers::Peers;
+use progress::ReportedProgress;
 use relay::{RelayDecision, RelayInputs};
-use shaleshunt_peer::Frame;
+use shaleshunt_peer::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply};
 use zone_leases::ZoneLeases;
@@ -72,7 +73,7 @@
     /// another: a restart may take less than any clock shows.
     pub fn new(settings: Settings, tuning: Tuning, now: Timestamp, process_id: u64) -> Controller {
         Controller {
-            api: Api::default(),
+            api: Api::new(&settings),
             election: Election::new(now.monotonic_ms),
             leader: None,
             peers: Peers::new(&settings, now.monotonic_ms),
@@ -102,7 +103,7 @@
         match command {
             Command::Submit(id, submission) => self.api.submit(&mut self.ctx, id, *submission),
             Command::Status(id, job) => self.api.status(&mut self.ctx, id, job),
-            Command::Cancel(id, job) => self.api.withdraw(&mut self.ctx, id, job),
+            Command::Cancel(id, job) => self.api.cancel(&mut self.ctx, id, job),
             Command::HealthCheck(id) => self.handle_health_check(id),
             Command::Heartbeat(id, heartbeat) => self.handle_heartbeat(id, *heartbeat),
             Command::Kv(id, result) => self.handle_kv_reply(id, result),
@@ -190,8 +191,8 @@
         }
         match pending.request {
             PendingRequest::Api(request) => {
-                let (counts, leader) = (self.peers.task_counts(), self.leader.as_deref());
-                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, counts, leader);
+                let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, &progress);
                 self.forward_cancellations();
             }
             PendingRequest::Election(request) if self.leader.is_none() => {
@@ -212,7 +213,7 @@
     /// Stops at once what users' requests have shown to be cancelled: the leader's own watch may be refused just
     /// then.
     fn forward_cancellations(&mut self) {
-        let cancelled = std::mem::take(&mut self.api.newly_cancelled);
+        let cancelled = self.api.take_newly_cancelled();
         let Some(leader) = &mut self.leader else { return };
         for job in cancelled {
             leader.stop_cancelled_job(&mut self.ctx, &job);
@@ -242,23 +243,10 @@
 
     fn handle_frame(&mut self, from: String, frame: Frame) {
         match frame {
-            Frame::Heartbeat { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
-                let heartbeat = PeerHeartbeat {
-                    epoch,
-                    leader,
-                    is_leader: leads,
-                    store_contact_age_ms: state_age_ms,
-                    process_id: born,
-                    sent_at_ms: at,
-                    echo: HeartbeatEcho { process_id: echo.0, sent_at_ms: echo.1 },
-                    lease_extension_age_ms: kept_ms,
-                    pending_submissions: waiting,
-                };
-                self.handle_peer_heartbeat(&from, heartbeat);
-            }
+            Frame::Heartbeat(heartbeat) => self.handle_peer_heartbeat(&from, heartbeat),
             Frame::JobProgress { epoch, jobs } => self.handle_progress(epoch, jobs),
             // The first belongs to the connection, the others to the clients of the key-value store.
-            Frame::Hello { .. } | Frame::Relay { .. } | Frame::Relayed { .. } => {}
+            Frame::Hello { .. } | Frame::ForwardedRequest { .. } | Frame::ForwardedResponse { .. } => {}
         }
     }
 
@@ -284,7 +272,7 @@
         }
     }
 
-    fn handle_progress(&mut self, epoch: Epoch, jobs: SharedProgress) {
+    fn handle_progress(&mut self, epoch: Epoch, jobs: Vec<JobProgress>) {
         if epoch < self.election.epoch() || self.leader.is_some() {
             return;
         }
@@ -292,9 +280,9 @@
         self.peers.record_progress(jobs);
     }
 
-    fn learn_versions(&mut self, jobs: &SharedProgress) {
-        let versions = jobs.iter().map(|(job, version, _, _)| (job.as_str(), *version));
-        self.api.learn(&self.ctx, versions);
+    fn learn_versions(&mut self, jobs: &[JobProgress]) {
+        let versions = jobs.iter().map(|progress| (progress.job.as_str(), progress.record_version));
+        self.api.learn_revisions(versions);
     }
 
     fn handle_disconnect(&mut self, peer: &str) {
@@ -342,8 +330,9 @@
         }
         self.catalog_reader.run_due(&mut self.ctx);
         self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
-        self.api.run_due(&mut self.ctx, self.peers.task_counts(), self.leader.as_deref());
-        let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.waiting());
+        let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+        self.api.run_due(&mut self.ctx, &progress);
+        let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.pending_submissions());
         self.ctx.set_peer_activity(activity);
         self.run_leader();
         self.update_relay();
@@ -401,7 +390,7 @@
             sent_at_ms: now,
             echo: HeartbeatEcho::default(),
             lease_extension_age_ms: saturate(self.zone_leases.renewal_age_ms(now)),
-            pending_submissions: self.api.waiting(),
+            pending_submissions: self.api.pending_submissions(),
         };
         self.peers.send_heartbeats(&mut self.ctx, &heartbeat);
     }
--- a/crates/core/src/controller/peer_views.rs
+++ b/crates/core/src/controller/peer_views.rs
@@ -2,8 +2,8 @@
 //!
 //! Only configured peers are recorded. A peer whose connection broke counts as not heard until its next heartbeat.
 
-use super::peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
 use crate::settings::Settings;
+use shaleshunt_peer::{HeartbeatEcho, PeerHeartbeat};
 use std::collections::BTreeMap;
 
 /// A peer is live if it was heard within this fraction of a heartbeat interval of the agents.
--- a/crates/core/src/leader/autoscaler/arrivals/tests.rs
+++ b/crates/core/src/leader/autoscaler/arrivals/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::leader::scheduler::fixture::job;
+use crate::leader::scheduler::fixture::{job, place_in_zone, set_tasks};
 
 impl Arrivals {
     /// Records an arrival in other modules' tests.
@@ -12,7 +12,13 @@
 fn arrivals_are_kept_as_they_arrived_and_for_a_while() {
     let mut arrivals = Arrivals::default();
     arrivals.record(0, &job("early", |_| {}));
-    arrivals.record(100, &job("late", |j| (j.spec.tasks, j.tasks.placed_count) = (3, 3)));
+    arrivals.record(
+        100,
+        &job("late", |j| {
+            set_tasks(j, 3);
+            place_in_zone(j, "a");
+        }),
+    );
     arrivals.forget_older(150, 100.0);
     let kept: Vec<&Job> = arrivals.jobs().collect();
     assert_eq!(kept.iter().map(|job| (&*job.id, job.waiting())).collect::<Vec<_>>(), [("late", 3)]);
--- a/crates/core/src/leader/autoscaler/demand/tests.rs
+++ b/crates/core/src/leader/autoscaler/demand/tests.rs
@@ -2,9 +2,9 @@
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::fleet::reachability::Reachability;
 use crate::leader::scheduler::fixture::{Fixture, NOW};
 use crate::settings::ServiceObjective;
-use std::collections::BTreeSet;
 
 /// Whether a job that has waited for so long wants rented machines, where owned ones could run it.
 fn wants(fixture: &Fixture) -> bool {
@@ -14,7 +14,7 @@
         scale_outs: &ScaleOutRequests::default(),
         unavailable: &UnavailableOffers::default(),
         arrivals: &Arrivals::default(),
-        partitioned_zones: &BTreeSet::new(),
+        reachability: &Reachability::new(0),
     };
     !demand(&view).is_empty()
 }
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -108,7 +108,7 @@
             scale_outs: &self.autoscaler.scale_outs,
             unavailable: &self.autoscaler.unavailable_offers,
             arrivals: &self.autoscaler.arrivals,
-            partitioned_zones: &self.fleet.partitioned_zones,
+            reachability: &self.fleet.reachability,
         }
     }
 
--- a/crates/core/src/leader/autoscaler/offer_selection.rs
+++ b/crates/core/src/leader/autoscaler/offer_selection.rs
@@ -50,8 +50,8 @@
 
 /// Every zone that can be reached, each as spot and on demand.
 fn offers_of<'a>(view: &ScaleOutView<'a>, machine_type: &'a MachineType) -> impl Iterator<Item = Offer> + 'a {
-    let partitioned = view.partitioned_zones;
-    let zones = machine_type.zones.iter().filter(|zone| !partitioned.contains(*zone));
+    let reachability = view.reachability;
+    let zones = machine_type.zones.iter().filter(|zone| !reachability.is_partitioned(zone));
     zones.flat_map(|zone| {
         SPOT_THEN_ON_DEMAND.map(|spot| Offer { machine_type: machine_type.name.clone(), zone: zone.clone(), spot })
     })
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -221,7 +221,7 @@
 fn is_usable_soon(view: &ScaleOutView, machine: &Machine) -> bool {
     let booting = machine.agent.last_heard.is_none()
         && !machine.lifecycle.scale_in_wanted
-        && !view.partitioned_zones.contains(&machine.zone);
+        && !view.reachability.is_partitioned(&machine.zone);
     booting || machine.is_schedulable(view.scheduling.now.monotonic_ms, view.scheduling.settings)
 }
 
--- a/crates/core/src/leader/autoscaler/plan/tests.rs
+++ b/crates/core/src/leader/autoscaler/plan/tests.rs
@@ -2,20 +2,30 @@
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
-use crate::leader::scheduler::fixture::{Fixture, job, names};
-use crate::settings::TeamQuota;
+use crate::leader::fleet::reachability::Reachability;
+use crate::leader::scheduler::fixture::{Fixture, job, names, place_in_zone};
+use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::user::JobKind;
-use std::collections::BTreeSet;
 
 /// What the autoscaler knows besides jobs and machines.
-#[derive(Default)]
 struct Known {
     scale_outs: ScaleOutRequests,
     unavailable: UnavailableOffers,
     arrivals: Arrivals,
-    partitioned_zones: BTreeSet<String>,
+    reachability: Reachability,
+}
+
+impl Default for Known {
+    fn default() -> Known {
+        Known {
+            scale_outs: ScaleOutRequests::default(),
+            unavailable: UnavailableOffers::default(),
+            arrivals: Arrivals::default(),
+            reachability: Reachability::new(0),
+        }
+    }
 }
 
 fn plan(fixture: &Fixture, known: &Known) -> ScaleOutPlan {
@@ -25,7 +35,7 @@
         scale_outs: &known.scale_outs,
         unavailable: &known.unavailable,
         arrivals: &known.arrivals,
-        partitioned_zones: &known.partitioned_zones,
+        reachability: &known.reachability,
     })
 }
 
@@ -57,11 +67,11 @@
         ("no type large enough", |j| j.need = Resources::new(17.0, 0.0, 1.0), &[]),
         ("unknown team", |j| j.spec.team = "nobody".into(), &[]),
         ("team's limit", |j| (j.spec.tasks, j.spec.team) = (9, "limited".into()), &["std a on-demand 1"]),
-        ("nothing waits", |j| j.tasks.placed_count = 1, &[]),
+        ("nothing waits", |j| place_in_zone(j, "a"), &[]),
     ];
     for (name, change, expected) in cases {
         let mut fixture = fixture();
-        let quota = TeamQuota { limit: (16_000, 0), ..TeamQuota::default() };
+        let quota = TeamQuota { limit: ComputeAmount { cores: 16_000, accelerators: 0 }, ..TeamQuota::default() };
         fixture.settings.teams.insert("limited".into(), quota);
         fixture.add_job("job", change);
         assert_eq!(requests(&plan(&fixture, &Known::default())), expected, "{name}");
@@ -83,7 +93,7 @@
     assert_eq!(requests(&planned), [""; 0]);
     assert_eq!(names(&planned.needed_machines), ["nearly-full", "booting"]);
     // What boots in a partitioned zone is of no use, and nothing is rented there.
-    known.partitioned_zones = ["a".to_string(), "c".to_string()].into();
+    known.reachability.set_partitioned_zones(["a".to_string(), "c".to_string()].into());
     let planned = plan(&fixture, &known);
     assert_eq!(names(&planned.needed_machines), ["nearly-full", "unneeded"]);
 }
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -168,7 +168,7 @@
             tuning: &ctx.tuning,
             now: ctx.now,
             elected_at: self.elected_at,
-            few_overdue: self.fleet.few_overdue,
+            few_overdue: self.fleet.reachability.few_overdue(),
             zones_with_controllers: ctx.peer_lease_reports.values().map(|report| report.zone.as_str()).collect(),
         }
     }
@@ -199,9 +199,8 @@
         for placement_id in placements {
             self.release_placement(ctx.now.monotonic_ms, id, placement_id, false);
         }
-        if let Some(machine) = self.fleet.machines.remove(id) {
+        if let Some(machine) = self.fleet.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
-            self.fleet.confirmations_in_flight -= u32::from(machine.call.confirms_token);
             if let Some(block) = machine.record.block.and_then(|number| self.store.blocks.get_mut(&number)) {
                 block.machines.remove(id);
                 self.store.thinned_blocks.extend(machine.record.block);
--- a/crates/core/src/leader/autoscaler/view.rs
+++ b/crates/core/src/leader/autoscaler/view.rs
@@ -3,9 +3,9 @@
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
+use crate::leader::fleet::reachability::Reachability;
 use crate::leader::scheduler::view::SchedulingView;
 use shaleshunt_wire::cloud::Catalog;
-use std::collections::BTreeSet;
 
 /// What a decision to scale out reads.
 pub(crate) struct ScaleOutView<'a> {
@@ -14,8 +14,7 @@
     pub(super) scale_outs: &'a ScaleOutRequests,
     pub(super) unavailable: &'a UnavailableOffers,
     pub(super) arrivals: &'a Arrivals,
-    /// Zones whose machines can't be heard.
-    pub(super) partitioned_zones: &'a BTreeSet<String>,
+    pub(super) reachability: &'a Reachability,
 }
 
 impl ScaleOutView<'_> {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -2,11 +2,16 @@
 //! users' changes.
 
 pub(crate) mod autoscaler;
+mod direct_calls;
 pub(crate) mod fleet;
+mod heartbeats;
+mod machine_failures;
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
+mod silent_machines;
 pub(crate) mod step_down;
 pub(crate) mod store;
+mod task_exits;
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
@@ -24,7 +29,7 @@
 use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
-use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken, Resources, Revision};
+use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 use std::collections::BTreeMap;
 
 /// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
@@ -191,21 +196,11 @@
         }
         // A zone may be cut off already: its machines have two reporting intervals to be heard.
         for m in self.fleet.machines.values().filter(|m| !m.zone.is_empty()) {
-            let z = self
-                .fleet
-                .zone_activity
-                .entry(m.zone.clone())
-                .or_insert((now + ctx.settings.heartbeat_interval_ms() * 2, 0));
-            z.1 += 1;
+            let until = now + ctx.settings.heartbeat_interval_ms() * 2;
+            self.fleet.reachability.expect_machine(&m.zone, until);
         }
         // All are asked, some at a time, so that the new token is confirmed before the next report.
-        self.fleet.unconfirmed = self
-            .fleet
-            .machines
-            .values()
-            .filter(|m| !m.agent.endpoint.is_empty() && m.agent.epoch > AgentEpoch::NONE)
-            .map(|m| m.id.clone())
-            .collect();
+        self.fleet.confirm_all_tokens();
         ctx.emit(Event::LeaderStateLoaded {
             epoch: self.epoch,
             jobs: self.jobs.len(),
@@ -217,8 +212,11 @@
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
         let Some(n) = keys::machine_block_number(&pair.path) else { return };
         let Ok(rec) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
-        let images: Vec<CachedImage> =
-            rec.images.iter().map(|image| CachedImage { image: self.image(&image.name), size_gb: image.gb }).collect();
+        let images: Vec<CachedImage> = rec
+            .images
+            .iter()
+            .map(|image| CachedImage { image: self.fleet.images.number(&image.name), size_gb: image.gb })
+            .collect();
         let mut block =
             Block { zone: rec.zone.clone(), version: pair.version, wrote: ctx.now.monotonic_ms, ..Block::default() };
         for (name, r) in rec.machines {
@@ -249,12 +247,8 @@
         attempt: Attempt,
         task: u32,
     ) {
-        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.done.get(task) && task < j.spec.tasks) else { return };
-        let known = job
-            .tasks
-            .placements
-            .get(&task)
-            .is_some_and(|l| l.iter().any(|l| l.machine == *machine && l.attempt == attempt));
+        let Some(job) = self.jobs.get(id).filter(|j| !j.tasks.is_done(task) && task < j.spec.tasks) else { return };
+        let known = job.tasks.placements_of(task).iter().any(|l| l.machine == *machine && l.attempt == attempt);
         if known {
             return;
         }
@@ -298,12 +292,8 @@
             let chunk = parts.next().and_then(|c| c.parse::<u32>().ok());
             let job = parts.next().and_then(|j| self.jobs.get_mut(j));
             if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
-                let before = job.tasks.done.clone();
-                job.tasks.done.decode(chunk.saturating_mul(per_chunk), text);
-                job.tasks.done_count = job.tasks.done.count();
-                job.tasks.started = true;
-                let new = |i: &u32| job.tasks.done.get(*i) && !before.get(*i);
-                touched.extend((0..job.spec.tasks).filter(new).map(|i| (job.id.clone(), i)));
+                let restored = job.tasks.restore_done(chunk.saturating_mul(per_chunk), text);
+                touched.extend(restored.into_iter().map(|i| (job.id.clone(), i)));
             }
             self.store.v0_1_keys.insert(pair.path, pair.version);
         }
@@ -330,29 +320,15 @@
         }
     }
 
-    /// The number of an image.
-    pub(crate) fn image(&mut self, name: &str) -> u32 {
-        if let Some(n) = self.fleet.image_numbers.get(name) {
-            return *n;
-        }
-        let n = self.fleet.image_names.len() as u32;
-        self.fleet.image_names.push(name.to_string());
-        self.fleet.image_numbers.insert(name.to_string(), n);
-        n
-    }
-
     /// Where records of the earlier form name a task twice, the earlier placement had been released
     /// when the later was planned, so it is gone; it must not be started again and is released by
     /// proof as any other.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
-            for list in job.tasks.placements.values().filter(|l| l.len() > 1) {
-                let latest = list.iter().map(|l| l.attempt).max().unwrap_or_default();
-                for l in list.iter().filter(|l| l.attempt < latest) {
-                    let placements = self.fleet.machines.get_mut(&l.machine).map(|m| &mut m.placements);
-                    if let Some(p) = placements.and_then(|p| p.iter_mut().find(|p| p.placement_id == l.placement_id)) {
-                        p.stop_grace_s = Some(0.0);
-                    }
+            for l in job.tasks.superseded_placements() {
+                let machine = self.fleet.machines.get_mut(&l.machine);
+                if let Some(p) = machine.and_then(|m| m.placement_mut(l.placement_id)) {
+                    p.stop_grace_s = Some(0.0);
                 }
             }
         }
@@ -405,7 +381,7 @@
         }
         self.scheduler.request_pass();
         let mut job = Job::new(rec, version);
-        job.image = self.image(&job.spec.image);
+        job.image = self.fleet.images.number(&job.spec.image);
         let (id, cancelled, dependencies) = (job.id.clone(), job.cancelled, job.is_blocked());
         self.jobs.insert(id.clone(), job);
         self.scheduler.jobs_changed();
@@ -555,8 +531,7 @@
         if self.watch.retry_at.is_some_and(|t| now >= t) {
             self.watch(ctx);
         }
-        if now >= self.fleet.next_reachability_check {
-            self.fleet.next_reachability_check = now + ctx.settings.heartbeat_interval_ms() / 8;
+        if self.fleet.reachability.take_due_check(now, ctx.settings.heartbeat_interval_ms()) {
             self.expire_silent_machines(ctx);
             self.probe_overdue(ctx);
         }
@@ -627,11 +602,6 @@
         self.last_placement_id
     }
 
-    /// Token for a machine.
-    pub(crate) fn token(&self, m: &Machine) -> FencingToken {
-        FencingToken::new(self.epoch, m.agent.token_counter)
-    }
-
     pub(crate) fn new_machine(
         &self,
         ctx: &Context,
@@ -656,18 +626,14 @@
         let Some(job) = self.jobs.get_mut(&p.job) else { return };
         self.fleet.machines.take_room(machine, &p.need);
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let list = job.tasks.placements.entry(p.task).or_default();
-        if list.is_empty() && !job.tasks.done.get(p.task) {
-            job.tasks.placed_count += 1;
-        }
-        list.push(TaskPlacement {
+        let of_task = TaskPlacement {
             machine: machine.clone(),
             placement_id: p.placement_id,
             attempt: p.attempt,
             agent_epoch: p.agent_epoch,
             planned: p.stage == PlacementState::Planned,
-        });
-        *job.tasks.by_zone.entry(m.zone.clone()).or_default() += 1;
+        };
+        job.tasks.add_placement(p.task, of_task, &m.zone);
         let ownership = Ownership::from_owned(m.owned);
         self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &p.need, ownership);
         m.placements.push(p);
@@ -691,22 +657,7 @@
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&p.job) {
-            if let Some(list) = job.tasks.placements.get_mut(&p.task) {
-                list.retain(|l| l.placement_id != placement_id);
-                if list.is_empty() {
-                    job.tasks.placements.remove(&p.task);
-                    job.tasks.first_free_hint = job.tasks.first_free_hint.min(p.task);
-                    if !job.tasks.done.get(p.task) {
-                        job.tasks.placed_count = job.tasks.placed_count.saturating_sub(1);
-                    }
-                }
-            }
-            if matches!(p.stage, PlacementState::Running | PlacementState::Checkpointing) {
-                job.tasks.running_count = job.tasks.running_count.saturating_sub(1);
-            }
-            if let Some(n) = job.tasks.by_zone.get_mut(&m.zone) {
-                *n = n.saturating_sub(1);
-            }
+            job.tasks.remove_placement(p.task, placement_id, &m.zone, p.stage.is_running());
             let ownership = Ownership::from_owned(m.owned);
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &p.need, ownership);
             let cancelled = job.cancelled;
@@ -723,8 +674,7 @@
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
-        let live: Vec<(Id, u64)> =
-            job.tasks.placements.values().flatten().map(|l| (l.machine.clone(), l.placement_id)).collect();
+        let live: Vec<(Id, u64)> = job.tasks.placements().map(|l| (l.machine.clone(), l.placement_id)).collect();
         for (machine, placement_id) in live {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
@@ -737,7 +687,7 @@
         let Some(p) = m.placements.iter_mut().find(|p| p.placement_id == placement_id) else { return };
         if p.sent {
             p.stop_grace_s = Some(0.0);
-            self.fleet.machines_to_call.insert(machine.clone());
+            self.fleet.calls.call_soon(machine.clone());
         } else {
             self.release_placement(now, machine, placement_id, false);
         }
@@ -745,18 +695,23 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count, j.tasks.running_count))
+        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
     }
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
     /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn job_progress(&self) -> Vec<(String, Revision, u32, u32)> {
+    pub(crate) fn job_progress(&self) -> Vec<shaleshunt_peer::JobProgress> {
         // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
         // shown by the leader alone and read at each poll.
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| (j.id.to_string(), j.record.version, j.tasks.done_count, j.tasks.running_count))
+            .map(|j| shaleshunt_peer::JobProgress {
+                job: j.id.to_string(),
+                record_version: j.record.version,
+                done: j.tasks.done_count(),
+                running: j.tasks.running_count(),
+            })
             .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
--- a/crates/core/src/leader/scheduler/pass/tests.rs
+++ b/crates/core/src/leader/scheduler/pass/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::leader::scheduler::fixture::{Fixture, job, names};
-use crate::settings::TeamQuota;
+use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::user::JobKind;
 
 #[test]
@@ -60,7 +60,7 @@
     ];
     for (name, change, tasks) in cases {
         let mut fixture = Fixture::new();
-        let quota = TeamQuota { limit: (8_000, 0), ..TeamQuota::default() };
+        let quota = TeamQuota { limit: ComputeAmount { cores: 8_000, accelerators: 0 }, ..TeamQuota::default() };
         fixture.settings.teams.insert("limited".into(), quota);
         let id = fixture.add_job("job", |j| {
             j.spec.tasks = 3;
--- a/crates/core/src/leader/scheduler/placement/tests.rs
+++ b/crates/core/src/leader/scheduler/placement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW, names};
+use crate::leader::scheduler::fixture::{Fixture, NOW, names, place_in_zone, set_tasks};
 use crate::model::Machine;
 use crate::settings::ServiceObjective;
 use shaleshunt_wire::Resources;
@@ -88,7 +88,8 @@
             "has tasks elsewhere",
             |j| {
                 j.spec.single_zone = true;
-                j.tasks.by_zone.insert("b".into(), 1);
+                set_tasks(j, 2);
+                place_in_zone(j, "b");
             },
             |_| {},
         ),
--- a/crates/core/src/leader/scheduler/preemption/tests.rs
+++ b/crates/core/src/leader/scheduler/preemption/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 use crate::leader::scheduler::fixture::{Fixture, NOW};
-use crate::settings::TeamQuota;
+use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::Resources;
 use shaleshunt_wire::user::{JobKind, Priority};
 
@@ -119,7 +119,10 @@
 fn a_guarantee_is_reclaimed_from_teams_beyond_theirs() {
     let preempted = |guarantee_of_other: i64, reason: PreemptionReason, guaranteed: &[&str]| {
         let mut fixture = Fixture::new();
-        let quota = TeamQuota { guarantee: (guarantee_of_other, 0), ..TeamQuota::default() };
+        let quota = TeamQuota {
+            guarantee: ComputeAmount { cores: guarantee_of_other, accelerators: 0 },
+            ..TeamQuota::default()
+        };
         fixture.settings.teams.insert("other".into(), quota);
         let machine = fixture.add_machine("machine", |m| m.images.add_known(0, 1.0));
         let victim = fixture.add_job("victim", |j| {
--- a/crates/core/src/leader/scheduler/queue/tests.rs
+++ b/crates/core/src/leader/scheduler/queue/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW, names};
-use crate::settings::TeamQuota;
+use crate::leader::scheduler::fixture::{Fixture, NOW, names, place_in_zone, set_tasks};
+use crate::settings::{ComputeAmount, TeamQuota};
 
 /// One job is put before the other.
 struct Case {
@@ -45,7 +45,8 @@
             first: |j| j.scheduling.priority = Priority::High,
             second: |j| {
                 aged(j, 190);
-                (j.spec.tasks, j.tasks.placed_count) = (2, 1);
+                set_tasks(j, 2);
+                place_in_zone(j, "a");
             },
         },
         Case {
@@ -53,7 +54,7 @@
             first: |j| aged(j, 1),
             second: |j| {
                 aged(j, 0);
-                j.tasks.started = true;
+                j.tasks.mark_started();
             },
         },
     ];
@@ -72,7 +73,7 @@
         ("cancelled", |j| j.cancelled = true),
         ("record to be read again", |j| j.record.stale = true),
         ("held back", |j| j.scheduling.not_before = NOW.monotonic_ms + 1),
-        ("all placed", |j| j.tasks.placed_count = 1),
+        ("all placed", |j| place_in_zone(j, "a")),
         ("blocked", |j| j.open_dependencies = ["other".into()].into()),
     ];
     for (name, change) in cases {
@@ -96,7 +97,7 @@
 #[test]
 fn a_guarantee_is_filled_by_the_oldest_jobs_that_fit() {
     let mut fixture = Fixture::new();
-    let quota = TeamQuota { guarantee: (8_000, 0), ..TeamQuota::default() };
+    let quota = TeamQuota { guarantee: ComputeAmount { cores: 8_000, accelerators: 0 }, ..TeamQuota::default() };
     fixture.settings.teams.insert("team".into(), quota);
     fixture.add_job("newest", |_| {});
     fixture.add_job("older", |j| aged(j, 5));
--- /dev/null
+++ b/crates/net/src/forwarding/tests.rs
@@ -0,0 +1,33 @@
+use super::*;
+
+fn body(length: usize) -> Bytes {
+    Bytes::from(vec![b' '; length])
+}
+
+fn status_for_peer(request: &KvRequest, result: Result<HttpResponse, RequestError>) -> u16 {
+    response_for_peer(request, result).status
+}
+
+#[test]
+fn a_peer_is_told_what_it_would_have_understood_itself() {
+    let get = KvRequest::Get { key: "k".into() };
+    let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, hold_ms: 0 };
+    let large = || Ok(HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY + 1) });
+    let fits = HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY) };
+    assert_eq!(response_for_peer(&get, Ok(fits.clone())), fits);
+    assert_eq!(status_for_peer(&get, large()), NO_RESPONSE);
+    assert_eq!(status_for_peer(&watch, large()), GONE);
+    assert_eq!(status_for_peer(&get, Err(RequestError::NotSent)), SERVICE_UNAVAILABLE);
+    assert_eq!(status_for_peer(&get, Err(RequestError::LocalOverload)), SERVICE_UNAVAILABLE);
+    assert_eq!(status_for_peer(&get, Err(RequestError::OutcomeUnknown)), NO_RESPONSE);
+}
+
+#[test]
+fn a_request_that_is_given_up_leaves_nothing_behind() {
+    let mut requests = ForwardedRequests::new();
+    let request = requests.next();
+    let (responder, _response) = oneshot::channel();
+    requests.responders.borrow_mut().insert(request.id, responder);
+    drop(request);
+    assert!(requests.responders.borrow().is_empty());
+}
