--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -42,6 +42,13 @@
     job: &'a Job,
 }
 
+/// A job that meets its objective so far; the greatest has the most work.
+#[derive(PartialEq, Eq, PartialOrd, Ord)]
+struct KeptJob<'a> {
+    work_ms: u64,
+    id: &'a Id,
+}
+
 /// Outcome of one level: the jobs that miss it, and the work of those that meet it.
 struct LevelOutcome<'a> {
     late: Vec<&'a Job>,
@@ -92,7 +99,7 @@
     /// Moore's rule, which leaves the fewest jobs late: jobs are taken by the time at which each must be
     /// done, and whenever the work so far does not fit before that, the job with the most work is late.
     fn fewest_late(&self, order: Vec<TimedJob<'a>>, work_before_s: f64) -> LevelOutcome<'a> {
-        let mut kept: BinaryHeap<(u64, &Id)> = BinaryHeap::new();
+        let mut kept: BinaryHeap<KeptJob> = BinaryHeap::new();
         let mut outcome = LevelOutcome { late: Vec::new(), work_s: work_before_s };
         for TimedJob { time_left_s, job } in order {
             let estimate_s = self.view.estimates.run_s(job);
@@ -101,14 +108,14 @@
                 outcome.late.push(job);
                 continue;
             }
-            kept.push(((work_s * 1000.0) as u64, &job.id));
+            kept.push(KeptJob { work_ms: (work_s * 1000.0) as u64, id: &job.id });
             outcome.work_s += work_s;
             // The last task starts when the work before it is under way and ends an estimate later.
             let overdue = outcome.work_s > time_left_s - estimate_s * 0.5
                 && outcome.work_s > time_left_s - work_s.min(estimate_s);
-            if overdue && let Some((most_work_ms, id)) = kept.pop() {
-                outcome.work_s -= most_work_ms as f64 / 1000.0;
-                outcome.late.extend(self.view.jobs.get(id));
+            if overdue && let Some(largest) = kept.pop() {
+                outcome.work_s -= largest.work_ms as f64 / 1000.0;
+                outcome.late.extend(self.view.jobs.get(largest.id));
             }
         }
         outcome
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -86,10 +86,10 @@
 /// first, then the others by age. What can no longer meet its objective goes behind what can, but for a
 /// while only: a job of which nothing has started for long goes first.
 pub(crate) fn rank_jobs(view: &SchedulingView) -> Vec<Id> {
-    let mut ranked: Vec<(Rank, &Id)> =
-        view.jobs.values().filter(|job| is_placeable(job, view.now)).map(|job| (rank(view, job), &job.id)).collect();
-    ranked.sort();
-    ranked.into_iter().map(|(_, id)| id.clone()).collect()
+    let mut jobs: Vec<&Job> = view.jobs.values().filter(|job| is_placeable(job, view.now)).collect();
+    // Stable: jobs of the same rank stay in the order of their names.
+    jobs.sort_by_cached_key(|job| rank(view, job));
+    jobs.into_iter().map(|job| job.id.clone()).collect()
 }
 
 /// Whether tasks of the job may be placed now.
