--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -94,9 +94,8 @@
     /// But its heartbeat may be a late copy from a machine long returned, so it gets no tasks before
     /// it has heard us.
     fn adopt(&mut self, ctx: &mut Context, machine: &Id, heartbeat: &Heartbeat) {
-        let owned_machines = self.autoscaler.owned.as_ref();
-        let owned = owned_machines.is_some_and(|owned| owned.contains(&heartbeat.machine));
-        let surely_rented = owned_machines.is_some() && !owned;
+        let owned = self.autoscaler.owned.contains(&heartbeat.machine);
+        let surely_rented = self.autoscaler.owned.is_known() && !owned;
         let mut m = self.new_machine(ctx, machine, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, owned);
         if surely_rented {
             m.agent.unacknowledged_commands = ADOPTED_UNACKNOWLEDGED;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -52,19 +52,6 @@
     Catalog,
 }
 
-/// A hire under way.
-#[derive(Debug)]
-pub(crate) struct ScaleOutState {
-    pub request: shaleshunt_wire::cloud::ScaleOutRequest,
-    /// Version of its record; absent until recorded.
-    pub version: Revision,
-    pub writing: bool,
-    pub asking: bool,
-    pub retry_at: u64,
-    /// Answered, with these machines.
-    pub answer: Option<Vec<Id>>,
-}
-
 /// The leader's state.
 pub struct Leader {
     pub(crate) epoch: Epoch,
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -11,7 +11,7 @@
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::step_down::StepDown;
 use crate::leader::store::SplitJobRead;
-use crate::leader::{Leader, LeaderRequest, ScaleOutState};
+use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::kv::{KeyValue, Page};
@@ -180,16 +180,13 @@
     }
 
     fn restore_scale_out(&mut self, pair: KeyValue) {
-        let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) else { return };
-        let name = request.request.clone();
-        let state =
-            ScaleOutState { request, version: pair.version, writing: false, asking: false, retry_at: 0, answer: None };
-        self.autoscaler.scale_outs.insert(name, state);
+        if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) {
+            self.autoscaler.scale_outs.load(request, pair.version);
+        }
     }
 
     fn restore_owned_list(&mut self, pair: KeyValue) {
-        let names: Vec<String> = serde_json::from_value(pair.v).unwrap_or_default();
-        self.autoscaler.owned_parts.extend(names);
+        self.autoscaler.owned.load_part(serde_json::from_value(pair.v).unwrap_or_default());
         self.store.restore_owned_list(pair.path, pair.version);
     }
 
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -16,7 +16,7 @@
     /// Everything has been read: joins the records and begins to act.
     pub(super) fn activate(&mut self, ctx: &mut Context) {
         if self.store.has_owned_list() {
-            self.autoscaler.owned = Some(std::mem::take(&mut self.autoscaler.owned_parts));
+            self.autoscaler.owned.finish_loading();
         }
         self.restore_split_submissions(ctx);
         for pair in std::mem::take(&mut self.recovery.blocks) {
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -10,7 +10,8 @@
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::scheduler::dependency_graph::clear_inherited;
 use crate::leader::{Leader, LeaderRequest};
-use crate::model::{FinalRecord, Id, Job, keys};
+use crate::model::{Id, Job};
+use crate::records::{FinalRecord, keys};
 
 /// A final record that could not be read is asked for again after this part of a heartbeat interval.
 const READ_RETRIES_PER_HEARTBEAT: u64 = 12;
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -53,7 +53,7 @@
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::KeyValue;
 use split_submissions::{SplitSubmissions, VersionedKey};
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeMap;
 use unreferenced::UnreferencedRecords;
 use write_budget::WriteBudget;
 use write_queue::WriteQueue;
@@ -144,9 +144,9 @@
         self.blocks.machine_changed(machine);
     }
 
-    /// Queues the list of owned machines to be written, in values of at most so many bytes.
-    pub(crate) fn record_owned_machines(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
-        self.owned_list.record(machines, value_bytes);
+    /// Queues the list of owned machines to be written, in parts that fit into a value each.
+    pub(crate) fn record_owned_machines(&mut self, parts: Vec<Vec<String>>) {
+        self.owned_list.record(parts);
     }
 
     /// Whether a complete list of owned machines is stored.
--- a/crates/core/src/leader/store/owned_list.rs
+++ b/crates/core/src/leader/store/owned_list.rs
@@ -4,10 +4,7 @@
 use crate::records::keys;
 use serde_json::json;
 use shaleshunt_wire::Revision;
-use std::collections::{BTreeMap, BTreeSet};
-
-/// Bytes that frame a name in a list: quotes and comma.
-const NAME_FRAME_BYTES: usize = 3;
+use std::collections::BTreeMap;
 
 /// A part of the list in a transaction.
 #[derive(Debug)]
@@ -38,9 +35,9 @@
         self.versions.contains_key(keys::OWNED)
     }
 
-    /// Queues a list to be written, in values of at most so many bytes.
-    pub(super) fn record(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
-        self.pending = (0..).zip(split_into_values(machines, value_bytes)).collect();
+    /// Queues a list to be written, in parts that fit into a value each.
+    pub(super) fn record(&mut self, parts: Vec<Vec<String>>) {
+        self.pending = (0..).zip(parts).collect();
     }
 
     /// Puts parts into a transaction while there is room.
@@ -72,22 +69,5 @@
     }
 }
 
-fn split_into_values(machines: &BTreeSet<String>, value_bytes: usize) -> Vec<Vec<String>> {
-    let mut parts = vec![Vec::new()];
-    let mut used = 0;
-    for name in machines {
-        let bytes = name.len() + NAME_FRAME_BYTES;
-        if used + bytes > value_bytes {
-            parts.push(Vec::new());
-            used = 0;
-        }
-        used += bytes;
-        if let Some(part) = parts.last_mut() {
-            part.push(name.clone());
-        }
-    }
-    parts
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/leader/store/scale_outs.rs
+++ b/crates/core/src/leader/store/scale_outs.rs
@@ -2,12 +2,12 @@
 //! it named are recorded.
 
 use super::transaction::{Space, TransactionBuilder};
-use crate::leader::ScaleOutState;
+use crate::leader::autoscaler::requests::{ScaleOutRecordChange, ScaleOutRequests};
 use crate::leader::fleet::machines::MachineIndex;
+use crate::model::Id;
 use crate::records::keys;
 use serde_json::json;
 use shaleshunt_wire::Revision;
-use std::collections::BTreeMap;
 
 /// Room to leave for a request's record, and what it takes at most.
 const RECORD_SPACE_BYTES: usize = 300;
@@ -23,55 +23,45 @@
 /// Puts records of scale-out requests into a transaction, and removes those that are done with.
 pub(super) fn collect(
     builder: &mut TransactionBuilder,
-    scale_outs: &mut BTreeMap<String, ScaleOutState>,
+    scale_outs: &mut ScaleOutRequests,
     machines: &MachineIndex,
 ) -> ScaleOutWrites {
     let mut writes = ScaleOutWrites::default();
-    let is_recorded = |id| machines.get(id).is_none_or(|machine| machine.record.committed);
-    for (name, state) in scale_outs {
-        if state.writing || !builder.has_space_for(Space::one_write(RECORD_SPACE_BYTES)) {
-            continue;
+    let is_settled = |id: &Id| machines.get(id).is_none_or(|machine| machine.record.committed);
+    for (name, scale_out) in scale_outs.iter_mut() {
+        if !builder.has_space_for(Space::one_write(RECORD_SPACE_BYTES)) {
+            break;
         }
         let key = keys::scale_out(name);
-        match &state.answer {
-            None if state.version == Revision::ABSENT => {
-                builder.set(key, Revision::ABSENT, json!(state.request), RECORD_BYTES);
+        match scale_out.record_change(is_settled) {
+            Some(ScaleOutRecordChange::Write(request)) => {
+                builder.set(key, Revision::ABSENT, json!(request), RECORD_BYTES);
                 writes.recorded.push(name.clone());
-                state.writing = true;
             }
-            Some(named) if named.iter().all(is_recorded) => {
-                builder.drop_key(key, state.version);
+            Some(ScaleOutRecordChange::Remove(version)) => {
+                builder.drop_key(key, version);
                 writes.removed.push(name.clone());
-                state.writing = true;
             }
-            _ => {}
+            None => continue,
         }
+        scale_out.record_change_sent();
     }
     writes
 }
 
 /// The records are stored or removed.
-pub(super) fn apply_committed(
-    writes: ScaleOutWrites,
-    scale_outs: &mut BTreeMap<String, ScaleOutState>,
-    revision: Revision,
-) {
+pub(super) fn apply_committed(writes: ScaleOutWrites, scale_outs: &mut ScaleOutRequests, revision: Revision) {
     for name in writes.recorded {
-        if let Some(state) = scale_outs.get_mut(&name) {
-            state.version = revision;
-            state.writing = false;
-        }
+        scale_outs.recorded(&name, revision);
     }
     for name in writes.removed {
-        scale_outs.remove(&name);
+        scale_outs.removed(&name);
     }
 }
 
 /// Nothing was stored or removed: it is tried again.
-pub(super) fn apply_abandoned(writes: &ScaleOutWrites, scale_outs: &mut BTreeMap<String, ScaleOutState>) {
+pub(super) fn apply_abandoned(writes: &ScaleOutWrites, scale_outs: &mut ScaleOutRequests) {
     for name in writes.recorded.iter().chain(&writes.removed) {
-        if let Some(state) = scale_outs.get_mut(name) {
-            state.writing = false;
-        }
+        scale_outs.record_change_failed(name);
     }
 }
--- a/crates/core/src/leader/store/sources.rs
+++ b/crates/core/src/leader/store/sources.rs
@@ -1,7 +1,7 @@
 //! What the store reads to put a transaction together.
 
 use crate::io::Timestamp;
-use crate::leader::ScaleOutState;
+use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::images::ImageNames;
 use crate::leader::fleet::machines::MachineIndex;
 use crate::model::{Id, Job};
@@ -31,5 +31,5 @@
     pub jobs: &'a mut BTreeMap<Id, Job>,
     pub machines: &'a mut MachineIndex,
     pub images: &'a ImageNames,
-    pub scale_outs: &'a mut BTreeMap<String, ScaleOutState>,
+    pub scale_outs: &'a mut ScaleOutRequests,
 }
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -22,10 +22,6 @@
 const WATCHES_PER_HEARTBEAT: u64 = 8;
 /// A watch without an answer is begun anew after this part of a heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 20;
-/// Most arrivals remembered: three times what comes within two boot times in a threefold burst at 4,000
-/// machines. Of more the oldest are forgotten.
-const MAX_ARRIVALS: usize = 6000;
-
 /// The watch of the unfinished jobs, and how fresh what it showed is. Times are in ms, monotonic.
 #[derive(Debug)]
 pub(crate) struct JobWatch {
@@ -181,16 +177,6 @@
         self.queue_write(ctx.now.monotonic_ms, &id);
     }
 
-    /// A job that may run has come: as much may come again.
-    pub(crate) fn record_arrival(&mut self, now: u64, id: &Id) {
-        let Some(job) = self.jobs.get(id) else { return };
-        let record = JobRecord::new(job.spec.clone(), job.accepted_at);
-        self.autoscaler.arrivals.push_back((now, Job::new(record, job.record.version)));
-        if self.autoscaler.arrivals.len() > MAX_ARRIVALS {
-            self.autoscaler.arrivals.pop_front();
-        }
-    }
-
     /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
     /// never does. Its record is read for the rest.
     pub(crate) fn stop_cancelled_job(&mut self, ctx: &mut Context, id: &str) {
