--- a/crates/core/src/controller/context.rs
+++ b/crates/core/src/controller/context.rs
@@ -3,6 +3,7 @@
 //! Effects leave in the order in which they are added. A request is registered as pending in the same operation
 //! that adds its effect, so no request can go out whose reply nobody expects.
 
+use super::batch_time::BatchTime;
 use super::kv_availability::KvAvailability;
 use super::peer_lease_reports::PeerLeaseReports;
 use super::peer_views::PeerActivity;
@@ -44,23 +45,6 @@
     effects: Vec<Effect>,
 }
 
-/// When something was received or sent: the number of its batch and the time of that batch. Two batches may have
-/// the same time; their numbers tell what was sent after something else had been received.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct BatchTime {
-    /// Number of the batch.
-    pub step: u64,
-    /// Time of the batch on the steady clock, in milliseconds.
-    pub at: u64,
-}
-
-impl BatchTime {
-    /// Whether this is no earlier than `since`, by number and by time.
-    pub fn covers(self, since: BatchTime) -> bool {
-        self.step >= since.step && self.at >= since.at
-    }
-}
-
 /// How many batches have begun, and how late they began.
 #[derive(Debug, Default)]
 struct BatchCounter {
--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -17,11 +17,9 @@
 //! leader still makes this node step down.
 
 mod records;
-mod request;
-
-pub(crate) use request::ElectionRequest;
 
 use super::context::Context;
+use super::election_request::ElectionRequest;
 use super::pending::PendingRequest;
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::model::keys;
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -10,47 +10,48 @@
 //! - [`catalog`]: when the machine types are read;
 //! - `api` and `leader` (modules of the crate): users' requests, and the work of the leader.
 //!
+//! Three further files hold parts of the composition: `replies` routes the replies of outside services,
+//! `peer_exchange` the frames of other controllers, `kv_route` starts and ends the relay.
+//!
 //! Subsystems do not use one another. Where one's result concerns another, it returns a typed value and the
 //! controller carries it out. What always holds: at most one command is handled at a time; effects leave in the
 //! order in which they arose; a reply reaches the leader only in the epoch in which the request was sent.
 
+mod batch_time;
 mod catalog;
 mod context;
 mod election;
+mod election_request;
 mod kv_availability;
+mod kv_route;
+mod peer_exchange;
 mod peer_heartbeat;
 mod peer_lease_reports;
 mod peer_views;
 mod peers;
 mod pending;
 mod relay;
+mod replies;
 mod zone_leases;
 
-pub(crate) use context::{BatchTime, Context};
+pub(crate) use batch_time::BatchTime;
+pub(crate) use context::Context;
 pub(crate) use pending::PendingRequest;
 
-use crate::api::{Api, ApiRequest};
+use crate::api::Api;
 use crate::event::Event;
-use crate::io::{
-    Answer, Batch, CloudReply, Command, DirectCommandsReply, Effect, KvReply, KvRequest, RequestError, RequestId,
-    Timestamp,
-};
+use crate::io::{Answer, Batch, Command, Effect, RequestId, Timestamp};
+use crate::leader::Leader;
 use crate::leader::step_down::StepDown;
-use crate::leader::{Leader, LeaderRequest};
-use crate::model::keys;
 use crate::settings::{Settings, Tuning};
 use crate::work_counters::Work;
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
-use peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
-use peers::{Peers, SharedProgress};
-use relay::{RelayDecision, RelayInputs};
-use shaleshunt_peer::Frame;
-use shaleshunt_wire::Epoch;
+use peers::Peers;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply};
 use zone_leases::ZoneLeases;
 
-/// HTTP status of answers that ask the client to come back.
+/// HTTP status of responses that ask the client to retry, here or elsewhere.
 const SERVICE_UNAVAILABLE: u16 = 503;
 /// Seconds after which a failed health check may be repeated.
 const HEALTH_CHECK_RETRY_S: u32 = 1;
@@ -182,128 +183,6 @@
         }
     }
 
-    fn handle_kv_reply(&mut self, id: RequestId, result: Result<KvReply, RequestError>) {
-        let Some(pending) = self.ctx.complete(id) else { return };
-        // A probe goes by the direct route: it tells nothing about the route in use.
-        if !matches!(pending.request, PendingRequest::Api(ApiRequest::Probe)) {
-            self.ctx.record_kv_reply(&result);
-        }
-        match pending.request {
-            PendingRequest::Api(request) => {
-                let (counts, leader) = (self.peers.task_counts(), self.leader.as_deref());
-                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, counts, leader);
-                self.forward_cancellations();
-            }
-            PendingRequest::Election(request) if self.leader.is_none() => {
-                let transition = self.election.handle_reply(&mut self.ctx, request, pending.sent.at, result);
-                self.apply_transition(transition);
-            }
-            PendingRequest::Election(_) => {}
-            PendingRequest::Catalog => catalog::handle_kv_reply(&mut self.ctx, result),
-            PendingRequest::Leader(epoch, request) => {
-                if let Some(leader) = leader_of(&mut self.leader, epoch) {
-                    leader.handle_kv_reply(&mut self.ctx, request, pending.sent.at, result);
-                }
-            }
-            PendingRequest::Ignored => {}
-        }
-    }
-
-    /// Stops at once what users' requests have shown to be cancelled: the leader's own watch may be refused just
-    /// then.
-    fn forward_cancellations(&mut self) {
-        let cancelled = std::mem::take(&mut self.api.newly_cancelled);
-        let Some(leader) = &mut self.leader else { return };
-        for job in cancelled {
-            leader.stop_cancelled_job(&mut self.ctx, &job);
-        }
-    }
-
-    fn handle_cloud_reply(&mut self, id: RequestId, result: Result<CloudReply, RequestError>) {
-        let Some(pending) = self.ctx.complete(id) else { return };
-        match pending.request {
-            PendingRequest::Catalog => catalog::handle_cloud_reply(&mut self.ctx, result),
-            PendingRequest::Leader(epoch, request) => {
-                if let Some(leader) = leader_of(&mut self.leader, epoch) {
-                    leader.handle_cloud_reply(&mut self.ctx, request, result);
-                }
-            }
-            PendingRequest::Api(_) | PendingRequest::Election(_) | PendingRequest::Ignored => {}
-        }
-    }
-
-    fn handle_direct_commands_reply(&mut self, id: RequestId, result: Result<DirectCommandsReply, RequestError>) {
-        let Some(pending) = self.ctx.complete(id) else { return };
-        let PendingRequest::Leader(epoch, LeaderRequest::DirectCommands(machine)) = pending.request else { return };
-        if let Some(leader) = leader_of(&mut self.leader, epoch) {
-            leader.handle_direct_commands_reply(&mut self.ctx, &machine, id, result);
-        }
-    }
-
-    fn handle_frame(&mut self, from: String, frame: Frame) {
-        match frame {
-            Frame::Heartbeat { epoch, leader, leads, state_age_ms, born, at, echo, kept_ms, waiting } => {
-                let heartbeat = PeerHeartbeat {
-                    epoch,
-                    leader,
-                    is_leader: leads,
-                    store_contact_age_ms: state_age_ms,
-                    process_id: born,
-                    sent_at_ms: at,
-                    echo: HeartbeatEcho { process_id: echo.0, sent_at_ms: echo.1 },
-                    lease_extension_age_ms: kept_ms,
-                    pending_submissions: waiting,
-                };
-                self.handle_peer_heartbeat(&from, heartbeat);
-            }
-            Frame::JobProgress { epoch, jobs } => self.handle_progress(epoch, jobs),
-            // The first belongs to the connection, the others to the clients of the key-value store.
-            Frame::Hello { .. } | Frame::Relay { .. } | Frame::Relayed { .. } => {}
-        }
-    }
-
-    fn handle_peer_heartbeat(&mut self, from: &str, heartbeat: PeerHeartbeat) {
-        if !self.peers.views().contains(from) {
-            return;
-        }
-        let now = self.ctx.now_ms();
-        let echoed_at = heartbeat.echo.sent_by(self.ctx.process_id(), now);
-        self.peers.views_mut().record(from, now, &heartbeat);
-        self.ctx.peer_lease_reports.record(from, now, heartbeat.lease_extension_age_ms, echoed_at);
-        if !heartbeat.is_leader {
-            return;
-        }
-        if heartbeat.leader == from && heartbeat.epoch >= self.election.epoch() {
-            self.zone_leases.record_leader_heartbeat(heartbeat.epoch, now, echoed_at);
-        }
-        if heartbeat.epoch > self.election.epoch() {
-            if self.leader.as_ref().is_some_and(|leader| leader.epoch < heartbeat.epoch) {
-                self.step_down(StepDown::NewerLeader);
-            }
-            self.election.follow(heartbeat.epoch, heartbeat.leader);
-        }
-    }
-
-    fn handle_progress(&mut self, epoch: Epoch, jobs: SharedProgress) {
-        if epoch < self.election.epoch() || self.leader.is_some() {
-            return;
-        }
-        self.learn_versions(&jobs);
-        self.peers.record_progress(jobs);
-    }
-
-    fn learn_versions(&mut self, jobs: &SharedProgress) {
-        let versions = jobs.iter().map(|(job, version, _, _)| (job.as_str(), *version));
-        self.api.learn(&self.ctx, versions);
-    }
-
-    fn handle_disconnect(&mut self, peer: &str) {
-        self.peers.views_mut().record_disconnect(peer);
-        if self.leader.is_none() {
-            self.election.revoke_lease_of(&mut self.ctx, peer);
-        }
-    }
-
     fn apply_transition(&mut self, transition: ElectionTransition) {
         match transition {
             ElectionTransition::None => {}
@@ -358,83 +237,8 @@
             self.step_down(reason);
         }
     }
-
-    fn update_relay(&mut self) {
-        let now = self.ctx.now_ms();
-        let inputs = RelayInputs {
-            now,
-            settings: &self.ctx.settings,
-            kv_unavailable: self.ctx.kv_unavailable(),
-            kv_answered_at: self.ctx.kv_answered_at(),
-        };
-        match self.ctx.relay.decide(inputs, self.peers.views()) {
-            RelayDecision::Keep => {}
-            RelayDecision::Start { peer } => self.start_relay(peer),
-            RelayDecision::Abandon => self.ctx.abandon_relay(),
-            RelayDecision::Probe => {
-                self.ctx.relay.schedule_next_probe(now, self.ctx.settings.heartbeat_interval_ms());
-                let probe = KvRequest::Get { key: keys::EPOCH.into() };
-                self.ctx.send_kv_directly(probe, PendingRequest::Api(ApiRequest::Probe));
-            }
-        }
-    }
-
-    fn start_relay(&mut self, peer: String) {
-        self.ctx.emit(Event::StateServiceRelayStarted { peer: peer.clone() });
-        self.ctx.relay.start(peer, self.ctx.now.monotonic_ms, self.ctx.settings.heartbeat_interval_ms());
-        if self.leader.is_none() {
-            self.election.read_leadership(&mut self.ctx);
-        }
-    }
-
-    fn send_heartbeats(&mut self) {
-        let now = self.ctx.now_ms();
-        if !self.peers.take_heartbeat_due(now, &self.ctx.settings) {
-            return;
-        }
-        let heartbeat = PeerHeartbeat {
-            epoch: self.election.epoch(),
-            leader: self.election.known_leader().unwrap_or_default().to_string(),
-            is_leader: self.leader.is_some(),
-            store_contact_age_ms: self.store_contact_age_ms(),
-            process_id: self.ctx.process_id(),
-            sent_at_ms: now,
-            echo: HeartbeatEcho::default(),
-            lease_extension_age_ms: saturate(self.zone_leases.renewal_age_ms(now)),
-            pending_submissions: self.api.waiting(),
-        };
-        self.peers.send_heartbeats(&mut self.ctx, &heartbeat);
-    }
-
-    /// Time since the key-value store answered directly. A relayed answer does not count: nobody shall relay
-    /// requests through a process that needs a relay itself.
-    fn store_contact_age_ms(&self) -> u32 {
-        if self.ctx.relay.is_active() {
-            return u32::MAX;
-        }
-        saturate(self.ctx.now_ms().saturating_sub(self.ctx.kv_answered_at()))
-    }
-
-    fn share_progress(&mut self) {
-        if !self.peers.take_progress_due(self.ctx.now_ms(), &self.ctx.settings) {
-            return;
-        }
-        let Some(leader) = &self.leader else { return };
-        let (epoch, jobs) = (leader.epoch, leader.job_progress());
-        self.learn_versions(&jobs);
-        self.peers.send_progress(&mut self.ctx, epoch, jobs);
-    }
-}
-
-/// The leader's state, if this process leads that epoch.
-fn leader_of(leader: &mut Option<Box<Leader>>, epoch: Epoch) -> Option<&mut Leader> {
-    leader.as_deref_mut().filter(|leader| leader.epoch == epoch)
 }
 
 fn unavailable(error: &'static str) -> Answer {
     Answer::Problem { status: SERVICE_UNAVAILABLE, error, retry_after: None }
 }
-
-fn saturate(age_ms: u64) -> u32 {
-    u32::try_from(age_ms).unwrap_or(u32::MAX)
-}
--- a/crates/core/src/controller/pending.rs
+++ b/crates/core/src/controller/pending.rs
@@ -3,8 +3,8 @@
 //! Each request carries a typed value that names the subsystem and the step to resume with the reply. A reply
 //! that matches no registered request (a duplicate, for example) is ignored.
 
-use super::BatchTime;
-use super::election::ElectionRequest;
+use super::batch_time::BatchTime;
+use super::election_request::ElectionRequest;
 use crate::api::ApiRequest;
 use crate::io::RequestId;
 use crate::leader::LeaderRequest;
