--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -30,12 +30,14 @@
 mod peer_views;
 mod peers;
 mod pending;
+mod progress;
 mod relay;
 mod replies;
 mod zone_leases;
 
 pub(crate) use batch_time::BatchTime;
 pub(crate) use context::Context;
+pub(crate) use peer_lease_reports::PeerLeaseReport;
 pub(crate) use pending::PendingRequest;
 
 use crate::api::Api;
@@ -48,6 +50,7 @@
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
 use peers::Peers;
+use progress::ReportedProgress;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply};
 use zone_leases::ZoneLeases;
 
@@ -73,7 +76,7 @@
     /// another: a restart may take less than any clock shows.
     pub fn new(settings: Settings, tuning: Tuning, now: Timestamp, process_id: u64) -> Controller {
         Controller {
-            api: Api::default(),
+            api: Api::new(&settings),
             election: Election::new(now.monotonic_ms),
             leader: None,
             peers: Peers::new(&settings, now.monotonic_ms),
@@ -103,7 +106,7 @@
         match command {
             Command::Submit(id, submission) => self.api.submit(&mut self.ctx, id, *submission),
             Command::Status(id, job) => self.api.status(&mut self.ctx, id, job),
-            Command::Cancel(id, job) => self.api.withdraw(&mut self.ctx, id, job),
+            Command::Cancel(id, job) => self.api.cancel(&mut self.ctx, id, job),
             Command::HealthCheck(id) => self.handle_health_check(id),
             Command::Heartbeat(id, heartbeat) => self.handle_heartbeat(id, *heartbeat),
             Command::Kv(id, result) => self.handle_kv_reply(id, result),
@@ -221,8 +224,9 @@
         }
         self.catalog_reader.run_due(&mut self.ctx);
         self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
-        self.api.run_due(&mut self.ctx, self.peers.task_counts(), self.leader.as_deref());
-        let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.waiting());
+        let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+        self.api.run_due(&mut self.ctx, &progress);
+        let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.pending_submissions());
         self.ctx.set_peer_activity(activity);
         self.run_leader();
         self.update_relay();
--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -63,7 +63,7 @@
 
     fn learn_versions(&mut self, jobs: &SharedProgress) {
         let versions = jobs.iter().map(|(job, version, _, _)| (job.as_str(), *version));
-        self.api.learn(&self.ctx, versions);
+        self.api.learn_revisions(versions);
     }
 
     pub(super) fn handle_disconnect(&mut self, peer: &str) {
@@ -87,7 +87,7 @@
             sent_at_ms: now,
             echo: HeartbeatEcho::default(),
             lease_extension_age_ms: saturate(self.zone_leases.renewal_age_ms(now)),
-            pending_submissions: self.api.waiting(),
+            pending_submissions: self.api.pending_submissions(),
         };
         self.peers.send_heartbeats(&mut self.ctx, &heartbeat);
     }
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -1,6 +1,7 @@
 //! Routes the replies of outside services to the subsystem that sent the request.
 
 use super::pending::PendingRequest;
+use super::progress::ReportedProgress;
 use super::{Controller, catalog};
 use crate::api::ApiRequest;
 use crate::io::{CloudReply, DirectCommandsReply, KvReply, RequestError, RequestId};
@@ -16,8 +17,8 @@
         }
         match pending.request {
             PendingRequest::Api(request) => {
-                let (counts, leader) = (self.peers.task_counts(), self.leader.as_deref());
-                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, counts, leader);
+                let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, &progress);
                 self.forward_cancellations();
             }
             PendingRequest::Election(request) if self.leader.is_none() => {
@@ -38,7 +39,7 @@
     /// Stops at once what users' requests have shown to be cancelled: the leader's own watch may be refused just
     /// then.
     fn forward_cancellations(&mut self) {
-        let cancelled = std::mem::take(&mut self.api.newly_cancelled);
+        let cancelled = self.api.take_newly_cancelled();
         let Some(leader) = &mut self.leader else { return };
         for job in cancelled {
             leader.stop_cancelled_job(&mut self.ctx, &job);
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -21,7 +21,7 @@
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         // A started job was released once; a cancelled one never will be.
-        if job.cancelled || job.tasks.started {
+        if job.cancelled || job.tasks.started() {
             job.open_dependencies.clear();
             return;
         }
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -97,8 +97,8 @@
 fn tasks_to_place(view: &SchedulingView, job: &Job) -> u32 {
     let tasks = job.waiting().min(view.team_headroom(job));
     let only_failed =
-        job.failures.count >= FAILURES_BEFORE_SINGLE_TASK && job.tasks.done_count == 0 && !job.is_service();
-    if only_failed { tasks.min(u32::from(job.tasks.placements.is_empty())) } else { tasks }
+        job.failures.count >= FAILURES_BEFORE_SINGLE_TASK && job.tasks.done_count() == 0 && !job.is_service();
+    if only_failed { tasks.min(u32::from(!job.tasks.has_placements())) } else { tasks }
 }
 
 /// Zones that a gang is tried in, one after the other; `None` stands for all together.
@@ -115,7 +115,7 @@
     // The tasks share an attempt, by which they find each other; so a gang that lost a task starts anew
     // when all have ended.
     let tasks = job.waiting();
-    if !job.tasks.placements.is_empty() || view.team_headroom(job) < tasks {
+    if job.tasks.has_placements() || view.team_headroom(job) < tasks {
         return None;
     }
     for zone in zones_to_try(view, job) {
@@ -293,7 +293,7 @@
         let placement_id = self.next_placement_id();
         let Some(agent_epoch) = self.fleet.machines.get(machine).map(|machine| machine.agent.epoch) else { return };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.tasks.first_free_hint = job.tasks.first_free_hint.max(task);
+        job.tasks.none_free_below(task);
         let placement = Placement {
             job: id.clone(),
             task,
