--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -4,7 +4,7 @@
 use super::Controller;
 use super::peer_heartbeat::{HeartbeatEcho, PeerHeartbeat};
 use super::peers::SharedProgress;
-use crate::leader::step_down::StepDown;
+use crate::step_down::StepDown;
 use shaleshunt_peer::Frame;
 use shaleshunt_wire::Epoch;
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -4,14 +4,15 @@
 
 mod fields;
 mod figures;
+mod severity;
 mod value;
 
-pub use crate::leader::step_down::{ForeignWrite, StepDown};
+pub use crate::step_down::{ForeignWrite, StepDown};
 pub use figures::LeaderFigures;
+pub use severity::Severity;
 pub use value::EventValue;
 
 use crate::capacity::TooSmall;
-use crate::io::Severity;
 use crate::model::Id;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::ExitCause;
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,5 +1,8 @@
 //! Commands that go into a controller, effects that come out, and the requests and replies that they carry.
 
+pub use crate::request_id::RequestId;
+pub use crate::time::Timestamp;
+
 use crate::event::Event;
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::Revision;
@@ -8,15 +11,6 @@
 use shaleshunt_wire::user::Submission;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply};
 
-/// The time of a batch of commands.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Timestamp {
-    /// Steady clock, in milliseconds.
-    pub monotonic_ms: u64,
-    /// Time of day, in milliseconds since the Unix epoch; only for deadlines, never for safety.
-    pub wall_ms: u64,
-}
-
 /// A request to the key-value store.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum KvRequest {
@@ -157,9 +151,6 @@
     Fenced(Heartbeat),
 }
 
-/// Identifies a request until its reply.
-pub type RequestId = u64;
-
 /// Something that happened outside, to be taken in by the controller.
 #[derive(Debug)]
 pub enum Command {
@@ -190,17 +181,6 @@
 /// A batch of commands.
 pub type Batch = Vec<Command>;
 
-/// How much an event matters to an operator.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Severity {
-    /// Needs an operator's attention.
-    Error,
-    /// A change of the cluster's state.
-    Info,
-    /// Details of normal operation.
-    Debug,
-}
-
 /// Response to a user, an agent or a health check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -9,8 +9,8 @@
 use crate::leader::fleet::heartbeat_effects::{FindingEffects, apply_findings};
 use crate::leader::fleet::interruption::stop_before_interruption;
 use crate::leader::fleet::reconciliation::{Evidence, reconcile};
-use crate::leader::step_down::StepDown;
 use crate::model::{HeartbeatOrder, Id, Machine};
+use crate::step_down::StepDown;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
 use shaleshunt_wire::{FencingToken, Resources};
 
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -6,8 +6,8 @@
 use crate::leader::Leader;
 use crate::leader::fleet::lease_expiry::LeaseClock;
 use crate::leader::fleet::partitions::{PartitionCheck, PartitionFinding};
-use crate::leader::step_down::StepDown;
 use crate::model::CallPurpose;
+use crate::step_down::StepDown;
 use std::collections::BTreeSet;
 
 impl Leader {
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -10,7 +10,7 @@
 //!   in) and recovery at a failover.
 //! - [`model`]: jobs, machines and placements. [`records`]: their stored forms and keys.
 //! - [`settings`], `store_limits`, [`capacity`]: what the platform grants.
-//! - [`io`]: commands and effects. [`event`]: what is logged. [`work_counters`]: work done, for tests.
+//! - [`io`]: commands and effects. [`time`]: the time of a batch. `step_down`: why a leader steps down. [`event`]: what is logged. [`work_counters`]: work done, for tests.
 
 pub mod capacity;
 pub mod controller;
@@ -19,14 +19,19 @@
 pub mod model;
 pub mod records;
 pub mod settings;
+pub mod time;
 pub mod work_counters;
 
 mod api;
 mod leader;
+mod request_id;
+mod step_down;
 mod store_limits;
 mod submission_parts;
 
 pub use controller::Controller;
-pub use event::Event;
-pub use io::{Batch, Command, Effect, KvReply, KvRequest, RequestError, Severity, Timestamp};
+pub use event::{Event, Severity};
+pub use io::{Batch, Command, Effect, KvReply, KvRequest, RequestError};
+pub use request_id::RequestId;
 pub use settings::{Settings, Tuning};
+pub use time::Timestamp;
--- a/crates/core/src/model/direct_call.rs
+++ b/crates/core/src/model/direct_call.rs
@@ -1,6 +1,6 @@
 //! The direct call to a machine's agent: at most one is under way.
 
-use crate::io::RequestId;
+use crate::request_id::RequestId;
 
 /// Why an agent is called.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/crates/core/src/model/machine.rs
+++ b/crates/core/src/model/machine.rs
@@ -1,8 +1,8 @@
 //! A machine: what it is, what it holds, what its agent has said and been told.
 
 use super::{Agent, DirectCall, Id, ImageCache, MachineHealth, Placement};
-use crate::io::Timestamp;
 use crate::settings::Settings;
+use crate::time::Timestamp;
 use shaleshunt_wire::Resources;
 
 /// A machine that let so many commands in a row pass unseen gets no tasks until it shows one: its
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -1,8 +1,8 @@
 //! Jobs, machines and placements for unit tests.
 
 use super::{Job, Machine, Placement, PlacementState};
-use crate::io::Timestamp;
 use crate::records::JobRecord;
+use crate::time::Timestamp;
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 
--- a/crates/core/src/leader/step_down.rs
+++ b/crates/core/src/step_down.rs
@@ -1,16 +1,16 @@
-//! Why a leader gives up its leadership.
+//! Why a leader steps down: gives up leadership and the lease that it holds.
 
 use shaleshunt_wire::Revision;
 use std::fmt;
 
-/// A key of the leader's that has another version than the one the leader knows.
+/// A write by somebody else to a key that only the leader writes.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ForeignWrite {
     /// The key.
     pub key: String,
     /// The version that the leader's transaction required.
     pub expected: Revision,
-    /// The version at the state service, if it could be read; absent for a key that is not there.
+    /// The version at the key-value store, if it could be read; absent for a key that is not there.
     pub found: Option<Revision>,
 }
 
@@ -21,19 +21,19 @@
     NewerEpoch,
     /// A peer leads a newer epoch.
     NewerLeader,
-    /// A worker reports a token of a newer epoch.
+    /// An agent has seen a fencing token of a newer epoch.
     NewerToken,
-    /// The lease at the state service has ended.
+    /// The leader's lease at the key-value store has expired.
     LeaseEnded,
-    /// The state service no longer has all changes since the last answered watch.
+    /// The key-value store no longer keeps all changes since the last answered watch.
     ChangesMissed,
-    /// The records could not be read during the takeover.
+    /// The records could not be read during the failover.
     Unreadable,
-    /// The state service calls a transaction wrong, and it cannot be made smaller.
+    /// The key-value store rejects a transaction that cannot be made smaller.
     TransactionRejected,
     /// Keys that only the leader writes were written by somebody else.
     ForeignWrite(ForeignWrite),
-    /// No machine reports to this leader.
+    /// No machine sends heartbeats to this leader.
     Unheard,
 }
 
