--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -25,7 +25,6 @@
 mod kv_availability;
 mod kv_route;
 mod peer_exchange;
-mod peer_heartbeat;
 mod peer_lease_reports;
 mod peer_views;
 mod peers;
