--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -40,13 +40,15 @@
     #[serde(rename = "Renew")]
     RenewLease {
         /// The lease.
-        pass: u64,
+        #[serde(rename = "pass")]
+        lease: u64,
     },
     /// Revokes a lease, and removes the keys attached to it.
     #[serde(rename = "EndHold")]
     RevokeLease {
         /// The lease.
-        pass: u64,
+        #[serde(rename = "pass")]
+        lease: u64,
     },
     /// Waits for changes.
     Watch {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -554,7 +554,7 @@
             self.renew_at = now + (life / 4.0) as u64;
             self.renewing = true;
             let wait = self.wait(LeaderRequest::Renew);
-            ctx.send_kv(KvRequest::RenewLease { pass: self.pass }, wait);
+            ctx.send_kv(KvRequest::RenewLease { lease: self.pass }, wait);
         }
         while let Some(i) = self.recovery.scan_retries.iter().position(|(.., at)| now >= *at) {
             let (prefix, after, _) = self.recovery.scan_retries.swap_remove(i);
--- a/crates/loopback/src/store_server.rs
+++ b/crates/loopback/src/store_server.rs
@@ -118,9 +118,9 @@
     let lease = path.strip_prefix(paths::LEASES)?.strip_prefix('/')?;
     let pass = lease.split('/').next()?.parse().ok()?;
     Some(if received.method == Method::DELETE {
-        KvRequest::RevokeLease { pass }
+        KvRequest::RevokeLease { lease: pass }
     } else {
-        KvRequest::RenewLease { pass }
+        KvRequest::RenewLease { lease: pass }
     })
 }
 
--- a/crates/net/src/protocol/kv.rs
+++ b/crates/net/src/protocol/kv.rs
@@ -23,12 +23,12 @@
         KvRequest::Scan { prefix, after } => EncodedRequest::get(scan_path(prefix, after)),
         KvRequest::Transaction(transaction) => EncodedRequest::post(paths::TXN, transaction),
         KvRequest::GrantLease { ttl_ms } => EncodedRequest::post(paths::LEASES, &LeaseRequest { ttl_ms: *ttl_ms }),
-        KvRequest::RenewLease { pass } => EncodedRequest {
+        KvRequest::RenewLease { lease: pass } => EncodedRequest {
             method: Method::POST,
             path: format!("{}/{pass}/{}", paths::LEASES, paths::RENEW),
             body: Bytes::from_static(b"{}"),
         },
-        KvRequest::RevokeLease { pass } => {
+        KvRequest::RevokeLease { lease: pass } => {
             EncodedRequest { method: Method::DELETE, path: format!("{}/{pass}", paths::LEASES), body: Bytes::new() }
         }
         KvRequest::Watch { prefix, after, hold_ms } => {
--- a/crates/testkit/src/store.rs
+++ b/crates/testkit/src/store.rs
@@ -95,8 +95,8 @@
             KvRequest::Scan { prefix, after } => Some(Ok(self.scan(&prefix, &after))),
             KvRequest::Transaction(transaction) => Some(self.transact(now, transaction)),
             KvRequest::GrantLease { ttl_ms } => Some(Ok(self.grant_lease(now, ttl_ms))),
-            KvRequest::RenewLease { pass } => Some(Ok(self.renew_lease(now, pass))),
-            KvRequest::RevokeLease { pass } => {
+            KvRequest::RenewLease { lease: pass } => Some(Ok(self.renew_lease(now, pass))),
+            KvRequest::RevokeLease { lease: pass } => {
                 let existed = self.leases.contains_key(&pass);
                 self.end_lease(pass);
                 Some(Ok(if existed { KvReply::Done } else { KvReply::Missing }))
