--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -78,6 +78,14 @@
     pub sent_at_ms: u64,
 }
 
+impl HeartbeatEcho {
+    /// When the process sent the echoed heartbeat, if it was this process: the sender of the echo was alive
+    /// after that time. `now_ms` is the clock of the process; a later time was never its own.
+    pub fn sent_by(self, process_id: u64, now_ms: u64) -> Option<u64> {
+        (self.process_id == process_id && self.sent_at_ms <= now_ms).then_some(self.sent_at_ms)
+    }
+}
+
 /// How far a job has come. The task counts are for display only.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JobProgress {
