--- a/crates/cli/src/settings/conversion.rs
+++ b/crates/cli/src/settings/conversion.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
-use shaleshunt_core::settings::{Limits, ServiceObjective, Settings, TeamQuota};
+use shaleshunt_core::settings::{ComputeAmount, Limits, ServiceObjective, Settings, TeamQuota};
 use shaleshunt_net::{NetworkConfig, PeerAddress};
 use shaleshunt_wire::to_milli;
 use std::collections::BTreeMap;
@@ -53,11 +53,15 @@
 
 fn team(entry: &TeamEntry) -> TeamQuota {
     TeamQuota {
-        guarantee: (to_milli(entry.guaranteed_cpus), to_milli(entry.guaranteed_gpus)),
-        limit: (to_milli(entry.max_cpus), to_milli(entry.max_gpus)),
+        guarantee: compute_amount(entry.guaranteed_cpus, entry.guaranteed_gpus),
+        limit: compute_amount(entry.max_cpus, entry.max_gpus),
     }
 }
 
+fn compute_amount(cpus: f64, gpus: f64) -> ComputeAmount {
+    ComputeAmount { cores: to_milli(cpus), accelerators: to_milli(gpus) }
+}
+
 /// Objectives by class.
 fn objectives_by_class(objectives: &[Objective]) -> BTreeMap<String, ServiceObjective> {
     let mut by_class: BTreeMap<String, ServiceObjective> = BTreeMap::new();
@@ -68,7 +72,7 @@
             ObjectiveKind::Start => of_class.start_s.extend(objective.within_s),
             ObjectiveKind::Finish => of_class.finish_s.extend(objective.within_s),
             ObjectiveKind::Deadline => {
-                of_class.times.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
+                of_class.deadline_multiples.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
             }
             ObjectiveKind::Unknown => {}
         }
--- a/crates/cli/src/settings/error.rs
+++ b/crates/cli/src/settings/error.rs
@@ -1,6 +1,7 @@
 //! Why settings cannot be used.
 
 use super::problem::Problem;
+use shaleshunt_core::settings::PropertyError;
 use std::fmt::Display;
 use std::path::PathBuf;
 
@@ -29,17 +30,24 @@
     /// The properties are not in the form of a properties file.
     #[error("properties: {0}")]
     PropertiesSyntax(java_properties::PropertiesError),
-    /// A property and its earlier name are both given.
-    #[error("{earlier}: is called {current} now, which is given too")]
+    /// A property is given by an earlier name and by a newer one.
+    #[error("{earlier}: is called {current} now, which is given too{}", other_name(current, newer))]
     PropertyGivenTwice {
         /// The key of an earlier version.
         earlier: String,
         /// The key of today.
         current: &'static str,
+        /// The other key that is given: that of today, or one in between.
+        newer: &'static str,
     },
     /// A property is not known, or its value is not allowed.
-    #[error("{0}")]
-    Property(String),
+    #[error(transparent)]
+    Property(#[from] PropertyError),
+}
+
+/// The addition for a key that is neither the earliest nor that of today.
+fn other_name(current: &str, newer: &str) -> String {
+    if newer == current { String::new() } else { format!(", as {newer}") }
 }
 
 impl SettingsError {
--- a/crates/cli/src/settings/properties.rs
+++ b/crates/cli/src/settings/properties.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' properties.
 
 use super::error::SettingsError;
-use shaleshunt_core::settings::{Tuning, renamed_key};
+use shaleshunt_core::settings::{Tuning, newer_names, renamed_key};
 use std::collections::BTreeMap;
 
 /// Operators' properties as they were read.
@@ -29,14 +29,14 @@
     fn set_all(&mut self, values: &BTreeMap<String, String>) {
         for (key, value) in values {
             if let Some(current) = renamed_key(key) {
-                if values.contains_key(current) {
-                    self.errors.push(SettingsError::PropertyGivenTwice { earlier: key.clone(), current });
+                if let Some(newer) = newer_names(key).find(|newer| values.contains_key(*newer)) {
+                    self.errors.push(SettingsError::PropertyGivenTwice { earlier: key.clone(), current, newer });
                     continue;
                 }
                 self.warnings.push(format!("{key}: is called {current} now"));
             }
             if let Err(problem) = self.tuning.set(key, value) {
-                self.errors.push(SettingsError::Property(problem));
+                self.errors.push(problem.into());
             }
         }
     }
