--- a/crates/cli/src/settings/error.rs
+++ b/crates/cli/src/settings/error.rs
@@ -30,27 +30,39 @@
     /// The properties are not in the form of a properties file.
     #[error("properties: {0}")]
     PropertiesSyntax(java_properties::PropertiesError),
-    /// A property is given by an earlier name and by a newer one.
-    #[error("{earlier}: is called {current} now, which is given too{}", other_name(current, newer))]
+    /// A property and its earlier name are both given.
+    #[error("{earlier}: is called {current} now, which is given too")]
     PropertyGivenTwice {
         /// The key of an earlier version.
         earlier: String,
         /// The key of today.
         current: &'static str,
-        /// The other key that is given: that of today, or one in between.
+    },
+    /// A property is given by two of its earlier names.
+    #[error("{earlier}: is called {current} now, which is given too, as {newer}")]
+    PropertyGivenByEarlierNames {
+        /// The older key.
+        earlier: String,
+        /// The key of today.
+        current: &'static str,
+        /// The newer of the two earlier keys.
         newer: &'static str,
     },
     /// A property is not known, or its value is not allowed.
     #[error(transparent)]
-    Property(#[from] PropertyError),
-}
-
-/// The addition for a key that is neither the earliest nor that of today.
-fn other_name(current: &str, newer: &str) -> String {
-    if newer == current { String::new() } else { format!(", as {newer}") }
+    Property(PropertyError),
 }
 
 impl SettingsError {
+    /// The error of a property that is given by an earlier name and by a newer one.
+    pub(super) fn given_twice(earlier: &str, current: &'static str, newer: &'static str) -> SettingsError {
+        let earlier = earlier.to_string();
+        if newer == current {
+            return SettingsError::PropertyGivenTwice { earlier, current };
+        }
+        SettingsError::PropertyGivenByEarlierNames { earlier, current, newer }
+    }
+
     /// The parser's error with the line that it is on.
     pub(super) fn syntax(text: &str, error: &toml::de::Error) -> SettingsError {
         let line = error.span().map_or(0, |span| text[..span.start.min(text.len())].lines().count());
--- a/crates/cli/src/settings/properties.rs
+++ b/crates/cli/src/settings/properties.rs
@@ -30,13 +30,13 @@
         for (key, value) in values {
             if let Some(current) = renamed_key(key) {
                 if let Some(newer) = newer_names(key).find(|newer| values.contains_key(*newer)) {
-                    self.errors.push(SettingsError::PropertyGivenTwice { earlier: key.clone(), current, newer });
+                    self.errors.push(SettingsError::given_twice(key, current, newer));
                     continue;
                 }
                 self.warnings.push(format!("{key}: is called {current} now"));
             }
             if let Err(problem) = self.tuning.set(key, value) {
-                self.errors.push(problem.into());
+                self.errors.push(SettingsError::Property(problem));
             }
         }
     }
--- a/crates/core/src/controller/peers.rs
+++ b/crates/core/src/controller/peers.rs
@@ -54,7 +54,8 @@
 
     /// Replaces the task counts by what the leader shared.
     pub fn record_progress(&mut self, jobs: Vec<JobProgress>) {
-        let counts = |JobProgress { job, done, running, .. }| (job, TaskCounts { done, running });
+        let counts =
+            |progress: JobProgress| (progress.job, TaskCounts { done: progress.done, running: progress.running });
         self.task_counts = jobs.into_iter().map(counts).collect();
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -28,7 +28,6 @@
 use crate::model::*;
 use crate::records::{BlockRecord, SplitJobRecord, StoredJob, V01MachineRecord, V01PlacementRecord};
 use serde_json::Value;
-use shaleshunt_peer::{JobProgress, MAX_FRAME};
 use shaleshunt_wire::kv::{Change, KeyValue, Page};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 use std::collections::BTreeMap;
@@ -737,19 +736,19 @@
 
     /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
     /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn job_progress(&self) -> Vec<JobProgress> {
+    pub(crate) fn job_progress(&self) -> Vec<shaleshunt_peer::JobProgress> {
         // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
         // shown by the leader alone and read at each poll.
         self.jobs
             .values()
             .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| JobProgress {
+            .map(|j| shaleshunt_peer::JobProgress {
                 job: j.id.to_string(),
                 record_version: j.record.version,
                 done: j.tasks.done_count(),
                 running: j.tasks.running_count(),
             })
-            .take(MAX_FRAME / 256)
+            .take(shaleshunt_peer::MAX_FRAME / 256)
             .collect()
     }
 }
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -79,8 +79,8 @@
 }
 
 impl HeartbeatEcho {
-    /// When the process sent the echoed heartbeat, if it was this process: the sender of the echo was alive
-    /// after that time. `now_ms` is the clock of the process; a later time was never its own.
+    /// When this process sent the acknowledged heartbeat, if it was this process: so the sender of the
+    /// acknowledgement was alive after that time.
     pub fn sent_by(self, process_id: u64, now_ms: u64) -> Option<u64> {
         (self.process_id == process_id && self.sent_at_ms <= now_ms).then_some(self.sent_at_ms)
     }
