--- a/crates/loopback/src/agents.rs
+++ b/crates/load-test/src/agents.rs
@@ -9,7 +9,7 @@
 use shaleshunt_core::RequestError;
 use shaleshunt_core::io::DirectCommandsReply;
 use shaleshunt_net::client::HttpResponse;
-use shaleshunt_testkit::agent::{Agent, HeartbeatId, JobFacts};
+use shaleshunt_simulation::agent::{Agent, HeartbeatId, JobFacts};
 use shaleshunt_wire::paths;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply, Redirect};
 use std::cell::RefCell;
--- a/crates/loopback/src/cloud_server.rs
+++ b/crates/load-test/src/cloud_server.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use shaleshunt_core::RequestError;
 use shaleshunt_core::io::{CloudReply, CloudRequest};
-use shaleshunt_testkit::cloud::Cloud;
+use shaleshunt_simulation::cloud::Cloud;
 use shaleshunt_wire::cloud::MachineNames;
 use shaleshunt_wire::paths;
 use shaleshunt_wire::user::Problem;
--- a/crates/loopback/src/store_server.rs
+++ b/crates/load-test/src/store_server.rs
@@ -3,8 +3,8 @@
 use crate::http_server::{self, Received, Reply};
 use hyper::Method;
 use shaleshunt_core::{KvReply, KvRequest, RequestError};
-use shaleshunt_testkit::process::ProcessId;
-use shaleshunt_testkit::store::{KeyValueStore, RequestKey};
+use shaleshunt_simulation::process::ProcessId;
+use shaleshunt_simulation::store::{KeyValueStore, RequestKey};
 use shaleshunt_wire::kv::{LeaseGrant, LeaseRequest, TransactionReply};
 use shaleshunt_wire::{Revision, paths};
 use std::cell::{Cell, RefCell};
--- a/crates/testkit/src/bin/trace_digest.rs
+++ b/crates/simulation/src/bin/trace_digest.rs
@@ -1,7 +1,7 @@
 //! Prints the trace digests of all scenarios: a line `NAME SEED DIGEST` for each scenario and seed.
 
 use clap::Parser;
-use shaleshunt_testkit::scenario::{LoadError, ScenarioFile, SeedDigest};
+use shaleshunt_simulation::scenario::{LoadError, ScenarioFile, SeedDigest};
 use std::path::Path;
 use std::process::ExitCode;
 use std::sync::Mutex;
--- a/crates/testkit/tests/checker.rs
+++ b/crates/simulation/tests/checker.rs
@@ -1,8 +1,8 @@
 //! The checker shows what it is there for: each rule, broken on purpose, is found, beside a history that only
 //! looks like a violation.
 
-use shaleshunt_testkit::agent::{Machine, TaskEvent};
-use shaleshunt_testkit::checker::{Checker, LateStarts, Rule};
+use shaleshunt_simulation::agent::{Machine, TaskEvent};
+use shaleshunt_simulation::checker::{Checker, LateStarts, Rule};
 use shaleshunt_wire::user::{JobStatus, Submission};
 use shaleshunt_wire::{Attempt, Resources};
 
--- a/crates/testkit/tests/common/mod.rs
+++ b/crates/simulation/tests/common/mod.rs
@@ -2,9 +2,9 @@
 
 use shaleshunt_core::settings::{Limits, TeamQuota};
 use shaleshunt_core::{Command, Controller, Effect, Settings, Timestamp, Tuning};
-use shaleshunt_testkit::cloud::{Cloud, Offer};
-use shaleshunt_testkit::process::ProcessId;
-use shaleshunt_testkit::store::{KeyValueStore, RequestKey};
+use shaleshunt_simulation::cloud::{Cloud, Offer};
+use shaleshunt_simulation::process::ProcessId;
+use shaleshunt_simulation::store::{KeyValueStore, RequestKey};
 use std::collections::BTreeMap;
 
 /// Time of day at the beginning, in ms since 1970.
--- a/crates/testkit/tests/expectations.rs
+++ b/crates/simulation/tests/expectations.rs
@@ -1,7 +1,7 @@
 //! Each expectation of a scenario shows what it is there for: it holds where it should and is found wrong where
 //! it should not.
 
-use shaleshunt_testkit::scenario::Scenario;
+use shaleshunt_simulation::scenario::Scenario;
 
 /// An array, a service and a job that is cancelled, on one machine.
 const SITE: &str = "
--- a/crates/testkit/tests/scenario_language.rs
+++ b/crates/simulation/tests/scenario_language.rs
@@ -1,7 +1,7 @@
 //! The language of scenarios: what is read from a line, and what errors say.
 
-use shaleshunt_testkit::scenario::{Scenario, SyntaxError};
-use shaleshunt_testkit::simulation::{PlannedJob, SubmitWhen};
+use shaleshunt_simulation::scenario::{Scenario, SyntaxError};
+use shaleshunt_simulation::simulation::{PlannedJob, SubmitWhen};
 use shaleshunt_wire::user::{JobKind, Priority};
 
 /// The error about the last of these lines.
--- a/crates/testkit/tests/scenarios.rs
+++ b/crates/simulation/tests/scenarios.rs
@@ -1,6 +1,6 @@
 //! Plays all scenarios under `scenarios/`; the variable `SCENARIO` names a single one by its file.
 
-use shaleshunt_testkit::scenario::ScenarioFile;
+use shaleshunt_simulation::scenario::ScenarioFile;
 use std::path::Path;
 use std::thread;
 
--- a/crates/testkit/tests/trace_digest.rs
+++ b/crates/simulation/tests/trace_digest.rs
@@ -3,9 +3,9 @@
 use shaleshunt_core::io::{Answer, CloudReply, CloudRequest, DirectCommandsReply};
 use shaleshunt_core::{Command, Effect, KvReply, KvRequest, RequestError};
 use shaleshunt_peer::Frame;
-use shaleshunt_testkit::process::ProcessId;
-use shaleshunt_testkit::scenario::{Scenario, SeedDigest};
-use shaleshunt_testkit::trace_digest::TraceDigest;
+use shaleshunt_simulation::process::ProcessId;
+use shaleshunt_simulation::scenario::{Scenario, SeedDigest};
+use shaleshunt_simulation::trace_digest::TraceDigest;
 use shaleshunt_wire::kv::{Transaction, Write};
 use shaleshunt_wire::user::{JobStatus, JobView};
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, HeartbeatReply, TaskCommand};
--- a/crates/testkit/tests/work_counts.rs
+++ b/crates/simulation/tests/work_counts.rs
@@ -6,7 +6,7 @@
 use common::Site;
 use shaleshunt_core::io::{Answer, Batch, Command, DirectCommandsReply, Effect};
 use shaleshunt_core::work_counters::Work;
-use shaleshunt_testkit::agent::{Agent, HeartbeatId, JobFacts, Machine};
+use shaleshunt_simulation::agent::{Agent, HeartbeatId, JobFacts, Machine};
 use shaleshunt_wire::Resources;
 use shaleshunt_wire::user::Submission;
 use std::collections::{BTreeMap, BTreeSet};
