--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -302,6 +302,41 @@
 }
 
 impl Event {
+    /// The names of all events, in the order of the variants. `docs/operations.md` has an entry for each.
+    pub const NAMES: [&str; 31] = [
+        "leader_elected",
+        "leader_state_loaded",
+        "leader_stepped_down",
+        "leader_status",
+        "state_service_relay_started",
+        "state_service_relay_ended",
+        "write_rate_reduced",
+        "transaction_rejected",
+        "record_unreadable",
+        "submission_parts_unreadable",
+        "job_accepted",
+        "job_cancellation_recorded",
+        "job_cancelled",
+        "job_completed",
+        "job_dependencies_met",
+        "job_cancelled_by_dependency",
+        "job_offloaded",
+        "task_failed",
+        "tasks_preempted",
+        "machine_adopted",
+        "machine_interruption_notice",
+        "machine_lease_expired",
+        "machine_quarantined",
+        "machine_slow",
+        "zone_unreachable",
+        "owned_machines_recorded",
+        "setting_too_small",
+        "scale_out_granted",
+        "scale_out_no_capacity",
+        "scale_out_rejected",
+        "scale_in_completed",
+    ];
+
     /// How much it matters to an operator.
     pub fn severity(&self) -> Severity {
         match self {
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -177,6 +177,28 @@
     assert!(names.iter().all(|name| name.chars().all(|c| c.is_ascii_lowercase() || c == '_')), "{names:?}");
 }
 
+#[test]
+fn all_names_are_listed() {
+    let names: Vec<&str> = samples().iter().map(|(event, ..)| event.name()).collect();
+    assert_eq!(names, Event::NAMES);
+}
+
+/// The page for the engineer on call.
+const OPERATIONS_PAGE: &str = include_str!("../../../../docs/operations.md");
+
+#[test]
+fn operations_page_gives_each_events_severity_and_fields() {
+    for (event, severity, _) in samples() {
+        let heading = format!("#### `{}`\n\n", event.name());
+        let (_, entry) = OPERATIONS_PAGE.split_once(&heading).unwrap_or_else(|| panic!("no entry: {heading}"));
+        let (head, _) = entry.split_once("\n\n").unwrap();
+        let keys: Vec<String> = event.fields().iter().map(|(key, _)| format!("`{key}`")).collect();
+        let fields = if keys.is_empty() { "none".to_string() } else { keys.join(", ") };
+        let expected = format!("Severity: {}. Fields: {fields}.", format!("{severity:?}").to_lowercase());
+        assert_eq!(head.replace('\n', " "), expected, "{}", event.name());
+    }
+}
+
 #[test]
 fn each_event_keeps_its_severity() {
     for (event, severity, _) in samples() {
@@ -230,5 +252,6 @@
     ];
     for (reason, name) in reasons {
         assert_eq!(reason.name(), name);
+        assert!(OPERATIONS_PAGE.contains(&format!("`{name}`")), "{name} is not on the operations page");
     }
 }
