--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -67,7 +67,7 @@
         if (kinds.len() >= 2 || does_well || m.health.quarantine_count > 0) && !broken {
             self.quarantine(ctx, machine);
         }
-        self.scheduler.pass_wanted = true;
+        self.scheduler.request_pass();
     }
 
     /// A machine fails its tasks: it is not used for a while, longer each time.
@@ -100,7 +100,11 @@
             let Some(since) = p.running.filter(|_| p.stop_grace_s.is_none()) else { continue };
             let Some(job) = self.jobs.get(&p.job).filter(|j| !j.is_service()) else { continue };
             runs += 1;
-            let usual = job.tasks.run_times.mean_ms(LEAST_RUN_TIMES).unwrap_or_else(|| self.estimate(job) * 1500.0);
+            let usual = job
+                .tasks
+                .run_times
+                .mean_ms(LEAST_RUN_TIMES)
+                .unwrap_or_else(|| self.scheduler.estimated_run_s(job) * 1500.0);
             let elapsed = now.saturating_sub(since) as f64;
             over += usize::from(elapsed > usual * OVERRUN + ctx.settings.heartbeat_interval_s * 100.0);
         }
