--- a/crates/core/src/controller/peers.rs
+++ b/crates/core/src/controller/peers.rs
@@ -2,11 +2,11 @@
 //! shares.
 
 use super::context::Context;
-use super::peer_heartbeat::PeerHeartbeat;
 use super::peer_views::PeerViews;
+use crate::api::TaskCounts;
 use crate::settings::Settings;
-use shaleshunt_peer::Frame;
-use shaleshunt_wire::{Epoch, Revision};
+use shaleshunt_peer::{Frame, JobProgress, PeerHeartbeat};
+use shaleshunt_wire::Epoch;
 use std::collections::HashMap;
 
 /// Heartbeats between controllers in one heartbeat interval of the agents.
@@ -15,16 +15,13 @@
 const PROGRESS_PER_INTERVAL: u64 = 3;
 
 /// Done and running tasks by job, as the leader last shared them. For display only.
-pub(super) type TaskCounts = HashMap<String, (u32, u32)>;
-
-/// Job, version of its record, done tasks, running tasks: as the frame carries it.
-pub(super) type SharedProgress = Vec<(String, Revision, u32, u32)>;
+pub(super) type SharedTaskCounts = HashMap<String, TaskCounts>;
 
 /// Exchange with the other controllers.
 #[derive(Debug)]
 pub(super) struct Peers {
     views: PeerViews,
-    task_counts: TaskCounts,
+    task_counts: SharedTaskCounts,
     heartbeat_due_at: u64,
     progress_due_at: u64,
 }
@@ -34,7 +31,7 @@
     pub fn new(settings: &Settings, now: u64) -> Peers {
         Peers {
             views: PeerViews::new(settings),
-            task_counts: TaskCounts::new(),
+            task_counts: SharedTaskCounts::new(),
             heartbeat_due_at: now,
             progress_due_at: now,
         }
@@ -51,13 +48,15 @@
     }
 
     /// Task counts that the leader shared.
-    pub fn task_counts(&self) -> &TaskCounts {
+    pub fn task_counts(&self) -> &SharedTaskCounts {
         &self.task_counts
     }
 
     /// Replaces the task counts by what the leader shared.
-    pub fn record_progress(&mut self, jobs: SharedProgress) {
-        self.task_counts = jobs.into_iter().map(|(job, _, done, running)| (job, (done, running))).collect();
+    pub fn record_progress(&mut self, jobs: Vec<JobProgress>) {
+        let counts =
+            |progress: JobProgress| (progress.job, TaskCounts { done: progress.done, running: progress.running });
+        self.task_counts = jobs.into_iter().map(counts).collect();
     }
 
     /// Whether heartbeats are due; plans the next ones if so.
@@ -81,12 +80,12 @@
     pub fn send_heartbeats(&self, ctx: &mut Context, heartbeat: &PeerHeartbeat) {
         for (name, echo) in self.views.last_heartbeats() {
             let heartbeat = PeerHeartbeat { echo, ..heartbeat.clone() };
-            ctx.send_peer(name.clone(), heartbeat.into_frame());
+            ctx.send_peer(name.clone(), Frame::Heartbeat(heartbeat));
         }
     }
 
     /// Shares the leader's job progress with all peers.
-    pub fn send_progress(&self, ctx: &mut Context, epoch: Epoch, jobs: SharedProgress) {
+    pub fn send_progress(&self, ctx: &mut Context, epoch: Epoch, jobs: Vec<JobProgress>) {
         let frame = Frame::JobProgress { epoch, jobs };
         for (name, _) in self.views.last_heartbeats() {
             ctx.send_peer(name.clone(), frame.clone());
