--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -17,11 +17,9 @@
 //! leader still makes this node step down.
 
 mod records;
-mod request;
-
-pub(crate) use request::ElectionRequest;
 
 use super::context::Context;
+use super::election_request::ElectionRequest;
 use super::pending::PendingRequest;
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::model::keys;
@@ -287,7 +285,7 @@
 }
 
 fn revoke(ctx: &mut Context, lease: u64) {
-    ctx.send_kv(KvRequest::RevokeLease { pass: lease }, PendingRequest::Ignored);
+    ctx.send_kv(KvRequest::RevokeLease { lease }, PendingRequest::Ignored);
 }
 
 /// Time to live of a leader's lease without renewal, in milliseconds.
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -4,7 +4,6 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::{
     Changes, CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext,
     WriteUrgency,
@@ -12,6 +11,7 @@
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::{Id, PlacementState};
 use crate::records::FinalRecord;
+use crate::step_down::{ForeignWrite, StepDown};
 use shaleshunt_wire::Revision;
 
 fn store_context(ctx: &Context, epoch_version: Revision) -> StoreContext<'_> {
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -9,8 +9,8 @@
 use super::transaction::TransactionLimits;
 use super::write_budget::{WriteDemand, leader_share};
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::step_down::ForeignWrite;
 use crate::records::keys;
+use crate::step_down::ForeignWrite;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::{Condition, Transaction, Write};
 
