--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,5 +1,13 @@
-//! What the leader knows, how it reads it all after it has taken the epoch, and how it learns of
-//! users' changes.
+//! The leader: composes the store, the scheduler, the fleet and the autoscaler, and acts for its epoch.
+//!
+//! `Leader` owns the unfinished jobs and what belongs to the leadership itself: the epoch, the lease, the
+//! numbers of attempts and placements. Its parts own the rest and don't call one another; what concerns
+//! several of them is done here and in the modules of this tree that are not parts: failover
+//! ([`recovery`]), users' changes ([`watch`]), `commit`, `heartbeats`, `placements` and the like.
+//!
+//! What always holds: nothing is decided before all records have been read (`active`); a reply goes to the
+//! leader of the epoch that asked; once `down` is set, the controller ends the leadership after the batch.
+//! Only the controller calls in here.
 
 pub(crate) mod autoscaler;
 mod commit;
@@ -17,44 +25,68 @@
 
 use crate::controller::{Context, PendingRequest};
 use crate::event::{Event, LeaderFigures};
-use crate::io::*;
+use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::autoscaler::Autoscaler;
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::{Recovery, ScanPosition};
 use crate::leader::scheduler::Scheduler;
 use crate::leader::store::{CommitStep, SplitJobRead, Store};
 use crate::leader::watch::JobWatch;
-use crate::model::*;
+use crate::model::{Id, Job};
 use crate::step_down::{ForeignWrite, StepDown};
+use shaleshunt_peer::{JobProgress, MAX_FRAME};
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
-/// So many times a node's lag goes by between two passes over the queue, up to a fifth of a reporting interval.
-const LAG_BETWEEN_PASSES: u64 = 4;
+/// So many times a controller's lag goes by between two passes over the queue, up to this part of a
+/// heartbeat interval: the shorter of processor time, the longer between passes, since leases and answers
+/// come first.
+const LAGS_BETWEEN_PASSES: u64 = 4;
+const MAX_LAG_HEARTBEAT_PART: u64 = 5;
+/// The lease is renewed after this part of its life.
+const LEASE_RENEWAL_PART: f64 = 4.0;
+/// A renewal without an answer is tried again after this part of a heartbeat interval.
+const RENEWAL_RETRIES_PER_HEARTBEAT: u64 = 12;
+/// A job's progress takes at most so many bytes of a frame, with ample room for long names.
+const JOB_PROGRESS_BYTES: usize = 256;
 
-/// Steps of the leader that wait for an answer.
+/// Requests of the leader, by what their replies are for.
 #[derive(Debug)]
 pub(crate) enum LeaderRequest {
+    /// A page of records during a failover.
     Load(ScanPosition),
+    /// Renewal of the leader's lease.
     Renew,
+    /// Changes of the unfinished jobs.
     Watch,
+    /// The transaction under way.
     Commit(CommitStep),
     /// The version of a key that somebody else has written, for the log.
     ForeignWrite(ForeignWrite),
+    /// The record of a job on which a condition failed.
     Refresh(Id),
+    /// The final record of a job that others depend on.
     End(Id),
+    /// Parts of a job's submission.
     Parts(Box<SplitJobRead>),
+    /// A direct call to a machine's agent.
     DirectCommands(Id),
+    /// Machines from the cloud, by the request's name.
     ScaleOut(String),
+    /// Return of machines to the cloud.
     ScaleIn(Vec<Id>),
+    /// A page of the cloud's list.
     MachineList,
+    /// The cloud's machine types.
     Catalog,
 }
 
-/// The leader's state.
+/// The leader's state. Times are in ms on the steady clock.
 pub struct Leader {
     pub(crate) epoch: Epoch,
+    /// Version of the epoch's key, while the epoch is this leader's.
     pub(crate) version: Revision,
+    /// The lease at the key-value store.
     pub(crate) pass: u64,
     /// Everything has been read.
     pub(crate) active: bool,
@@ -62,11 +94,12 @@
     pub(crate) down: Option<StepDown>,
     pub(crate) elected_at: u64,
     renew_at: u64,
-    renewing: bool,
+    is_renewal_in_flight: bool,
     pub(crate) last_attempt: u64,
     last_placement_id: u64,
+    /// The unfinished jobs.
     pub(crate) jobs: BTreeMap<Id, Job>,
-    told_at: u64,
+    next_status_at: u64,
     pub(crate) store: Store,
     pub(crate) scheduler: Scheduler,
     pub(crate) fleet: Fleet,
@@ -76,9 +109,10 @@
 }
 
 impl Leader {
+    /// A leader that has just been elected: it begins to read all records.
     pub(crate) fn new(ctx: &mut Context, epoch: Epoch, version: Revision, pass: u64) -> Leader {
         let now = ctx.now.monotonic_ms;
-        let mut l = Leader {
+        let mut leader = Leader {
             epoch,
             version,
             pass,
@@ -86,11 +120,11 @@
             down: None,
             elected_at: now,
             renew_at: now,
-            renewing: false,
+            is_renewal_in_flight: false,
             last_attempt: 0,
             last_placement_id: 0,
             jobs: BTreeMap::new(),
-            told_at: now,
+            next_status_at: now,
             store: Store::new(now, ctx.limits.rate() * ctx.tuning.write_share),
             scheduler: Scheduler::new(now),
             fleet: Fleet::new(now),
@@ -98,14 +132,16 @@
             recovery: Recovery::default(),
             watch: JobWatch::new(now),
         };
-        l.begin_recovery(ctx);
-        l
+        leader.begin_recovery(ctx);
+        leader
     }
 
+    /// A request of this leader's, whose reply is for this epoch alone.
     pub(crate) fn wait(&self, wait: LeaderRequest) -> PendingRequest {
         PendingRequest::Leader(self.epoch, wait)
     }
 
+    /// A request to the key-value store that was sent at a time was answered, or not.
     pub(crate) fn handle_kv_reply(
         &mut self,
         ctx: &mut Context,
@@ -122,7 +158,7 @@
             LeaderRequest::End(id) => self.handle_final_record(ctx, id, result),
             LeaderRequest::Commit(step) => self.handle_commit_reply(ctx, &step, result),
             LeaderRequest::ForeignWrite(write) => self.handle_foreign_write(write, result),
-            // Answers of the cloud and of workers come by other ways.
+            // Replies of the cloud and of agents come by other ways.
             LeaderRequest::DirectCommands(_)
             | LeaderRequest::ScaleOut(_)
             | LeaderRequest::ScaleIn(_)
@@ -133,28 +169,41 @@
 
     /// The leader's lease was renewed, or not.
     fn handle_lease_renewal(&mut self, ctx: &Context, result: Result<KvReply, RequestError>) {
-        self.renewing = false;
+        self.is_renewal_in_flight = false;
         match result {
             Ok(KvReply::Missing) => self.down = Some(StepDown::LeaseEnded),
             Ok(_) => {}
-            Err(_) => self.renew_at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 12,
+            Err(_) => {
+                self.renew_at =
+                    ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RENEWAL_RETRIES_PER_HEARTBEAT
+            }
         }
     }
 
     /// What is due by time or by what the batch brought.
     pub(crate) fn run_due(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic_ms;
-        if self.renew_at <= now && !self.renewing {
-            let life = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
-            self.renew_at = now + (life / 4.0) as u64;
-            self.renewing = true;
-            let wait = self.wait(LeaderRequest::Renew);
-            ctx.send_kv(KvRequest::RenewLease { lease: self.pass }, wait);
-        }
+        self.renew_lease(ctx);
         self.retry_scans(ctx);
-        if !self.active {
+        if self.active {
+            self.run_active(ctx);
+        }
+    }
+
+    fn renew_lease(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic_ms;
+        if self.renew_at > now || self.is_renewal_in_flight {
             return;
         }
+        let life_ms = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
+        self.renew_at = now + (life_ms / LEASE_RENEWAL_PART) as u64;
+        self.is_renewal_in_flight = true;
+        let wait = self.wait(LeaderRequest::Renew);
+        ctx.send_kv(KvRequest::RenewLease { lease: self.pass }, wait);
+    }
+
+    /// What is due once all records have been read.
+    fn run_active(&mut self, ctx: &mut Context) {
+        let now = ctx.now.monotonic_ms;
         if self.watch.is_retry_due(now) {
             self.watch_jobs(ctx);
         }
@@ -162,9 +211,9 @@
             self.expire_silent_machines(ctx);
             self.probe_overdue(ctx);
         }
-        if now >= self.told_at {
-            self.told_at = now + ctx.settings.heartbeat_interval_ms();
-            self.emit_statistics(ctx);
+        if now >= self.next_status_at {
+            self.next_status_at = now + ctx.settings.heartbeat_interval_ms();
+            self.emit_status(ctx);
         }
         self.read_final_records(ctx);
         while let Some(read) = self.store.next_submission_retry(now) {
@@ -172,23 +221,28 @@
         }
         self.run_autoscaler(ctx);
         if self.scheduler.begin_pass(now) {
-            self.detect_zone_partitions(ctx);
-            // The shorter of processor time, the longer between passes: leases and answers come first.
-            let apart = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-            let lag_ms = (ctx.batch_lag_ms() * LAG_BETWEEN_PASSES).min(ctx.settings.heartbeat_interval_ms() / 5);
-            self.scheduler.delay_next_pass(now + apart + lag_ms);
-            self.schedule(ctx);
+            self.run_pass(ctx);
         }
         self.commit(ctx);
         self.send_due_commands(ctx);
     }
 
+    /// A pass over the queue.
+    fn run_pass(&mut self, ctx: &mut Context) {
+        self.detect_zone_partitions(ctx);
+        let interval_ms = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
+        let max_lag_ms = ctx.settings.heartbeat_interval_ms() / MAX_LAG_HEARTBEAT_PART;
+        let lag_ms = (ctx.batch_lag_ms() * LAGS_BETWEEN_PASSES).min(max_lag_ms);
+        self.scheduler.delay_next_pass(ctx.now.monotonic_ms + interval_ms + lag_ms);
+        self.schedule(ctx);
+    }
+
     /// An event for operators: how much there is to do, and what holds it up.
-    fn emit_statistics(&mut self, ctx: &mut Context) {
+    fn emit_status(&mut self, ctx: &mut Context) {
         debug_assert!(self.fleet.machines.consistent(), "machines by free CPUs");
-        let waiting: u32 = self.jobs.values().filter(|j| !j.cancelled).map(Job::waiting).sum();
-        let used =
-            self.fleet.machines.values().filter(|m| m.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
+        let waiting: u32 = self.jobs.values().filter(|job| !job.cancelled).map(Job::waiting).sum();
+        let machines = self.fleet.machines.values();
+        let used = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
         let store = self.store.take_figures();
         ctx.emit(Event::LeaderStatus(Box::new(LeaderFigures {
             jobs: self.jobs.len(),
@@ -223,24 +277,23 @@
 
     /// Done and running tasks of a job, for display.
     pub(crate) fn count(&self, job: &str) -> (u32, u32) {
-        self.jobs.get(job).map_or((0, 0), |j| (j.tasks.done_count(), j.tasks.running_count()))
+        self.jobs.get(job).map_or((0, 0), |job| (job.tasks.done_count(), job.tasks.running_count()))
     }
 
-    /// Counts of all jobs that await nothing and their records' versions, for the other nodes: who
-    /// has a version from here need not look for cancelled jobs before this one.
-    pub(crate) fn job_progress(&self) -> Vec<shaleshunt_peer::JobProgress> {
-        // A job takes some 30 bytes of a frame. Of many more than a frame may hold, the rest is
-        // shown by the leader alone and read at each poll.
+    /// Progress of all jobs that wait for no other, for the other controllers: one that has a record's
+    /// version from here need not look for cancelled jobs before it.
+    pub(crate) fn job_progress(&self) -> Vec<JobProgress> {
+        // Of more jobs than a frame may hold, the rest is shown by the leader alone and read at each poll.
         self.jobs
             .values()
-            .filter(|j| !j.cancelled && !j.is_blocked())
-            .map(|j| shaleshunt_peer::JobProgress {
-                job: j.id.to_string(),
-                record_version: j.record.version,
-                done: j.tasks.done_count(),
-                running: j.tasks.running_count(),
+            .filter(|job| !job.cancelled && !job.is_blocked())
+            .map(|job| JobProgress {
+                job: job.id.to_string(),
+                record_version: job.record.version,
+                done: job.tasks.done_count(),
+                running: job.tasks.running_count(),
             })
-            .take(shaleshunt_peer::MAX_FRAME / 256)
+            .take(MAX_FRAME / JOB_PROGRESS_BYTES)
             .collect()
     }
 }
