--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -12,7 +12,7 @@
 use crate::records::keys;
 use crate::step_down::ForeignWrite;
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
+use shaleshunt_wire::kv::{Condition, Transaction};
 
 /// A transaction without an answer is tried again so many times in a heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
@@ -377,37 +377,5 @@
     if is_budget_scarce { scarce_gap as u64 } else { gap as u64 }
 }
 
-/// Writes since the last status event, by purpose.
-#[derive(Debug, Default)]
-pub(crate) struct WriteCounts {
-    pub transactions: u32,
-    pub ends: u32,
-    pub pages: u32,
-    pub blocks: u32,
-    pub others: u32,
-}
-
-impl WriteCounts {
-    fn count(&mut self, transaction: &Transaction) {
-        self.transactions += 1;
-        for write in &transaction.writes {
-            let key = match write {
-                Write::Set { set, .. } => set,
-                Write::Drop { drop } => drop,
-            };
-            *self.of_prefix(key.get(..2)) += 1;
-        }
-    }
-
-    fn of_prefix(&mut self, prefix: Option<&str>) -> &mut u32 {
-        match prefix {
-            Some(keys::JOBS | keys::FINAL_RECORDS | keys::LEADERSHIP) => &mut self.ends,
-            Some(keys::TASK_PAGES) => &mut self.pages,
-            Some(keys::MACHINE_BLOCKS) => &mut self.blocks,
-            _ => &mut self.others,
-        }
-    }
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -34,14 +34,16 @@
 mod transaction;
 mod unreferenced;
 mod write_budget;
+mod write_counts;
 mod write_queue;
 
 pub(crate) use blocks::StoredBlock;
 pub(crate) use changes::Changes;
-pub(crate) use commit::{CommitOutcome, CommitRequest, CommitStep, WriteCounts};
+pub(crate) use commit::{CommitOutcome, CommitRequest, CommitStep};
 pub(crate) use pages::{PlannedPlacement, StoredPlacement};
 pub(crate) use sources::{RecordSources, StoreContext};
 pub(crate) use split_submissions::SplitJobRead;
+pub(crate) use write_counts::WriteCounts;
 pub(crate) use write_queue::WriteUrgency;
 
 use crate::model::{Id, Job, Machine};
