--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -45,7 +45,7 @@
                 let pause = broken_job_pause_ms(job.failures.count, ctx.tuning.quarantine_s * 1000.0);
                 job.scheduling.not_before = now + pause as u64;
                 for machine in self.fleet.machines.values_mut() {
-                    machine.health.failed_jobs.retain(|failed| failed != id);
+                    machine.health.forgive(id);
                 }
             }
         }
@@ -54,9 +54,9 @@
     /// Counts a failure at the machine, and puts that in quarantine if it fails.
     fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, verdict: JobVerdict) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        m.health.failed_at = ctx.now.monotonic_ms;
+        m.health.task_failed(ctx.now.monotonic_ms);
         if verdict != JobVerdict::Broken {
-            m.health.failed_jobs.push(job.clone());
+            m.health.blame_for(job.clone());
         }
         if judge_machine(&m.health, verdict) == MachineVerdict::Failing {
             self.quarantine(ctx, machine);
@@ -86,10 +86,9 @@
             return;
         }
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if now >= m.health.slow_until {
+        if m.health.mark_slow(now, now + (ctx.settings.lease_s * 500.0) as u64) {
             ctx.emit(Event::MachineSlow { machine: machine.clone() });
         }
-        m.health.slow_until = now + (ctx.settings.lease_s * 500.0) as u64;
     }
 
     /// A placement as a task whose run time tells something; nothing for one that is to stop or that
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -58,7 +58,7 @@
         }
         self.record_change(now, &placement.job, placement.task, false);
         for id in failed_on.iter().filter(|id| *id != machine) {
-            if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&placement.job)) {
+            if self.fleet.machines.get(id).is_some_and(|m| m.health.is_blamed_for(&placement.job)) {
                 self.quarantine(ctx, id);
             }
         }
@@ -81,7 +81,7 @@
     fn start_refused(&mut self, ctx: &Context, machine: &Id) {
         let until = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 3;
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.health.quarantined_until = m.health.quarantined_until.max(until);
+            m.health.pause_until(until);
         }
     }
 }
--- a/crates/core/src/model/agent.rs
+++ b/crates/core/src/model/agent.rs
@@ -33,11 +33,11 @@
     /// When this leader last received a heartbeat (ms, monotonic).
     pub last_heard: Option<u64>,
     /// The last heartbeat's place among all.
-    pub last_heartbeat: HeartbeatOrder,
+    last_heartbeat: HeartbeatOrder,
     /// A heartbeat under this leader's current fencing token has come.
     pub token_confirmed: bool,
     /// Added to the leader epoch's fencing token when a command's fate is unknown.
-    pub token_counter: u64,
+    token_counter: u64,
     /// The answer to the last heartbeat held a `run`, and no later heartbeat has come.
     pub reply_may_start_tasks: bool,
     /// Commands in a row of which nothing was seen: it reports, but may not hear us.
--- a/crates/core/src/model/machine_health.rs
+++ b/crates/core/src/model/machine_health.rs
@@ -9,10 +9,10 @@
 /// How well tasks run on a machine.
 #[derive(Debug, Default)]
 pub struct MachineHealth {
-    /// Failures in a row, by job.
-    pub failed_jobs: Vec<Id>,
+    /// Jobs of the failures in a row that are not the jobs' fault, one for each failure.
+    failed_jobs: Vec<Id>,
     /// When last a task failed here.
-    pub failed_at: u64,
+    failed_at: u64,
     /// Not used before this time.
     pub quarantined_until: u64,
     /// Times that it was put in quarantine since a task succeeded.
@@ -38,6 +38,38 @@
         pause_ms
     }
 
+    /// Leaves the machine alone until this time at least, which does not count as a quarantine.
+    pub fn pause_until(&mut self, time: u64) {
+        self.quarantined_until = self.quarantined_until.max(time);
+    }
+
+    /// A task failed here.
+    pub fn task_failed(&mut self, now: u64) {
+        self.failed_at = now;
+    }
+
+    /// A failure of a job counts against the machine.
+    pub fn blame_for(&mut self, job: Id) {
+        self.failed_jobs.push(job);
+    }
+
+    /// Failures of a job do not count against the machine any more.
+    pub fn forgive(&mut self, job: &Id) {
+        self.failed_jobs.retain(|failed| failed != job);
+    }
+
+    /// Whether failures of a job count against the machine.
+    pub fn is_blamed_for(&self, job: &Id) -> bool {
+        self.failed_jobs.contains(job)
+    }
+
+    /// The machine is slow until this time, as far as is known. Returns whether it was not before.
+    pub fn mark_slow(&mut self, now: u64, until: u64) -> bool {
+        let newly = now >= self.slow_until;
+        self.slow_until = until;
+        newly
+    }
+
     /// A task that was planned at this time has succeeded. One planned before the last failure
     /// tells nothing of the machine since.
     pub fn task_succeeded(&mut self, planned_at: u64) {
@@ -52,3 +84,6 @@
         self.failed_jobs.iter().collect::<BTreeSet<_>>().len()
     }
 }
+
+#[cfg(test)]
+mod tests;
