--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -4,6 +4,7 @@
 use crate::controller::Context;
 use crate::leader::Leader;
 use crate::leader::scheduler::usage::Ownership;
+use crate::leader::store::WriteUrgency;
 use crate::model::{Capacity, Id, Machine, Placement, PlacementState, TaskPlacement};
 use shaleshunt_wire::Resources;
 
@@ -65,7 +66,7 @@
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &placement.need, ownership);
             let cancelled = job.cancelled;
             if !done {
-                self.record_change(now, &placement.job, placement.task, false);
+                self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
             }
             if cancelled {
                 self.queue_write(now, &placement.job);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -24,7 +24,6 @@
 mod api;
 mod leader;
 mod store_limits;
-mod submission_parts;
 
 pub use controller::Controller;
 pub use event::Event;
--- a/crates/core/src/records/job.rs
+++ b/crates/core/src/records/job.rs
@@ -3,6 +3,7 @@
 use crate::records::keys;
 use serde::{Deserialize, Serialize};
 use serde_json::{Value, json};
+use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::user::Submission;
 
 /// Record of an unfinished job.
@@ -60,6 +61,17 @@
 }
 
 impl SplitJobRecord {
+    /// The record of the whole job, if the parts make up a submission.
+    pub fn join(&self, parts: &[KeyValue]) -> Option<JobRecord> {
+        let text: String = parts.iter().filter_map(|part| part.v.as_str()).collect();
+        Some(JobRecord {
+            submission: serde_json::from_str(&text).ok()?,
+            accepted_at_ms: self.accepted_at_ms,
+            cancelled: self.cancelled,
+            has_cancellation_key: self.has_cancellation_key,
+        })
+    }
+
     /// Its job, by the prefix of the parts.
     pub fn job(&self) -> &str {
         keys::job_of_submission_part(&self.parts_prefix)
