--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -202,7 +202,7 @@
         let is_given_up = |stage, job| stage == PlacementState::Planned && stale.contains(job);
         if let Some(placement) = placement.filter(|placement| is_given_up(placement.stage, &placement.job)) {
             let job = placement.job.clone();
-            self.release_placement(now, &planned.machine, planned.placement_id, false);
+            self.release_unfinished(now, &planned.machine, planned.placement_id);
             self.queue_write(now, &job);
         }
     }
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -146,7 +146,7 @@
         let Some(m) = self.fleet.machines.get(machine) else { return };
         let unsent: Vec<u64> = m.placements.iter().filter(|p| is_unsent(p)).map(|p| p.placement_id).collect();
         for placement_id in unsent {
-            self.release_placement(now, machine, placement_id, false);
+            self.release_unfinished(now, machine, placement_id);
         }
     }
 }
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -209,7 +209,7 @@
     fn release_proven(&mut self, ctx: &mut Context, machine: &Id, effects: FindingEffects) {
         let now = ctx.now.monotonic_ms;
         for placement_id in effects.of_earlier_agent.into_iter().chain(effects.absent) {
-            self.release_placement(now, machine, placement_id, false);
+            self.release_unfinished(now, machine, placement_id);
         }
         for ended in effects.ended {
             self.task_ended(ctx, machine, ended.placement_id, ended.cause);
--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -48,15 +48,34 @@
         self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &need, ownership);
     }
 
-    /// Takes a placement off a machine; the caller has the proof that it is gone. Of one that is
-    /// `done` nothing is written here: its outcome will be.
-    pub(crate) fn release_placement(
-        &mut self,
-        now: u64,
-        machine: &Id,
-        placement_id: u64,
-        done: bool,
-    ) -> Option<Placement> {
+    /// Releases a placement that is proven gone, and of which the task is to be placed anew: that is
+    /// to be written. Returns the placement, if the machine has it.
+    pub(crate) fn release_unfinished(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
+        let placement = self.remove_placement(now, machine, placement_id)?;
+        self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
+        self.queue_write_of_cancelled(now, &placement.job);
+        Some(placement)
+    }
+
+    /// Releases a placement of which the task is done. Nothing is to be written of that: the outcome
+    /// will be. Returns the placement, if the machine has it.
+    pub(crate) fn release_done(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
+        let placement = self.remove_placement(now, machine, placement_id)?;
+        self.queue_write_of_cancelled(now, &placement.job);
+        Some(placement)
+    }
+
+    /// As [`Leader::release_done`] if so, else as [`Leader::release_unfinished`].
+    pub(crate) fn release_placement(&mut self, now: u64, machine: &Id, placement_id: u64, done: bool) {
+        if done {
+            self.release_done(now, machine, placement_id);
+        } else {
+            self.release_unfinished(now, machine, placement_id);
+        }
+    }
+
+    /// Takes a placement off its machine and out of what its job, class and team use.
+    fn remove_placement(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.fleet.machines.remove_placement(machine, placement_id, now)?;
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.request_pass();
@@ -64,17 +83,17 @@
             job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.stage.is_running());
             let ownership = Ownership::from_owned(m.owned);
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &placement.need, ownership);
-            let cancelled = job.cancelled;
-            if !done {
-                self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
-            }
-            if cancelled {
-                self.queue_write(now, &placement.job);
-            }
         }
         Some(placement)
     }
 
+    /// A cancelled job ends with its last placement: whether it has is looked at with its writes.
+    fn queue_write_of_cancelled(&mut self, now: u64, job: &Id) {
+        if self.jobs.get(job).is_some_and(|job| job.cancelled) {
+            self.queue_write(now, job);
+        }
+    }
+
     /// Stops all tasks of a cancelled job. What never left is released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -55,7 +55,7 @@
             let placements: Vec<u64> = m.placements.iter().map(|placement| placement.placement_id).collect();
             ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: placements.len() });
             for placement_id in placements {
-                self.release_placement(clock.now, &id, placement_id, false);
+                self.release_unfinished(clock.now, &id, placement_id);
             }
         }
     }
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -11,8 +11,12 @@
 impl Leader {
     /// A task has ended: releases its placement and takes in how it ended.
     pub(crate) fn task_ended(&mut self, ctx: &mut Context, machine: &Id, placement_id: u64, cause: ExitCause) {
-        let done = cause == ExitCause::Done;
-        let Some(placement) = self.release_placement(ctx.now.monotonic_ms, machine, placement_id, done) else { return };
+        let now = ctx.now.monotonic_ms;
+        let released = match cause {
+            ExitCause::Done => self.release_done(now, machine, placement_id),
+            _ => self.release_unfinished(now, machine, placement_id),
+        };
+        let Some(placement) = released else { return };
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             // Reported until it is told to forget the task, which waits for the outcome's commit.
             let task = format!("{}/{}", placement.job, placement.task);
