--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,7 +1,9 @@
 //! Commands that go into a controller, effects that come out, and the requests and replies that they carry.
 
+pub use crate::request_id::RequestId;
+pub use crate::time::Timestamp;
+
 use crate::event::Event;
-pub use crate::model::{RequestId, Timestamp};
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::{Catalog, ListPage, ScaleOutRequest};
@@ -38,13 +40,15 @@
     #[serde(rename = "Renew")]
     RenewLease {
         /// The lease.
-        pass: u64,
+        #[serde(rename = "pass")]
+        lease: u64,
     },
     /// Revokes a lease, and removes the keys attached to it.
     #[serde(rename = "EndHold")]
     RevokeLease {
         /// The lease.
-        pass: u64,
+        #[serde(rename = "pass")]
+        lease: u64,
     },
     /// Waits for changes.
     Watch {
@@ -179,17 +183,6 @@
 /// A batch of commands.
 pub type Batch = Vec<Command>;
 
-/// How much an event matters to an operator.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Severity {
-    /// Needs an operator's attention.
-    Error,
-    /// A change of the cluster's state.
-    Info,
-    /// Details of normal operation.
-    Debug,
-}
-
 /// Response to a user, an agent or a health check.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Answer {
--- a/crates/core/src/leader/store/changes.rs
+++ b/crates/core/src/leader/store/changes.rs
@@ -6,9 +6,9 @@
 use super::scale_outs::ScaleOutWrites;
 use super::split_submissions::SubmissionParts;
 use super::transaction::{TransactionBuilder, TransactionLimits};
-use crate::leader::step_down::ForeignWrite;
 use crate::model::Id;
 use crate::records::keys;
+use crate::step_down::ForeignWrite;
 
 /// What one transaction changes.
 #[derive(Debug)]
