--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -11,8 +11,12 @@
 impl Leader {
     /// A task has ended: releases its placement and takes in how it ended.
     pub(crate) fn task_ended(&mut self, ctx: &mut Context, machine: &Id, placement_id: u64, cause: ExitCause) {
-        let done = cause == ExitCause::Done;
-        let Some(placement) = self.release_placement(ctx.now.monotonic_ms, machine, placement_id, done) else { return };
+        let now = ctx.now.monotonic_ms;
+        let released = match cause {
+            ExitCause::Done => self.release_done(now, machine, placement_id),
+            _ => self.release_unfinished(now, machine, placement_id),
+        };
+        let Some(placement) = released else { return };
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             // Reported until it is told to forget the task, which waits for the outcome's commit.
             let task = format!("{}/{}", placement.job, placement.task);
@@ -59,7 +63,7 @@
         }
         self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         for id in failed_on.iter().filter(|id| *id != machine) {
-            if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&placement.job)) {
+            if self.fleet.machines.get(id).is_some_and(|m| m.health.is_blamed_for(&placement.job)) {
                 self.quarantine(ctx, id);
             }
         }
@@ -82,7 +86,7 @@
     fn start_refused(&mut self, ctx: &Context, machine: &Id) {
         let until = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 3;
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.health.quarantined_until = m.health.quarantined_until.max(until);
+            m.health.pause_until(until);
         }
     }
 }
