--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -26,7 +26,6 @@
         progress: &dyn TaskProgress,
     ) {
         match request {
-            ApiRequest::Probe => handle_probe(ctx, &result),
             ApiRequest::Accept(batch) => {
                 self.acceptances.finish();
                 self.handle_acceptance_reply(ctx, batch, sent, result);
@@ -214,14 +213,6 @@
     }
 }
 
-/// The direct route to the store was probed: if it works, the relay is given up.
-fn handle_probe(ctx: &mut Context, result: &KvResult) {
-    if result.is_ok() {
-        ctx.relay.stop();
-        ctx.emit(Event::StateServiceRelayEnded);
-    }
-}
-
 /// Reads the next page of a submission's parts.
 fn read_parts(ctx: &mut Context, read: Box<PartsRead>) {
     requests::send(ctx, read.next_page(), ApiRequest::ReadSubmissionParts(read));
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -26,8 +26,6 @@
     ReadFinalRecord(JobQuery),
     /// Marks the record of an unfinished job as cancelled.
     Cancel(JobQuery),
-    /// Probes the direct route to the store while a relay is in use.
-    Probe,
 }
 
 /// A job's submission while its parts are read.
--- a/crates/core/src/controller/kv_route.rs
+++ b/crates/core/src/controller/kv_route.rs
@@ -3,9 +3,8 @@
 use super::Controller;
 use super::pending::PendingRequest;
 use super::relay::{RelayDecision, RelayInputs};
-use crate::api::ApiRequest;
 use crate::event::Event;
-use crate::io::KvRequest;
+use crate::io::{KvReply, KvRequest, RequestError};
 use crate::model::keys;
 
 impl Controller {
@@ -24,11 +23,19 @@
             RelayDecision::Probe => {
                 self.ctx.relay.schedule_next_probe(now, self.ctx.settings.heartbeat_interval_ms());
                 let probe = KvRequest::Get { key: keys::EPOCH.into() };
-                self.ctx.send_kv_directly(probe, PendingRequest::Api(ApiRequest::Probe));
+                self.ctx.send_kv_directly(probe, PendingRequest::KvRouteProbe);
             }
         }
     }
 
+    /// The direct route was probed: if it works, the relay is given up.
+    pub(super) fn handle_probe_reply(&mut self, result: &Result<KvReply, RequestError>) {
+        if result.is_ok() {
+            self.ctx.relay.stop();
+            self.ctx.emit(Event::StateServiceRelayEnded);
+        }
+    }
+
     fn start_relay(&mut self, peer: String) {
         self.ctx.emit(Event::StateServiceRelayStarted { peer: peer.clone() });
         self.ctx.relay.start(peer, self.ctx.now.monotonic_ms, self.ctx.settings.heartbeat_interval_ms());
--- a/crates/core/src/controller/pending.rs
+++ b/crates/core/src/controller/pending.rs
@@ -22,6 +22,8 @@
     Leader(Epoch, LeaderRequest),
     /// A read of the catalog of machine types.
     Catalog,
+    /// A probe of the direct route to the key-value store while a relay is in use.
+    KvRouteProbe,
     /// Nobody: the request needs no reply.
     Ignored,
 }
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -3,7 +3,6 @@
 use super::pending::PendingRequest;
 use super::progress::ReportedProgress;
 use super::{Controller, catalog};
-use crate::api::ApiRequest;
 use crate::io::{CloudReply, DirectCommandsReply, KvReply, RequestError, RequestId};
 use crate::leader::{Leader, LeaderRequest};
 use shaleshunt_wire::Epoch;
@@ -12,7 +11,7 @@
     pub(super) fn handle_kv_reply(&mut self, id: RequestId, result: Result<KvReply, RequestError>) {
         let Some(pending) = self.ctx.complete(id) else { return };
         // A probe goes by the direct route: it tells nothing about the route in use.
-        if !matches!(pending.request, PendingRequest::Api(ApiRequest::Probe)) {
+        if !matches!(pending.request, PendingRequest::KvRouteProbe) {
             self.ctx.record_kv_reply(&result);
         }
         match pending.request {
@@ -32,6 +31,10 @@
                     leader.handle_kv_reply(&mut self.ctx, request, pending.sent.at, result);
                 }
             }
+            PendingRequest::KvRouteProbe => {
+                self.handle_probe_reply(&result);
+                self.forward_cancellations();
+            }
             PendingRequest::Ignored => {}
         }
     }
@@ -55,7 +58,10 @@
                     leader.handle_cloud_reply(&mut self.ctx, request, result);
                 }
             }
-            PendingRequest::Api(_) | PendingRequest::Election(_) | PendingRequest::Ignored => {}
+            PendingRequest::Api(_)
+            | PendingRequest::Election(_)
+            | PendingRequest::KvRouteProbe
+            | PendingRequest::Ignored => {}
         }
     }
 
