--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -13,6 +13,7 @@
 use crate::leader::scheduler::preemption::{PreemptionReason, choose_preemption};
 use crate::leader::scheduler::queue::{count_on_demand_cores, guaranteed_jobs, rank_jobs, spot_estimate_limit_s};
 use crate::leader::scheduler::view::SchedulingView;
+use crate::leader::store::WriteUrgency;
 use crate::model::{Id, Job, Placement, PlacementState};
 use shaleshunt_wire::user::Priority;
 use shaleshunt_wire::{Attempt, Resources};
@@ -309,7 +310,7 @@
             stop_grace_s: None,
         };
         self.add_placement(machine, placement);
-        self.record_change(now, id, task, true);
+        self.record_change(now, id, task, WriteUrgency::Immediate);
     }
 }
 
