--- a/crates/core/src/leader/autoscaler/catalog.rs
+++ b/crates/core/src/leader/autoscaler/catalog.rs
@@ -60,7 +60,9 @@
     /// can't be asked.
     pub(super) fn take_catalog(&mut self, ctx: &mut Context, catalog: Catalog) {
         let changed = ctx.catalog.as_ref().is_none_or(|known| !same_types(known, &catalog));
-        self.store.catalog_pending |= self.store.catalog_version.is_none() || changed;
+        if changed || !self.store.has_catalog() {
+            self.store.record_catalog();
+        }
         self.fleet.machines.set_rooms(|name| catalog.machine_type(name).map(MachineType::resources));
         ctx.catalog = Some(catalog);
         self.scheduler.request_pass();
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -4,7 +4,7 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::CloudRequest;
-use crate::leader::autoscaler::owned_machines::{OwnedMachines, split_into_values};
+use crate::leader::autoscaler::owned_machines::OwnedMachines;
 use crate::leader::scheduler::usage::Ownership;
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::Id;
@@ -137,7 +137,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
-        self.store.owned_list_pending = (0..).zip(split_into_values(&owned, ctx.limits.value_bytes())).collect();
+        self.store.record_owned_machines(&owned, ctx.limits.value_bytes());
         self.autoscaler.owned.determine(owned);
     }
 
@@ -168,7 +168,7 @@
     fn set_ownership(&mut self, id: &Id, owned: bool) {
         let Some(machine) = self.fleet.machines.get_mut(id).filter(|machine| machine.owned != owned) else { return };
         machine.owned = owned;
-        self.store.dirty_blocks.extend(machine.record.block);
+        self.store.machine_changed(machine);
         for placement in &machine.placements {
             if let Some(job) = self.jobs.get(&placement.job) {
                 self.scheduler.usage_mut().change_ownership(&job.spec.class, Ownership::from_owned(owned));
--- a/crates/core/src/leader/autoscaler/owned_machines.rs
+++ b/crates/core/src/leader/autoscaler/owned_machines.rs
@@ -4,9 +4,6 @@
 
 use std::collections::BTreeSet;
 
-/// Bytes that a name takes in a stored list besides its own: two quotes and a comma.
-const BYTES_PER_NAME: usize = 3;
-
 /// The owned machines, by name.
 #[derive(Debug, Default)]
 pub(crate) struct OwnedMachines {
@@ -47,23 +44,5 @@
     }
 }
 
-/// Splits names into lists that take no more than `max_bytes` each as a stored value; at least one.
-pub(super) fn split_into_values(names: &BTreeSet<String>, max_bytes: usize) -> Vec<Vec<String>> {
-    let mut values = vec![Vec::new()];
-    let mut used = 0;
-    for name in names {
-        let bytes = name.len() + BYTES_PER_NAME;
-        if used + bytes > max_bytes {
-            values.push(Vec::new());
-            used = 0;
-        }
-        used += bytes;
-        if let Some(value) = values.last_mut() {
-            value.push(name.clone());
-        }
-    }
-    values
-}
-
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -201,10 +201,7 @@
         }
         if let Some(machine) = self.fleet.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
-            if let Some(block) = machine.record.block.and_then(|number| self.store.blocks.get_mut(&number)) {
-                block.machines.remove(id);
-                self.store.thinned_blocks.extend(machine.record.block);
-            }
+            self.store.machine_removed(&machine);
         }
         self.scheduler.request_pass();
     }
