--- a/crates/core/src/leader/autoscaler/demand/tests.rs
+++ b/crates/core/src/leader/autoscaler/demand/tests.rs
@@ -3,7 +3,7 @@
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::reachability::Reachability;
-use crate::leader::scheduler::fixture::{Fixture, NOW};
+use crate::leader::scheduler::fixture::{ChangeJob, Fixture, NOW};
 use crate::settings::ServiceObjective;
 
 /// Whether a job that has waited for so long wants rented machines, where owned ones could run it.
@@ -24,13 +24,13 @@
     start_s: Option<f64>,
     finish_s: Option<f64>,
     waited_s: u64,
-    change: fn(&mut Job),
+    change: ChangeJob,
     wants: bool,
 }
 
 #[test]
 fn jobs_wait_for_owned_machines_as_long_as_their_objective_leaves() {
-    let plain: fn(&mut Job) = |_| {};
+    let plain: ChangeJob = |_| {};
     let case = |name, waited_s, wants| Case { name, start_s: None, finish_s: None, waited_s, change: plain, wants };
     let cases = [
         case("no objective, not long enough", 59, false),
--- a/crates/core/src/leader/autoscaler/plan/tests.rs
+++ b/crates/core/src/leader/autoscaler/plan/tests.rs
@@ -3,7 +3,7 @@
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::reachability::Reachability;
-use crate::leader::scheduler::fixture::{Fixture, job, names, place_in_zone};
+use crate::leader::scheduler::fixture::{ChangeJob, Fixture, job, names, place_in_zone};
 use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::ScaleOutRequest;
@@ -59,7 +59,7 @@
 
 #[test]
 fn waiting_tasks_rent_the_cheapest_machines_that_they_may_use() {
-    let cases: [(&str, fn(&mut Job), &[&str]); 8] = [
+    let cases: [(&str, ChangeJob, &[&str]); 8] = [
         ("four tasks a machine, zones by turns", |j| j.spec.tasks = 9, &["std a on-demand 2", "std b on-demand 1"]),
         ("spot is cheaper", |j| j.spec.spot = true, &["std a spot 1"]),
         ("one zone", |j| (j.spec.tasks, j.spec.zone) = (9, Some("b".into())), &["std b on-demand 3"]),
--- a/crates/core/src/leader/autoscaler/scale_in/tests.rs
+++ b/crates/core/src/leader/autoscaler/scale_in/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW};
+use crate::leader::scheduler::fixture::{ChangeMachine, Fixture, NOW};
 
 /// What the leader knows besides machines and jobs.
 struct Known {
@@ -43,34 +43,33 @@
 
 struct Case {
     name: &'static str,
-    machine: fn(&mut Machine),
+    machine: ChangeMachine,
     known: Known,
     reason: Option<ScaleInReason>,
 }
 
-fn case(name: &'static str, machine: fn(&mut Machine), reason: Option<ScaleInReason>) -> Case {
+fn case(name: &'static str, machine: ChangeMachine, reason: Option<ScaleInReason>) -> Case {
     Case { name, machine, known: LONG_ELECTED, reason }
 }
 
-#[test]
-fn machines_are_returned_for_a_reason() {
+fn cases() -> Vec<Case> {
     let recent = || Known { elected_at: NOW.monotonic_ms - SILENCE_MS * 2, ..LONG_ELECTED };
     let many_overdue = || Known { few_overdue: false, ..LONG_ELECTED };
     let kept_in_a = || Known { zones_with_controllers: &["a"], ..LONG_ELECTED };
-    let partitioned: fn(&mut Machine) = |m| {
+    let partitioned: ChangeMachine = |m| {
         m.agent.partitioned = true;
         silent_for(m, 30_000);
     };
-    let deaf: fn(&mut Machine) = |m| {
+    let deaf: ChangeMachine = |m| {
         m.agent.unacknowledged_commands = 1;
         silent_for(m, SILENCE_MS / 2 + 1);
     };
     // Leases are renewed for 47,076 ms there, and the last expires 12,324 ms after that.
-    let past_leases: fn(&mut Machine) = |m| {
+    let past_leases: ChangeMachine = |m| {
         m.agent.partitioned = true;
         silent_for(m, 60_000);
     };
-    let cases = [
+    vec![
         case("in use", |_| {}, None),
         case("silent for long", |m| silent_for(m, SILENCE_MS + 1), Some(ScaleInReason::Silent)),
         case("silent for a while", |m| silent_for(m, SILENCE_MS), None),
@@ -96,8 +95,12 @@
             },
             None,
         ),
-    ];
-    for case in cases {
+    ]
+}
+
+#[test]
+fn machines_are_returned_for_a_reason() {
+    for case in cases() {
         let mut fixture = Fixture::new();
         fixture.add_machine_type("std", 1.0, 0.4, &["a"]);
         fixture.add_machine("rented", |m| {
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -18,7 +18,7 @@
 
 use crate::controller::{Context, PendingRequest};
 use crate::event::{Event, LeaderFigures};
-use crate::io::*;
+use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::autoscaler::Autoscaler;
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::{Recovery, ScanPosition};
@@ -26,7 +26,7 @@
 use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::{CommitStep, SplitJobRead, Store};
 use crate::leader::watch::JobWatch;
-use crate::model::*;
+use crate::model::{Id, Job};
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
--- a/crates/core/src/leader/scheduler/fixture.rs
+++ b/crates/core/src/leader/scheduler/fixture.rs
@@ -14,6 +14,12 @@
 use shaleshunt_wire::{AgentEpoch, Attempt, Resources, Revision};
 use std::collections::BTreeMap;
 
+/// A change to a job of a case.
+pub(crate) type ChangeJob = fn(&mut Job);
+
+/// A change to a machine of a case.
+pub(crate) type ChangeMachine = fn(&mut Machine);
+
 /// The time at which decisions are taken.
 pub(crate) const NOW: Timestamp = Timestamp { monotonic_ms: 10_000_000, wall_ms: 50_000_000 };
 
--- a/crates/core/src/leader/scheduler/pass/tests.rs
+++ b/crates/core/src/leader/scheduler/pass/tests.rs
@@ -1,11 +1,11 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, job, names};
+use crate::leader::scheduler::fixture::{ChangeJob, Fixture, job, names};
 use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::user::JobKind;
 
 #[test]
 fn a_demand_without_room_rules_out_what_needs_as_much_of_the_same_machines() {
-    let cases: [(&str, fn(&mut Job), fn(&mut Job), bool); 7] = [
+    let cases: [(&str, ChangeJob, ChangeJob, bool); 7] = [
         ("the same", |_| {}, |_| {}, true),
         ("needs more", |_| {}, |j| j.need = Resources::new(5.0, 0.0, 1.0), true),
         ("needs less", |_| {}, |j| j.need = Resources::new(3.0, 0.0, 8.0), false),
@@ -52,7 +52,7 @@
 
 #[test]
 fn limits_and_failures_bound_how_many_tasks_are_placed() {
-    let cases: [(&str, fn(&mut Job), u32); 4] = [
+    let cases: [(&str, ChangeJob, u32); 4] = [
         ("waiting", |_| {}, 3),
         ("unknown team", |j| j.spec.team = "nobody".into(), 0),
         ("team's limit", |j| j.spec.team = "limited".into(), 2),
--- a/crates/core/src/leader/scheduler/placement/tests.rs
+++ b/crates/core/src/leader/scheduler/placement/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW, names, place_in_zone, set_tasks};
+use crate::leader::scheduler::fixture::{ChangeJob, ChangeMachine, Fixture, NOW, names, place_in_zone, set_tasks};
 use crate::model::Machine;
 use crate::settings::ServiceObjective;
 use shaleshunt_wire::Resources;
@@ -10,9 +10,9 @@
 /// Which of two machines a job's only task goes to: the one that is better by the rule.
 struct Case {
     name: &'static str,
-    job: fn(&mut Job),
-    better: fn(&mut Machine),
-    worse: fn(&mut Machine),
+    job: ChangeJob,
+    better: ChangeMachine,
+    worse: ChangeMachine,
 }
 
 fn with_image(machine: &mut Machine) {
@@ -25,9 +25,9 @@
 
 #[test]
 fn a_task_goes_to_the_machine_that_suits_it_best() {
-    let plain: fn(&mut Machine) = |_| {};
-    let batch: fn(&mut Job) = |_| {};
-    let high: fn(&mut Job) = |j| j.scheduling.priority = Priority::High;
+    let plain: ChangeMachine = |_| {};
+    let batch: ChangeJob = |_| {};
+    let high: ChangeJob = |j| j.scheduling.priority = Priority::High;
     let cases = [
         Case { name: "holds the image", job: batch, better: with_image, worse: plain },
         Case { name: "owned", job: batch, better: plain, worse: |m| m.owned = false },
@@ -73,7 +73,7 @@
 
 #[test]
 fn machines_that_cannot_take_a_task_are_left_out() {
-    let cases: [(&str, fn(&mut Job), fn(&mut Machine)); 11] = [
+    let cases: [(&str, ChangeJob, ChangeMachine); 11] = [
         ("no room", |_| {}, |m| m.capacity.used = Resources::new(13.0, 0.0, 1.0)),
         ("no accelerators", |j| j.need = Resources::new(1.0, 1.0, 1.0), |_| {}),
         ("not recorded", |_| {}, |m| m.record.committed = false),
--- a/crates/core/src/leader/scheduler/preemption/tests.rs
+++ b/crates/core/src/leader/scheduler/preemption/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW};
+use crate::leader::scheduler::fixture::{ChangeJob, Fixture, NOW};
 use crate::settings::{ComputeAmount, TeamQuota};
 use shaleshunt_wire::Resources;
 use shaleshunt_wire::user::{JobKind, Priority};
@@ -7,8 +7,8 @@
 /// Whether a job of one priority that fills the only machine is stopped for another.
 struct Case {
     name: &'static str,
-    urgent: fn(&mut Job),
-    victim: fn(&mut Job),
+    urgent: ChangeJob,
+    victim: ChangeJob,
     preempted: bool,
 }
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn only_less_urgent_work_without_checkpoints_is_preempted() {
-    let plain: fn(&mut Job) = |_| {};
+    let plain: ChangeJob = |_| {};
     let cases = [
         Case { name: "less urgent", urgent: high, victim: plain, preempted: true },
         Case { name: "as urgent", urgent: plain, victim: plain, preempted: false },
--- a/crates/core/src/leader/scheduler/queue/tests.rs
+++ b/crates/core/src/leader/scheduler/queue/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
-use crate::leader::scheduler::fixture::{Fixture, NOW, names, place_in_zone, set_tasks};
+use crate::leader::scheduler::fixture::{ChangeJob, Fixture, NOW, names, place_in_zone, set_tasks};
 use crate::settings::{ComputeAmount, TeamQuota};
 
 /// One job is put before the other.
 struct Case {
     name: &'static str,
-    first: fn(&mut Job),
-    second: fn(&mut Job),
+    first: ChangeJob,
+    second: ChangeJob,
 }
 
 fn aged(job: &mut Job, waited_s: u64) {
@@ -15,7 +15,7 @@
 
 #[test]
 fn jobs_are_ranked_by_the_first_rule_that_tells_them_apart() {
-    let plain: fn(&mut Job) = |_| {};
+    let plain: ChangeJob = |_| {};
     let cases = [
         Case { name: "higher priority first", first: |j| j.scheduling.priority = Priority::High, second: plain },
         Case { name: "deadline before none", first: |j| j.spec.deadline_s = Some(900.0), second: plain },
@@ -69,7 +69,7 @@
 
 #[test]
 fn jobs_that_may_not_be_placed_are_not_ranked() {
-    let cases: [(&str, fn(&mut Job)); 5] = [
+    let cases: [(&str, ChangeJob); 5] = [
         ("cancelled", |j| j.cancelled = true),
         ("record to be read again", |j| j.record.stale = true),
         ("held back", |j| j.scheduling.not_before = NOW.monotonic_ms + 1),
