--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -11,7 +11,6 @@
 pub(crate) mod recovery;
 pub(crate) mod scheduler;
 mod silent_machines;
-pub(crate) mod step_down;
 pub(crate) mod store;
 mod task_exits;
 pub(crate) mod watch;
@@ -23,10 +22,10 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::{Recovery, ScanPosition};
 use crate::leader::scheduler::Scheduler;
-use crate::leader::step_down::{ForeignWrite, StepDown};
 use crate::leader::store::{CommitStep, SplitJobRead, Store};
 use crate::leader::watch::JobWatch;
 use crate::model::{Id, Job};
+use crate::step_down::{ForeignWrite, StepDown};
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
@@ -150,7 +149,7 @@
             self.renew_at = now + (life / 4.0) as u64;
             self.renewing = true;
             let wait = self.wait(LeaderRequest::Renew);
-            ctx.send_kv(KvRequest::RenewLease { pass: self.pass }, wait);
+            ctx.send_kv(KvRequest::RenewLease { lease: self.pass }, wait);
         }
         self.retry_scans(ctx);
         if !self.active {
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -9,10 +9,10 @@
 
 use crate::controller::Context;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::step_down::StepDown;
 use crate::leader::store::SplitJobRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
+use crate::step_down::StepDown;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::kv::{KeyValue, Page};
 
--- a/crates/core/src/model/timestamp.rs
+++ b/crates/core/src/time.rs
@@ -1,4 +1,4 @@
-//! Points in time.
+//! The time that a controller is told with each batch; it reads no clock itself.
 
 /// The time of a batch of commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
