--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -4,7 +4,7 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::CloudRequest;
-use crate::leader::autoscaler::owned_machines::{OwnedMachines, split_into_values};
+use crate::leader::autoscaler::owned_machines::OwnedMachines;
 use crate::leader::scheduler::usage::Ownership;
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::Id;
@@ -137,7 +137,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
-        self.store.record_owned_machines(split_into_values(&owned, ctx.limits.value_bytes()));
+        self.store.record_owned_machines(&owned, ctx.limits.value_bytes());
         self.autoscaler.owned.determine(owned);
     }
 
