--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -9,7 +9,6 @@
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::records::{FinalRecord, StoredJob, keys};
-use crate::submission_parts::join;
 use serde_json::json;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
@@ -158,7 +157,7 @@
             read_parts(ctx, read);
             return;
         }
-        let Some(record) = join(&read.record, &read.parts) else {
+        let Some(record) = read.record.join(&read.parts) else {
             // The job ended meanwhile, and its parts were removed.
             self.reply_unavailable(ctx, &read.query, UnavailableReason::RecordChanged);
             return;
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -3,6 +3,7 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::leader::Leader;
+use crate::leader::store::WriteUrgency;
 use crate::model::{Id, Placement, UnexpectedTask};
 use shaleshunt_wire::worker::ExitCause;
 use std::collections::BTreeSet;
@@ -56,7 +57,7 @@
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.health.task_succeeded(placement.since);
         }
-        self.record_change(now, &placement.job, placement.task, false);
+        self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         for id in failed_on.iter().filter(|id| *id != machine) {
             if self.fleet.machines.get(id).is_some_and(|m| m.health.failed_jobs.contains(&placement.job)) {
                 self.quarantine(ctx, id);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -27,7 +27,6 @@
 mod request_id;
 mod step_down;
 mod store_limits;
-mod submission_parts;
 
 pub use controller::Controller;
 pub use event::{Event, Severity};
