--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -285,7 +285,7 @@
 }
 
 fn revoke(ctx: &mut Context, lease: u64) {
-    ctx.send_kv(KvRequest::RevokeLease { lease: lease }, PendingRequest::Ignored);
+    ctx.send_kv(KvRequest::RevokeLease { lease }, PendingRequest::Ignored);
 }
 
 /// Time to live of a leader's lease without renewal, in milliseconds.
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -2,12 +2,12 @@
 //!
 //! [`Controller`] composes the subsystems and routes commands and replies to them. Each owns its state:
 //!
-//! - [`context`]: time, settings, pending requests and effects, shared by all subsystems;
-//! - [`election`]: epoch, leader and the steps towards leadership;
-//! - [`peers`]: what the other controllers report, heartbeats to them, shared job progress;
-//! - [`relay`]: the route to the key-value store through a peer;
-//! - [`zone_leases`]: leases of this zone's machines while the leader is not heard;
-//! - [`catalog`]: when the machine types are read;
+//! - `context`: time, settings, pending requests and effects, shared by all subsystems;
+//! - `election`: epoch, leader and the steps towards leadership;
+//! - `peers`: what the other controllers report, heartbeats to them, shared job progress;
+//! - `relay`: the route to the key-value store through a peer;
+//! - `zone_leases`: leases of this zone's machines while the leader is not heard;
+//! - `catalog`: when the machine types are read;
 //! - `api` and `leader` (modules of the crate): users' requests, and the work of the leader.
 //!
 //! Three further files hold parts of the composition: `replies` routes the replies of outside services,
--- a/crates/core/src/event/fields.rs
+++ b/crates/core/src/event/fields.rs
@@ -1,7 +1,9 @@
 //! The fields of each event, by name.
 
-use super::{Event, EventValue};
+use super::{Event, EventValue, StepDown};
 use crate::capacity::TooSmall;
+use shaleshunt_wire::Epoch;
+use shaleshunt_wire::worker::ExitCause;
 
 /// A field's name, which stays the same between versions, and its value.
 type Field<'a> = (&'static str, EventValue<'a>);
@@ -18,9 +20,7 @@
             Event::LeaderStateLoaded { epoch, jobs, machines } => {
                 vec![field("epoch", *epoch), field("jobs", *jobs), field("machines", *machines)]
             }
-            Event::LeaderSteppedDown { epoch, reason } => {
-                vec![field("epoch", *epoch), field("reason", reason.name()), field("detail", reason.to_string())]
-            }
+            Event::LeaderSteppedDown { epoch, reason } => step_down_fields(*epoch, reason),
             Event::LeaderStatus(figures) => figures.fields(),
             Event::StateServiceRelayStarted { peer } => vec![field("peer", peer.as_str())],
             Event::StateServiceRelayEnded => Vec::new(),
@@ -35,9 +35,7 @@
             | Event::JobDependenciesMet { job }
             | Event::JobCancelledByDependency { job }
             | Event::JobOffloaded { job } => vec![field("job", &**job)],
-            Event::TaskFailed { task, machine, cause } => {
-                vec![field("task", task.as_str()), field("machine", &**machine), field("cause", format!("{cause:?}"))]
-            }
+            Event::TaskFailed { task, machine, cause } => task_failed_fields(task, machine, cause),
             Event::TasksPreempted { machine, job, tasks } => {
                 vec![field("machine", &**machine), field("job", &**job), field("tasks", *tasks)]
             }
@@ -56,12 +54,10 @@
             Event::ZoneUnreachable { zone } => vec![field("zone", zone.as_str())],
             Event::OwnedMachinesRecorded { machines } => vec![field("machines", *machines)],
             Event::SettingTooSmall(shortage) => shortage_fields(shortage),
-            Event::ScaleOutGranted { request, zone, granted, requested } => vec![
-                field("request", request.as_str()),
-                field("zone", zone.as_str()),
-                field("granted", *granted),
-                field("requested", *requested),
-            ],
+            Event::ScaleOutGranted { request, zone, granted, requested } => {
+                let names = [field("request", request.as_str()), field("zone", zone.as_str())];
+                names.into_iter().chain([field("granted", *granted), field("requested", *requested)]).collect()
+            }
             Event::ScaleOutNoCapacity { request, zone } => {
                 vec![field("request", request.as_str()), field("zone", zone.as_str())]
             }
@@ -72,6 +68,14 @@
     }
 }
 
+fn task_failed_fields<'a>(task: &'a str, machine: &'a str, cause: &ExitCause) -> Vec<Field<'a>> {
+    vec![field("task", task), field("machine", machine), field("cause", format!("{cause:?}"))]
+}
+
+fn step_down_fields(epoch: Epoch, reason: &StepDown) -> Vec<Field<'_>> {
+    vec![field("epoch", epoch), field("reason", reason.name()), field("detail", reason.to_string())]
+}
+
 fn shortage_fields(shortage: &TooSmall) -> Vec<Field<'_>> {
     vec![
         field("setting", shortage.field),
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -42,6 +42,7 @@
 }
 
 /// One of each, with its severity and the line that it becomes.
+#[allow(clippy::too_many_lines, reason = "a table with an entry for each event")]
 fn samples() -> Vec<(Event, Severity, &'static str)> {
     use Severity::{Debug, Error, Info};
     let id = |name: &str| -> Id { name.into() };
