--- a/crates/core/src/model/mod.rs
+++ b/crates/core/src/model/mod.rs
@@ -1,4 +1,11 @@
-//! Jobs, machines and placements.
+//! Jobs, machines and placements, as the leader knows them. Nothing here knows who uses it.
+//!
+//! - [`Job`] and [`Machine`] group what belongs together in small structs. A task on a machine is a
+//!   [`Placement`] there and a [`TaskPlacement`] at its job; `leader/placements.rs` keeps the two the
+//!   same.
+//! - [`TaskProgress`], [`DirectCall`] and [`ImageCache`] keep what must hold between their fields:
+//!   these are private.
+//! - Times are in milliseconds, monotonic unless said otherwise.
 
 mod agent;
 mod direct_call;
