--- a/crates/core/src/leader/autoscaler/demand/tests.rs
+++ b/crates/core/src/leader/autoscaler/demand/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
-use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::reachability::Reachability;
+use crate::leader::scale_out_requests::ScaleOutRequests;
 use crate::leader::scheduler::fixture::{ChangeJob, Fixture, NOW};
 use crate::settings::ServiceObjective;
 
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -30,8 +30,8 @@
 use crate::leader::autoscaler::offers::UnavailableOffers;
 use crate::leader::autoscaler::owned_machines::OwnedMachines;
 use crate::leader::autoscaler::plan::plan_scale_out;
-use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::autoscaler::view::{ScaleOutView, longest_boot_s};
+use crate::leader::scale_out_requests::ScaleOutRequests;
 use crate::leader::{Leader, LeaderRequest};
 use shaleshunt_wire::cloud::Catalog;
 
--- a/crates/core/src/leader/autoscaler/requests.rs
+++ b/crates/core/src/leader/autoscaler/requests.rs
@@ -1,8 +1,4 @@
-//! Scale-out requests under way: recorded first, then made under the same name until they are answered,
-//! then removed when every machine granted is recorded.
-//!
-//! A request may be carried out though its answer is lost. Its record lets another leader make it again
-//! under its name, so that no machine is rented twice or forgotten.
+//! Makes scale-out requests to the cloud and takes in its answers.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -11,150 +7,16 @@
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::Id;
 use shaleshunt_wire::cloud::ScaleOutRequest;
-use shaleshunt_wire::{Epoch, Revision};
-use std::collections::BTreeMap;
 
 /// A request without an answer is made again after this part of a heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 3;
 
-/// A scale-out request under way.
-#[derive(Debug)]
-pub(crate) struct ScaleOut {
-    request: ScaleOutRequest,
-    /// Version of its record; absent until recorded.
-    version: Revision,
-    /// A write or removal of its record is under way.
-    record_in_flight: bool,
-    /// The request to the cloud is under way.
-    request_in_flight: bool,
-    /// Not made again before this time (steady clock, ms).
-    retry_at: u64,
-    /// The machines granted, once it is answered.
-    granted: Option<Vec<Id>>,
-}
-
-impl ScaleOut {
-    fn new(request: ScaleOutRequest, version: Revision) -> ScaleOut {
-        ScaleOut { request, version, record_in_flight: false, request_in_flight: false, retry_at: 0, granted: None }
-    }
-
-    /// What to do with its record now. A record is removed only when every machine granted is recorded
-    /// or gone, as `is_settled` tells.
-    pub(crate) fn record_change(&self, is_settled: impl Fn(&Id) -> bool) -> Option<ScaleOutRecordChange<'_>> {
-        match &self.granted {
-            _ if self.record_in_flight => None,
-            None if self.version == Revision::ABSENT => Some(ScaleOutRecordChange::Write(&self.request)),
-            Some(machines) if machines.iter().all(is_settled) => Some(ScaleOutRecordChange::Remove(self.version)),
-            _ => None,
-        }
-    }
-
-    /// A write or removal of its record is under way.
-    pub(crate) fn record_change_sent(&mut self) {
-        self.record_in_flight = true;
-    }
-
-    fn is_due(&self, now: u64) -> bool {
-        self.version > Revision::ABSENT && self.granted.is_none() && !self.request_in_flight && now >= self.retry_at
-    }
-}
-
-/// What is to be done with a request's record.
-#[derive(Debug, PartialEq, Eq)]
-pub(crate) enum ScaleOutRecordChange<'a> {
-    /// Written for the first time.
-    Write(&'a ScaleOutRequest),
-    /// Removed, if it still has this version.
-    Remove(Revision),
-}
-
-/// Scale-out requests under way, by name.
-#[derive(Debug, Default)]
-pub(crate) struct ScaleOutRequests {
-    by_name: BTreeMap<String, ScaleOut>,
-    /// Requests named by this leader so far.
-    named: u64,
-}
-
-impl ScaleOutRequests {
-    /// A record was read: another leader's request is under way.
-    pub(crate) fn load(&mut self, request: ScaleOutRequest, version: Revision) {
-        self.by_name.insert(request.request.clone(), ScaleOut::new(request, version));
-    }
-
-    /// Adds a request under a name that no other ever has; it is made once its record is committed.
-    fn add(&mut self, node_name: &str, epoch: Epoch, offer: Offer, count: u32) {
-        self.named += 1;
-        let name = format!("{node_name}-{epoch}-{}", self.named);
-        let Offer { machine_type, zone, spot } = offer;
-        let request = ScaleOutRequest { request: name.clone(), machine_type, zone, spot, count };
-        self.by_name.insert(name, ScaleOut::new(request, Revision::ABSENT));
-    }
-
-    /// All requests, to see which records are to be changed.
-    pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (&String, &mut ScaleOut)> {
-        self.by_name.iter_mut()
-    }
-
-    /// A request's record was written at this revision.
-    pub(crate) fn recorded(&mut self, name: &str, revision: Revision) {
-        if let Some(scale_out) = self.by_name.get_mut(name) {
-            scale_out.version = revision;
-            scale_out.record_in_flight = false;
-        }
-    }
-
-    /// A request's record was not changed; it is tried again.
-    pub(crate) fn record_change_failed(&mut self, name: &str) {
-        if let Some(scale_out) = self.by_name.get_mut(name) {
-            scale_out.record_in_flight = false;
-        }
-    }
-
-    /// A request's record was removed: it is over.
-    pub(crate) fn removed(&mut self, name: &str) {
-        self.by_name.remove(name);
-    }
-
-    /// Requests whose machines are still to come.
-    pub(super) fn unanswered(&self) -> impl Iterator<Item = &ScaleOutRequest> {
-        self.by_name.values().filter(|scale_out| scale_out.granted.is_none()).map(|scale_out| &scale_out.request)
-    }
-
-    /// Requests to make now; they count as made.
-    fn take_due(&mut self, now: u64) -> Vec<ScaleOutRequest> {
-        let due = self.by_name.values_mut().filter(|scale_out| scale_out.is_due(now));
-        due.map(|scale_out| {
-            scale_out.request_in_flight = true;
-            scale_out.request.clone()
-        })
-        .collect()
-    }
-
-    /// A request came back, with an answer or without; returns it if it is still under way.
-    fn returned(&mut self, name: &str) -> Option<ScaleOutRequest> {
-        let scale_out = self.by_name.get_mut(name)?;
-        scale_out.request_in_flight = false;
-        Some(scale_out.request.clone())
-    }
-
-    fn answered(&mut self, name: &str, granted: Vec<Id>) {
-        if let Some(scale_out) = self.by_name.get_mut(name) {
-            scale_out.granted = Some(granted);
-        }
-    }
-
-    fn retry(&mut self, name: &str, retry_at: u64) {
-        if let Some(scale_out) = self.by_name.get_mut(name) {
-            scale_out.retry_at = retry_at;
-        }
-    }
-}
-
 impl Leader {
     /// Adds a planned request.
     pub(super) fn add_scale_out(&mut self, ctx: &Context, offer: Offer, count: u32) {
-        self.autoscaler.scale_outs.add(&ctx.settings.node_name, self.epoch, offer, count);
+        let request = self.autoscaler.scale_outs.next_name(&ctx.settings.node_name, self.epoch);
+        let Offer { machine_type, zone, spot } = offer;
+        self.autoscaler.scale_outs.add(ScaleOutRequest { request, machine_type, zone, spot, count });
     }
 
     /// Makes requests that are recorded and not answered.
@@ -220,6 +82,3 @@
         self.autoscaler.unavailable_offers.refused(offer, ctx.now.monotonic_ms, &ctx.settings);
     }
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/core/src/leader/autoscaler/view.rs
+++ b/crates/core/src/leader/autoscaler/view.rs
@@ -2,8 +2,8 @@
 
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
-use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::reachability::Reachability;
+use crate::leader::scale_out_requests::ScaleOutRequests;
 use crate::leader::scheduler::view::SchedulingView;
 use shaleshunt_wire::cloud::Catalog;
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -17,6 +17,7 @@
 mod machine_failures;
 mod placements;
 pub(crate) mod recovery;
+mod scale_out_requests;
 pub(crate) mod scheduler;
 mod silent_machines;
 pub(crate) mod store;
--- a/crates/core/src/leader/autoscaler/requests/tests.rs
+++ b/crates/core/src/leader/scale_out_requests/tests.rs
@@ -1,13 +1,15 @@
 use super::*;
 
-fn offer() -> Offer {
-    Offer { machine_type: "std".into(), zone: "a".into(), spot: true }
+/// Adds a request for so many machines, as the autoscaler does.
+fn add(requests: &mut ScaleOutRequests, node_name: &str, epoch: Epoch, count: u32) {
+    let request = requests.next_name(node_name, epoch);
+    requests.add(ScaleOutRequest { request, machine_type: "std".into(), zone: "a".into(), spot: true, count });
 }
 
 #[test]
 fn a_request_is_recorded_then_made_until_it_is_answered_then_removed() {
     let mut requests = ScaleOutRequests::default();
-    requests.add("node", Epoch(7), offer(), 3);
+    add(&mut requests, "node", Epoch(7), 3);
     let name = "node-7-1";
     assert!(requests.take_due(0).is_empty(), "not before it is recorded");
     let not_settled = |_: &Id| false;
@@ -43,9 +45,14 @@
 #[test]
 fn another_leaders_request_is_made_under_its_name() {
     let mut requests = ScaleOutRequests::default();
-    let Offer { machine_type, zone, spot } = offer();
-    let request = ScaleOutRequest { request: "other-6-9".into(), machine_type, zone, spot, count: 2 };
+    let request = ScaleOutRequest {
+        request: "other-6-9".into(),
+        machine_type: "std".into(),
+        zone: "a".into(),
+        spot: true,
+        count: 2,
+    };
     requests.load(request.clone(), Revision(4));
-    requests.add("node", Epoch(7), offer(), 1);
+    add(&mut requests, "node", Epoch(7), 1);
     assert_eq!(requests.take_due(0), [request]);
 }
--- a/crates/core/src/leader/store/scale_outs.rs
+++ b/crates/core/src/leader/store/scale_outs.rs
@@ -2,8 +2,8 @@
 //! it named are recorded.
 
 use super::transaction::{Space, TransactionBuilder};
-use crate::leader::autoscaler::requests::{ScaleOutRecordChange, ScaleOutRequests};
 use crate::leader::fleet::machines::MachineIndex;
+use crate::leader::scale_out_requests::{ScaleOutRecordChange, ScaleOutRequests};
 use crate::model::Id;
 use crate::records::keys;
 use serde_json::json;
--- a/crates/core/src/leader/store/sources.rs
+++ b/crates/core/src/leader/store/sources.rs
@@ -1,9 +1,9 @@
 //! What the store reads to put a transaction together.
 
 use crate::io::Timestamp;
-use crate::leader::autoscaler::requests::ScaleOutRequests;
 use crate::leader::fleet::images::ImageNames;
 use crate::leader::fleet::machines::MachineIndex;
+use crate::leader::scale_out_requests::ScaleOutRequests;
 use crate::model::{Id, Job};
 use crate::settings::{Settings, Tuning};
 use crate::store_limits::StoreLimits;
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire formats of shaleshunt: the JSON bodies, paths and limits that its users, workers, the
-//! cloud and the state service see. This package is the only home of protocol names; clients may
+//! Wire formats of shaleshunt: the JSON bodies, paths and limits that its users, agents, the
+//! cloud and the key-value store see. This package is the only home of protocol names; clients may
 //! depend on it alone.
 //!
-//! The protocol has words of its own; only the `serde` attributes here use them:
+//! The protocol has words of its own. Only the `serde` attributes and paths here use them:
 //!
 //! | protocol | code |
 //! | --- | --- |
@@ -11,14 +11,24 @@
 //! | `crew` | team |
 //! | `jobline` | class |
 //! | `piece`, `pieces` | task, tasks |
+//! | `shape`: `daemon`, `ensemble` | job kind: service, gang |
+//! | `urgency` | priority |
 //! | `bundle` | image |
+//! | `frame`, `frames` | machine type, machine types |
 //! | `borrowed` | spot |
-//! | `baton` | token |
-//! | `shift` | session |
-//! | `stamp` | version |
-//!
-//! Not renamed yet: `frame` (machine type), `tick` (sequence number), `hire` (rental request), `ledger` (revision),
-//! `pass` and `hold` (lease), `foreman` (leader), `halt`, `warnS` and the amounts.
+//! | `expectS`, `dueS` | estimated run time, deadline |
+//! | `markEveryS`, `markTakesS` | checkpoint interval and duration |
+//! | `awaits` | dependencies |
+//! | check-in, report | heartbeat |
+//! | `baton` | fencing token |
+//! | `shift` | agent epoch |
+//! | `tick` | sequence number |
+//! | `orders`, `halt`, `windDownS` | commands, stop, grace period |
+//! | `warnS` | preemption notice |
+//! | `foreman` | leader |
+//! | `stamp`, `ledger` | version of a key, revision of the store |
+//! | `pass`, hold | lease |
+//! | `hire`, return | scale out, scale in |
 
 pub mod cloud;
 mod ids;
@@ -32,9 +42,9 @@
 pub const MAX_BODY: usize = 64 * 1024;
 /// Most tasks that one job may have.
 pub const MAX_TASKS: u32 = 100_000;
-/// Most machines that one hire may ask for.
+/// Most machines that one scale-out request may ask for.
 pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
-/// Most machines that one return may name.
+/// Most machines that one scale-in request may name.
 pub const MAX_MACHINES_PER_SCALE_IN: usize = 100;
 /// Most machines on one page of the cloud's list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
