--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -197,7 +197,7 @@
             None => Vec::new(),
         };
         for placement_id in placements {
-            self.release_placement(ctx.now.monotonic_ms, id, placement_id, false);
+            self.release_unfinished(ctx.now.monotonic_ms, id, placement_id);
         }
         if let Some(machine) = self.fleet.remove(id) {
             ctx.emit(Event::ScaleInCompleted { machine: id.clone() });
--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -65,15 +65,6 @@
         Some(placement)
     }
 
-    /// As [`Leader::release_done`] if so, else as [`Leader::release_unfinished`].
-    pub(crate) fn release_placement(&mut self, now: u64, machine: &Id, placement_id: u64, done: bool) {
-        if done {
-            self.release_done(now, machine, placement_id);
-        } else {
-            self.release_unfinished(now, machine, placement_id);
-        }
-    }
-
     /// Takes a placement off its machine and out of what its job, class and team use.
     fn remove_placement(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.fleet.machines.remove_placement(machine, placement_id, now)?;
@@ -112,7 +103,7 @@
             placement.stop_grace_s = Some(0.0);
             self.fleet.calls.call_soon(machine.clone());
         } else {
-            self.release_placement(now, machine, placement_id, false);
+            self.release_unfinished(now, machine, placement_id);
         }
     }
 }
