--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -12,6 +12,8 @@
 //! - [`settings`], `store_limits`, [`capacity`]: what the platform grants.
 //! - [`io`]: commands and effects. [`time`]: the time of a batch. `step_down`: why a leader steps down. [`event`]: what is logged. [`work_counters`]: work done, for tests.
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 pub mod capacity;
 pub mod controller;
 pub mod event;
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,6 +1,8 @@
 //! Runs real controllers on the loopback interface against stand-ins of everything around them, and
 //! measures what they use. Not a part of the service; `docs/measuring.md` says how to use it.
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 mod agents;
 mod arguments;
 mod cloud_server;
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -2,6 +2,8 @@
 //! store, the cloud, agents, users and the network in simulated time, the checker of the protocol's
 //! rules, and the runner of scenarios, which are small text files (see `scenarios/README.md`).
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 pub mod agent;
 pub mod checker;
 pub mod cloud;
--- a/crates/simulation/src/scenario/files.rs
+++ b/crates/simulation/src/scenario/files.rs
@@ -35,6 +35,10 @@
 
 impl ScenarioFile {
     /// The files in a folder and the folders in it, by path.
+    ///
+    /// # Errors
+    ///
+    /// If a folder cannot be read.
     pub fn all_in(folder: &Path) -> Result<Vec<ScenarioFile>, LoadError> {
         let unreadable = |source| LoadError::Unreadable { path: folder.into(), source };
         let mut files = Vec::new();
@@ -52,6 +56,10 @@
     }
 
     /// Reads the scenario.
+    ///
+    /// # Errors
+    ///
+    /// If the file cannot be read or is no scenario; the error names file, line and word.
     pub fn load(&self) -> Result<Scenario, LoadError> {
         let unreadable = |source| LoadError::Unreadable { path: self.path.clone(), source };
         let text = std::fs::read_to_string(&self.path).map_err(unreadable)?;
--- a/crates/simulation/src/scenario/grammar.rs
+++ b/crates/simulation/src/scenario/grammar.rs
@@ -15,6 +15,10 @@
 
 impl Scenario {
     /// Reads a scenario; `file` is named in errors.
+    ///
+    /// # Errors
+    ///
+    /// If a line is not understood: the first such line, with the word found and what was expected.
     pub fn parse(file: &str, text: &str) -> Result<Scenario, ScenarioError> {
         let mut scenario = Scenario::default();
         for (index, text) in text.lines().enumerate() {
--- a/crates/simulation/src/scenario/judge.rs
+++ b/crates/simulation/src/scenario/judge.rs
@@ -74,6 +74,10 @@
 
 impl Expectation {
     /// Whether the expectation is met; if not, what was found.
+    ///
+    /// # Errors
+    ///
+    /// If it is not met: what was found in its place.
     pub fn judge(&self, simulation: &Simulation) -> Result<(), Unmet> {
         let checker = &simulation.checker;
         match self {
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -30,6 +30,8 @@
 //! | `pass`, hold | lease |
 //! | `hire`, return | scale out, scale in |
 
+#![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
+
 pub mod cloud;
 mod ids;
 pub mod kv;
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -122,6 +122,10 @@
 
 impl Submission {
     /// Reads a submission from a request's body and checks every field.
+    ///
+    /// # Errors
+    ///
+    /// If the body is no submission, or a field is out of its range; the error names the field.
     pub fn parse(body: &[u8]) -> Result<Submission, Malformed> {
         let mut s: Submission = serde_json::from_slice(body)?;
         let name = |n: &str| !n.is_empty() && n.len() <= LONG_NAME;
