--- a/crates/core/src/leader/fleet/calls/tests.rs
+++ b/crates/core/src/leader/fleet/calls/tests.rs
@@ -1,6 +1,5 @@
 use super::*;
 use crate::model::samples;
-use crate::model::{CallInFlight, CallPurpose};
 use shaleshunt_wire::AgentEpoch;
 
 const NOW: u64 = 100;
@@ -18,23 +17,13 @@
     machine
 }
 
-fn begin_call(machine: &mut Machine) {
-    machine.call.begin(CallInFlight {
-        request: 1,
-        purpose: CallPurpose::SendCommands,
-        has_commands: true,
-        first_starts: Vec::new(),
-        more_to_send: false,
-    });
-}
-
 #[test]
 fn a_call_depends_on_what_is_known_of_the_machine() {
     let cases = [
         ("reachable", reachable(), CallDecision::Call),
         ("pause over", changed(|m| m.call.back_off_until(NOW)), CallDecision::Call),
         ("failed lately", changed(|m| m.call.back_off_until(NOW + 1)), CallDecision::Later(NOW + 1)),
-        ("called already", changed(begin_call), CallDecision::AfterCurrentCall),
+        ("called already", changed(samples::begin_call), CallDecision::AfterCurrentCall),
         ("cut off", changed(|m| m.agent.partitioned = true), CallDecision::ReleaseUnsent),
         ("no address", changed(|m| m.agent.endpoint.clear()), CallDecision::Unreachable),
         ("never heard", changed(|m| m.agent.epoch = AgentEpoch::NONE), CallDecision::Unreachable),
@@ -44,7 +33,7 @@
     }
     // What the call under way holds has left: it is not released.
     let called_and_cut_off = changed(|m| {
-        begin_call(m);
+        samples::begin_call(m);
         m.agent.partitioned = true;
     });
     assert_eq!(decide_call(&called_and_cut_off, NOW), CallDecision::AfterCurrentCall);
--- a/crates/core/src/leader/fleet/probes/tests.rs
+++ b/crates/core/src/leader/fleet/probes/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::model::{CallInFlight, CallPurpose, PlacementState, samples};
+use crate::model::{PlacementState, samples};
 
 const NOW: u64 = 10_000;
 const INTERVAL: u64 = 1000;
@@ -15,16 +15,6 @@
     machine
 }
 
-fn begin_call(machine: &mut Machine) {
-    machine.call.begin(CallInFlight {
-        request: 1,
-        purpose: CallPurpose::SendCommands,
-        has_commands: true,
-        first_starts: Vec::new(),
-        more_to_send: false,
-    });
-}
-
 #[test]
 fn a_rented_machine_with_placements_is_asked_once_its_heartbeat_is_overdue() {
     let cases = [
@@ -33,7 +23,7 @@
         ("never heard", machine("vm-1", None, |_| ()), false),
         ("owned", machine("vm-1", OVERDUE, |m| m.owned = true), false),
         ("without placements", machine("vm-1", OVERDUE, |m| m.placements.clear()), false),
-        ("called already", machine("vm-1", OVERDUE, begin_call), false),
+        ("called already", machine("vm-1", OVERDUE, samples::begin_call), false),
         ("a call failed lately", machine("vm-1", OVERDUE, |m| m.call.back_off_until(NOW + 1)), false),
         ("to be returned", machine("vm-1", OVERDUE, |m| m.lifecycle.scale_in_wanted = true), false),
         ("in a zone that is cut off", machine("vm-1", OVERDUE, |m| m.agent.partitioned = true), false),
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -1,6 +1,6 @@
 //! Jobs, machines and placements for unit tests.
 
-use super::{Job, Machine, Placement, PlacementState};
+use super::{CallInFlight, CallPurpose, Job, Machine, Placement, PlacementState};
 use crate::records::JobRecord;
 use crate::time::Timestamp;
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
@@ -19,6 +19,17 @@
     Machine::new(name.into(), Timestamp { monotonic_ms: 1, wall_ms: 1 })
 }
 
+/// A direct call that holds commands is under way to a machine.
+pub(crate) fn begin_call(machine: &mut Machine) {
+    machine.call.begin(CallInFlight {
+        request: 1,
+        purpose: CallPurpose::SendCommands,
+        has_commands: true,
+        first_starts: Vec::new(),
+        more_to_send: false,
+    });
+}
+
 /// Attempt 9 at task 3 of job `wk-1`; its start command has left unless it is only planned.
 pub(crate) fn placement(stage: PlacementState) -> Placement {
     Placement {
