--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -160,7 +160,7 @@
             self.step_down(StepDown::NewerToken);
         }
         match &mut self.leader {
-            Some(leader) if leader.active => leader.heartbeat(&mut self.ctx, id, heartbeat),
+            Some(leader) if leader.active => leader.handle_heartbeat(&mut self.ctx, id, heartbeat),
             Some(_) => self.ctx.answer(id, unavailable("taking over")),
             None => self.handle_heartbeat_as_follower(id, &heartbeat),
         }
@@ -212,7 +212,7 @@
             _ => Reachability::Reachable,
         };
         self.ctx.emit(Event::LeaderSteppedDown { epoch: leader.epoch, reason });
-        self.election.resign(&mut self.ctx, leader.pass, reachability);
+        self.election.resign(&mut self.ctx, leader.lease_id, reachability);
     }
 
     /// Does what is due by time, once in each batch.
@@ -236,7 +236,7 @@
     fn run_leader(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         leader.run_due(&mut self.ctx);
-        if let Some(reason) = leader.down.take() {
+        if let Some(reason) = leader.step_down.take() {
             self.step_down(reason);
         }
     }
--- a/crates/core/src/controller/progress.rs
+++ b/crates/core/src/controller/progress.rs
@@ -16,7 +16,7 @@
     fn task_counts(&self, job: &str) -> TaskCounts {
         match self.leader {
             Some(leader) => {
-                let (done, running) = leader.count(job);
+                let (done, running) = leader.task_counts(job);
                 TaskCounts { done, running }
             }
             None => self.shared.get(job).copied().unwrap_or_default(),
--- a/crates/core/src/leader/autoscaler/catalog.rs
+++ b/crates/core/src/leader/autoscaler/catalog.rs
@@ -52,7 +52,7 @@
             return;
         }
         self.autoscaler.catalog_poll.next_at = now + ctx.settings.heartbeat_interval_ms() * INTERVAL_HEARTBEATS;
-        let wait = self.wait(LeaderRequest::Catalog);
+        let wait = self.pending_request(LeaderRequest::Catalog);
         ctx.send_cloud(CloudRequest::Catalog, wait);
     }
 
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -96,7 +96,7 @@
     /// Asks for a page of the list if one is due.
     pub(super) fn request_machine_list_page(&mut self, ctx: &mut Context) {
         if let Some(after) = self.autoscaler.machine_list.begin_page(ctx.now.monotonic_ms) {
-            let wait = self.wait(LeaderRequest::MachineList);
+            let wait = self.pending_request(LeaderRequest::MachineList);
             ctx.send_cloud(CloudRequest::List { after }, wait);
         }
     }
--- a/crates/core/src/leader/autoscaler/plan/tests.rs
+++ b/crates/core/src/leader/autoscaler/plan/tests.rs
@@ -110,7 +110,7 @@
         count: 2,
     };
     let mut known = Known::default();
-    known.scale_outs.load(request, Revision(1));
+    known.scale_outs.restore(request, Revision(1));
     assert_eq!(requests(&plan(&fixture, &known)), ["std a on-demand 1"]);
 }
 
--- a/crates/core/src/leader/autoscaler/requests.rs
+++ b/crates/core/src/leader/autoscaler/requests.rs
@@ -22,7 +22,7 @@
     /// Makes requests that are recorded and not answered.
     pub(super) fn send_scale_outs(&mut self, ctx: &mut Context) {
         for request in self.autoscaler.scale_outs.take_due(ctx.now.monotonic_ms) {
-            let wait = self.wait(LeaderRequest::ScaleOut(request.request.clone()));
+            let wait = self.pending_request(LeaderRequest::ScaleOut(request.request.clone()));
             ctx.send_cloud(CloudRequest::ScaleOut(request), wait);
         }
     }
@@ -34,17 +34,17 @@
         name: &str,
         result: Result<CloudReply, RequestError>,
     ) {
-        let Some(request) = self.autoscaler.scale_outs.returned(name) else { return };
+        let Some(request) = self.autoscaler.scale_outs.request_finished(name) else { return };
         match result {
             Ok(CloudReply::ScaledOut(machines)) => self.scale_out_granted(ctx, request, machines),
             Ok(CloudReply::NoCapacity) => self.scale_out_refused(ctx, request),
             Err(RequestError::Rejected(reason)) => {
                 ctx.emit(Event::ScaleOutRejected { request: name.into(), reason });
-                self.autoscaler.scale_outs.answered(name, Vec::new());
+                self.autoscaler.scale_outs.mark_answered(name, Vec::new());
             }
             Ok(_) | Err(_) => {
                 let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
-                self.autoscaler.scale_outs.retry(name, ctx.now.monotonic_ms + pause_ms);
+                self.autoscaler.scale_outs.delay_retry(name, ctx.now.monotonic_ms + pause_ms);
             }
         }
     }
@@ -52,7 +52,7 @@
     fn scale_out_granted(&mut self, ctx: &mut Context, request: ScaleOutRequest, machines: Vec<String>) {
         let ScaleOutRequest { request: name, machine_type, zone, spot, count } = request;
         let granted: Vec<Id> = machines.iter().map(|machine| machine.as_str().into()).collect();
-        self.autoscaler.scale_outs.answered(&name, granted.clone());
+        self.autoscaler.scale_outs.mark_answered(&name, granted.clone());
         ctx.emit(Event::ScaleOutGranted {
             request: name,
             zone: zone.clone(),
@@ -70,13 +70,13 @@
                 let machine = self.new_machine(ctx, &id, &offer.machine_type, &offer.zone, offer.spot, false);
                 self.fleet.machines.insert(machine);
             }
-            self.join_block(ctx, &id);
+            self.assign_block(ctx, &id);
         }
     }
 
     fn scale_out_refused(&mut self, ctx: &mut Context, request: ScaleOutRequest) {
         let ScaleOutRequest { request: name, machine_type, zone, spot, .. } = request;
-        self.autoscaler.scale_outs.answered(&name, Vec::new());
+        self.autoscaler.scale_outs.mark_answered(&name, Vec::new());
         ctx.emit(Event::ScaleOutNoCapacity { request: name, zone: zone.clone() });
         let offer = Offer { machine_type, zone, spot };
         self.autoscaler.unavailable_offers.refused(offer, ctx.now.monotonic_ms, &ctx.settings);
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -153,7 +153,7 @@
             returned.push(machine.id.clone());
         }
         if !returned.is_empty() {
-            let wait = self.wait(LeaderRequest::ScaleIn(returned.clone()));
+            let wait = self.pending_request(LeaderRequest::ScaleIn(returned.clone()));
             let names = returned.iter().map(|id| id.to_string()).collect();
             ctx.send_cloud(CloudRequest::ScaleIn(names), wait);
         }
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -40,7 +40,7 @@
 
     /// Sends what is due, if nothing is under way.
     pub(super) fn commit(&mut self, ctx: &mut Context) {
-        let epoch_version = self.version;
+        let epoch_version = self.epoch_version;
         let (store, mut sources) = self.store_and_sources();
         if let Some(request) = store.next_request(&store_context(ctx, epoch_version), &mut sources) {
             self.send_commit_request(ctx, request);
@@ -48,7 +48,7 @@
     }
 
     fn send_commit_request(&self, ctx: &mut Context, request: CommitRequest) {
-        let wait = self.wait(LeaderRequest::Commit(request.step));
+        let wait = self.pending_request(LeaderRequest::Commit(request.step));
         ctx.send_kv(request.request, wait);
     }
 
@@ -66,7 +66,7 @@
                 _ => {}
             }
         }
-        let outcome = self.store.handle_reply(&store_context(ctx, self.version), step, result);
+        let outcome = self.store.handle_reply(&store_context(ctx, self.epoch_version), step, result);
         self.handle_commit_outcome(ctx, outcome);
     }
 
@@ -78,7 +78,7 @@
             CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
             CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
             CommitOutcome::TooLarge(reason) => self.handle_too_large(ctx, reason),
-            CommitOutcome::EpochOver => self.down = Some(StepDown::NewerEpoch),
+            CommitOutcome::EpochOver => self.step_down = Some(StepDown::NewerEpoch),
         }
     }
 
@@ -90,14 +90,14 @@
             self.handle_commit_outcome(ctx, outcome);
         } else {
             self.store.discard_in_flight();
-            self.down = Some(StepDown::TransactionRejected);
+            self.step_down = Some(StepDown::TransactionRejected);
         }
     }
 
     /// A key that only the leader writes has changed. It steps down as soon as the log can say to what.
     fn look_at_foreign_write(&mut self, ctx: &mut Context, write: ForeignWrite) {
         let key = write.key.clone();
-        let wait = self.wait(LeaderRequest::ForeignWrite(write));
+        let wait = self.pending_request(LeaderRequest::ReadForeignWrite(write));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
@@ -108,7 +108,7 @@
             Ok(KvReply::Missing) => Some(Revision::ABSENT),
             _ => None,
         };
-        self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
+        self.step_down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
     }
 
     /// A transaction was carried out.
@@ -180,10 +180,10 @@
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.writes.urgent = true;
             }
-            self.queue_write(now, &id);
+            self.queue_job_write(now, &id);
         }
         for id in &abandoned.ended_jobs {
-            self.queue_write(now, id);
+            self.queue_job_write(now, id);
         }
     }
 
@@ -203,26 +203,26 @@
         if let Some(placement) = placement.filter(|placement| is_given_up(placement.stage, &placement.job)) {
             let job = placement.job.clone();
             self.release_unfinished(now, &planned.machine, planned.placement_id);
-            self.queue_write(now, &job);
+            self.queue_job_write(now, &job);
         }
     }
 
     /// Something about a task of a job is to be written.
-    pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
+    pub(crate) fn record_task_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.record_change(now, job, task, urgency);
         }
     }
 
     /// Queues what a job has to write, its end included.
-    pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
+    pub(crate) fn queue_job_write(&mut self, now: u64, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.queue_write(now, job);
         }
     }
 
     /// Puts a machine into a block of its zone.
-    pub(crate) fn join_block(&mut self, ctx: &Context, id: &Id) {
+    pub(crate) fn assign_block(&mut self, ctx: &Context, id: &Id) {
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             self.store.join_block(machine, ctx.limits.block_machines());
         }
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -59,7 +59,7 @@
     /// confirm the token, or that it lives; and not at all if nothing is to be learnt.
     pub(crate) fn call(&mut self, ctx: &mut Context, id: &Id, purpose: CallPurpose) {
         let MachineCommands { commands, starts } = self.take_commands(id, CommandChannel::DirectCall);
-        let pending = self.wait(LeaderRequest::DirectCommands(id.clone()));
+        let pending = self.pending_request(LeaderRequest::DirectCommands(id.clone()));
         let Some(m) = self.fleet.machines.get_mut(id) else { return };
         let nothing_to_learn = m.agent.token_confirmed && m.agent.unacknowledged_commands == 0;
         if commands.is_empty() && nothing_to_learn && purpose == CallPurpose::SendCommands {
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -40,7 +40,7 @@
 
 impl Leader {
     /// A heartbeat from an agent: takes it in and replies with what the machine is to do.
-    pub(crate) fn heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn handle_heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
         // A cancellation missed for too long could not be carried out in time if leases were renewed.
         if !self.may_renew_leases(ctx) {
             let error = "no news from the state service";
@@ -82,7 +82,7 @@
         let token_is_current = self.check_token(machine, heartbeat.token);
         let effects = self.reconcile_heartbeat(ctx, machine, &heartbeat, source, token_is_current);
         if self.fleet.machines.get(machine).is_some_and(|m| m.record.block.is_none()) {
-            self.join_block(ctx, machine);
+            self.assign_block(ctx, machine);
         }
         self.release_proven(ctx, machine, effects);
         self.stop_before_interruption(ctx, machine);
@@ -171,7 +171,7 @@
             self.scheduler.request_pass();
         }
         if seen.epoch() > self.epoch {
-            self.down = Some(StepDown::NewerToken);
+            self.step_down = Some(StepDown::NewerToken);
         }
         true
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -55,21 +55,21 @@
 #[derive(Debug)]
 pub(crate) enum LeaderRequest {
     /// A page of records during a failover.
-    Load(ScanPosition),
+    ScanRecords(ScanPosition),
     /// Renewal of the leader's lease.
-    Renew,
+    RenewLease,
     /// Changes of the unfinished jobs.
-    Watch,
+    WatchJobs,
     /// The transaction under way.
     Commit(CommitStep),
     /// The version of a key that somebody else has written, for the log.
-    ForeignWrite(ForeignWrite),
+    ReadForeignWrite(ForeignWrite),
     /// The record of a job on which a condition failed.
-    Refresh(Id),
+    ReadJobRecord(Id),
     /// The final record of a job that others depend on.
-    End(Id),
+    ReadFinalRecord(Id),
     /// Parts of a job's submission.
-    Parts(Box<SplitJobRead>),
+    ReadSubmissionParts(Box<SplitJobRead>),
     /// A direct call to a machine's agent.
     DirectCommands(Id),
     /// Machines from the cloud, by the request's name.
@@ -86,13 +86,13 @@
 pub struct Leader {
     pub(crate) epoch: Epoch,
     /// Version of the epoch's key, while the epoch is this leader's.
-    pub(crate) version: Revision,
+    pub(crate) epoch_version: Revision,
     /// The lease at the key-value store.
-    pub(crate) pass: u64,
+    pub(crate) lease_id: u64,
     /// Everything has been read.
     pub(crate) active: bool,
     /// Why leadership is over.
-    pub(crate) down: Option<StepDown>,
+    pub(crate) step_down: Option<StepDown>,
     pub(crate) elected_at: u64,
     renew_at: u64,
     is_renewal_in_flight: bool,
@@ -111,14 +111,14 @@
 
 impl Leader {
     /// A leader that has just been elected: it begins to read all records.
-    pub(crate) fn new(ctx: &mut Context, epoch: Epoch, version: Revision, pass: u64) -> Leader {
+    pub(crate) fn new(ctx: &mut Context, epoch: Epoch, epoch_version: Revision, lease_id: u64) -> Leader {
         let now = ctx.now.monotonic_ms;
         let mut leader = Leader {
             epoch,
-            version,
-            pass,
+            epoch_version,
+            lease_id,
             active: false,
-            down: None,
+            step_down: None,
             elected_at: now,
             renew_at: now,
             is_renewal_in_flight: false,
@@ -138,7 +138,7 @@
     }
 
     /// A request of this leader's, whose reply is for this epoch alone.
-    pub(crate) fn wait(&self, wait: LeaderRequest) -> PendingRequest {
+    pub(crate) fn pending_request(&self, wait: LeaderRequest) -> PendingRequest {
         PendingRequest::Leader(self.epoch, wait)
     }
 
@@ -151,14 +151,14 @@
         result: Result<KvReply, RequestError>,
     ) {
         match wait {
-            LeaderRequest::Load(position) => self.handle_scan_reply(ctx, position, result),
-            LeaderRequest::Renew => self.handle_lease_renewal(ctx, result),
-            LeaderRequest::Watch => self.handle_watch_reply(ctx, sent, result),
-            LeaderRequest::Refresh(id) => self.handle_refresh_reply(ctx, id, result),
-            LeaderRequest::Parts(read) => self.handle_parts(ctx, *read, result),
-            LeaderRequest::End(id) => self.handle_final_record(ctx, id, result),
+            LeaderRequest::ScanRecords(position) => self.handle_scan_reply(ctx, position, result),
+            LeaderRequest::RenewLease => self.handle_lease_renewal(ctx, result),
+            LeaderRequest::WatchJobs => self.handle_watch_reply(ctx, sent, result),
+            LeaderRequest::ReadJobRecord(id) => self.handle_refresh_reply(ctx, id, result),
+            LeaderRequest::ReadSubmissionParts(read) => self.handle_parts(ctx, *read, result),
+            LeaderRequest::ReadFinalRecord(id) => self.handle_final_record(ctx, id, result),
             LeaderRequest::Commit(step) => self.handle_commit_reply(ctx, &step, result),
-            LeaderRequest::ForeignWrite(write) => self.handle_foreign_write(write, result),
+            LeaderRequest::ReadForeignWrite(write) => self.handle_foreign_write(write, result),
             // Replies of the cloud and of agents come by other ways.
             LeaderRequest::DirectCommands(_)
             | LeaderRequest::ScaleOut(_)
@@ -172,7 +172,7 @@
     fn handle_lease_renewal(&mut self, ctx: &Context, result: Result<KvReply, RequestError>) {
         self.is_renewal_in_flight = false;
         match result {
-            Ok(KvReply::Missing) => self.down = Some(StepDown::LeaseEnded),
+            Ok(KvReply::Missing) => self.step_down = Some(StepDown::LeaseEnded),
             Ok(_) => {}
             Err(_) => {
                 self.renew_at =
@@ -198,8 +198,8 @@
         let life_ms = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
         self.renew_at = now + (life_ms / LEASE_RENEWAL_PART) as u64;
         self.is_renewal_in_flight = true;
-        let wait = self.wait(LeaderRequest::Renew);
-        ctx.send_kv(KvRequest::RenewLease { lease: self.pass }, wait);
+        let wait = self.pending_request(LeaderRequest::RenewLease);
+        ctx.send_kv(KvRequest::RenewLease { lease: self.lease_id }, wait);
     }
 
     /// What is due once all records have been read.
@@ -277,7 +277,7 @@
     }
 
     /// Done and running tasks of a job, for display.
-    pub(crate) fn count(&self, job: &str) -> (u32, u32) {
+    pub(crate) fn task_counts(&self, job: &str) -> (u32, u32) {
         self.jobs.get(job).map_or((0, 0), |job| (job.tasks.done_count(), job.tasks.running_count()))
     }
 
--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -52,7 +52,7 @@
     /// to be written. Returns the placement, if the machine has it.
     pub(crate) fn release_unfinished(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.remove_placement(now, machine, placement_id)?;
-        self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
+        self.record_task_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         self.queue_write_of_cancelled(now, &placement.job);
         Some(placement)
     }
@@ -81,7 +81,7 @@
     /// A cancelled job ends with its last placement: whether it has is looked at with its writes.
     fn queue_write_of_cancelled(&mut self, now: u64, job: &Id) {
         if self.jobs.get(job).is_some_and(|job| job.cancelled) {
-            self.queue_write(now, job);
+            self.queue_job_write(now, job);
         }
     }
 
@@ -92,7 +92,7 @@
         for (machine, placement_id) in placements {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
-        self.queue_write(ctx.now.monotonic_ms, id);
+        self.queue_job_write(ctx.now.monotonic_ms, id);
     }
 
     /// Stops a task at once; one whose start command never left is released.
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -119,7 +119,7 @@
     fn scan(&mut self, ctx: &mut Context, position: ScanPosition) {
         self.recovery.scans_in_flight += 1;
         let request = KvRequest::Scan { prefix: position.kind.prefix().into(), after: position.after.clone() };
-        let wait = self.wait(LeaderRequest::Load(position));
+        let wait = self.pending_request(LeaderRequest::ScanRecords(position));
         ctx.send_kv(request, wait);
     }
 
@@ -139,7 +139,7 @@
     ) {
         match result {
             Ok(KvReply::Page(page)) => self.handle_scan_page(ctx, position.kind, page),
-            Ok(_) => self.down = Some(StepDown::Unreadable),
+            Ok(_) => self.step_down = Some(StepDown::Unreadable),
             Err(_) => {
                 self.recovery.scans_in_flight -= 1;
                 let at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
@@ -181,7 +181,7 @@
 
     fn restore_scale_out(&mut self, pair: KeyValue) {
         if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) {
-            self.autoscaler.scale_outs.load(request, pair.version);
+            self.autoscaler.scale_outs.restore(request, pair.version);
         }
     }
 
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -47,7 +47,7 @@
                 self.stop_job(ctx, id);
             }
             self.add_dependencies(ctx, id);
-            self.queue_write(ctx.now.monotonic_ms, id);
+            self.queue_job_write(ctx.now.monotonic_ms, id);
         }
     }
 
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -31,7 +31,7 @@
             self.read_v0_1_machine(ctx, pair, &mut read_tasks);
         }
         for ReadTask { job, task } in read_tasks {
-            self.record_change(ctx.now.monotonic_ms, &job, task, WriteUrgency::Immediate);
+            self.record_task_change(ctx.now.monotonic_ms, &job, task, WriteUrgency::Immediate);
         }
     }
 
@@ -58,7 +58,7 @@
             machine.agent.epoch = record.agent_epoch;
             machine.rented_at = record.rented_at_ms;
             self.fleet.machines.insert(machine);
-            self.join_block(ctx, &id);
+            self.assign_block(ctx, &id);
         }
         let is_on_no_page =
             |job: &Job, task: u32| job.writes.page_of_task.get(task as usize).is_none_or(|page| *page == 0);
--- a/crates/core/src/leader/scale_out_requests.rs
+++ b/crates/core/src/leader/scale_out_requests.rs
@@ -33,7 +33,7 @@
 
     /// What to do with its record now. A record is removed only when every machine granted is recorded
     /// or gone, as `is_settled` tells.
-    pub(crate) fn record_change(&self, is_settled: impl Fn(&Id) -> bool) -> Option<ScaleOutRecordChange<'_>> {
+    pub(crate) fn needed_record_change(&self, is_settled: impl Fn(&Id) -> bool) -> Option<ScaleOutRecordChange<'_>> {
         match &self.granted {
             _ if self.record_in_flight => None,
             None if self.version == Revision::ABSENT => Some(ScaleOutRecordChange::Write(&self.request)),
@@ -43,7 +43,7 @@
     }
 
     /// A write or removal of its record is under way.
-    pub(crate) fn record_change_sent(&mut self) {
+    pub(crate) fn mark_record_change_sent(&mut self) {
         self.record_in_flight = true;
     }
 
@@ -71,7 +71,7 @@
 
 impl ScaleOutRequests {
     /// A record was read: another leader's request is under way.
-    pub(crate) fn load(&mut self, request: ScaleOutRequest, version: Revision) {
+    pub(crate) fn restore(&mut self, request: ScaleOutRequest, version: Revision) {
         self.by_name.insert(request.request.clone(), ScaleOut::new(request, version));
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// A request's record was written at this revision.
-    pub(crate) fn recorded(&mut self, name: &str, revision: Revision) {
+    pub(crate) fn mark_recorded(&mut self, name: &str, revision: Revision) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.version = revision;
             scale_out.record_in_flight = false;
@@ -107,7 +107,7 @@
     }
 
     /// A request's record was removed: it is over.
-    pub(crate) fn removed(&mut self, name: &str) {
+    pub(crate) fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
@@ -127,21 +127,21 @@
     }
 
     /// A request came back, with an answer or without; returns it if it is still under way.
-    pub(crate) fn returned(&mut self, name: &str) -> Option<ScaleOutRequest> {
+    pub(crate) fn request_finished(&mut self, name: &str) -> Option<ScaleOutRequest> {
         let scale_out = self.by_name.get_mut(name)?;
         scale_out.request_in_flight = false;
         Some(scale_out.request.clone())
     }
 
     /// A request was answered with these machines; none if it was refused.
-    pub(crate) fn answered(&mut self, name: &str, granted: Vec<Id>) {
+    pub(crate) fn mark_answered(&mut self, name: &str, granted: Vec<Id>) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.granted = Some(granted);
         }
     }
 
     /// A request without a clear answer is made again, not before this time (steady clock, ms).
-    pub(crate) fn retry(&mut self, name: &str, retry_at: u64) {
+    pub(crate) fn delay_retry(&mut self, name: &str, retry_at: u64) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.retry_at = retry_at;
         }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -74,7 +74,7 @@
     }
 
     /// A job was cancelled by its user, as its committed record says: so are its dependents.
-    pub(crate) fn cancelled(&mut self, ctx: &mut Context, id: &Id) {
+    pub(crate) fn job_cancelled(&mut self, ctx: &mut Context, id: &Id) {
         if let Some(dependents) = self.scheduler.dependencies.take_dependents(id) {
             self.cancel_dependents(ctx, dependents.into_iter().collect());
         }
@@ -95,7 +95,7 @@
 
     /// The record of a job was removed by another controller, or by this one and its answer was lost: how the
     /// job ended is read if others depend on it.
-    pub(crate) fn dependency_vanished(&mut self, now: u64, id: &Id) {
+    pub(crate) fn job_record_removed(&mut self, now: u64, id: &Id) {
         if self.scheduler.dependencies.has_dependents(id) {
             self.scheduler.dependencies.request_final_record(now, id.clone());
         }
@@ -105,7 +105,7 @@
     pub(crate) fn read_final_records(&mut self, ctx: &mut Context) {
         for id in self.scheduler.dependencies.take_due_reads(ctx.now.monotonic_ms, &self.jobs) {
             let key = format!("{}{id}", keys::FINAL_RECORDS);
-            let wait = self.wait(LeaderRequest::End(id));
+            let wait = self.pending_request(LeaderRequest::ReadFinalRecord(id));
             ctx.send_kv(KvRequest::Get { key }, wait);
         }
     }
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -310,7 +310,7 @@
             stop_grace_s: None,
         };
         self.add_placement(machine, placement);
-        self.record_change(now, id, task, WriteUrgency::Immediate);
+        self.record_task_change(now, id, task, WriteUrgency::Immediate);
     }
 }
 
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -21,7 +21,7 @@
         match check.run(&self.fleet) {
             // Without peers there is nobody who could lead instead.
             PartitionFinding::LeaderUnheard if !ctx.peer_lease_reports.is_empty() => {
-                self.down = Some(StepDown::Unheard);
+                self.step_down = Some(StepDown::Unheard);
             }
             PartitionFinding::LeaderUnheard | PartitionFinding::AllQuiet => {}
             PartitionFinding::Zones(zones) => self.set_partitioned_zones(ctx, zones),
--- a/crates/core/src/leader/store/scale_outs.rs
+++ b/crates/core/src/leader/store/scale_outs.rs
@@ -33,7 +33,7 @@
             break;
         }
         let key = keys::scale_out(name);
-        match scale_out.record_change(is_settled) {
+        match scale_out.needed_record_change(is_settled) {
             Some(ScaleOutRecordChange::Write(request)) => {
                 builder.set(key, Revision::ABSENT, json!(request), RECORD_BYTES);
                 writes.recorded.push(name.clone());
@@ -44,7 +44,7 @@
             }
             None => continue,
         }
-        scale_out.record_change_sent();
+        scale_out.mark_record_change_sent();
     }
     writes
 }
@@ -52,10 +52,10 @@
 /// The records are stored or removed.
 pub(super) fn apply_committed(writes: ScaleOutWrites, scale_outs: &mut ScaleOutRequests, revision: Revision) {
     for name in writes.recorded {
-        scale_outs.recorded(&name, revision);
+        scale_outs.mark_recorded(&name, revision);
     }
     for name in writes.removed {
-        scale_outs.removed(&name);
+        scale_outs.remove(&name);
     }
 }
 
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -61,7 +61,7 @@
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.health.task_succeeded(placement.since);
         }
-        self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
+        self.record_task_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         for id in failed_on.iter().filter(|id| *id != machine) {
             if self.fleet.machines.get(id).is_some_and(|m| m.health.is_blamed_for(&placement.job)) {
                 self.quarantine(ctx, id);
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -79,7 +79,7 @@
         self.watch.retry_at = None;
         let after = self.watch.revision.unwrap_or(Revision::ABSENT);
         let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
-        let wait = self.wait(LeaderRequest::Watch);
+        let wait = self.pending_request(LeaderRequest::WatchJobs);
         ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
     }
 
@@ -91,7 +91,7 @@
                 self.apply_changes(ctx, news);
                 self.watch_jobs(ctx);
             }
-            Ok(KvReply::Compacted) => self.down = Some(StepDown::ChangesMissed),
+            Ok(KvReply::Compacted) => self.step_down = Some(StepDown::ChangesMissed),
             _ => {
                 let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
                 self.watch.retry_at = Some(ctx.now.monotonic_ms + pause_ms);
@@ -150,9 +150,9 @@
         if record.is_cancelled() && !job.cancelled {
             job.cancelled = true;
             self.stop_job(ctx, &id);
-            self.cancelled(ctx, &id);
+            self.job_cancelled(ctx, &id);
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// A job that was not known has come.
@@ -169,12 +169,12 @@
         if self.active {
             self.add_dependencies(ctx, &id);
             if is_cancelled {
-                self.cancelled(ctx, &id);
+                self.job_cancelled(ctx, &id);
             } else if !is_blocked {
                 self.record_arrival(ctx.now.monotonic_ms, &id);
             }
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
@@ -200,7 +200,7 @@
             self.store.forget_job(&job);
             self.remove_dependencies(&job);
         }
-        self.dependency_vanished(ctx.now.monotonic_ms, &id);
+        self.job_record_removed(ctx.now.monotonic_ms, &id);
         self.scheduler.jobs_changed();
         self.scheduler.request_pass();
     }
@@ -208,7 +208,7 @@
     /// Reads a job's record again, after a condition on it failed.
     pub(crate) fn refresh(&mut self, ctx: &mut Context, id: Id) {
         let key = keys::job(&id);
-        let wait = self.wait(LeaderRequest::Refresh(id));
+        let wait = self.pending_request(LeaderRequest::ReadJobRecord(id));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
--- a/crates/core/src/leader/watch/split_jobs.rs
+++ b/crates/core/src/leader/watch/split_jobs.rs
@@ -29,7 +29,7 @@
         self.store.begin_submission_read(&read);
         let after = read.parts.last().map(|part| part.path.clone()).unwrap_or_default();
         let prefix = read.record.parts_prefix.clone();
-        let wait = self.wait(LeaderRequest::Parts(Box::new(read)));
+        let wait = self.pending_request(LeaderRequest::ReadSubmissionParts(Box::new(read)));
         ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
     }
 
