--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -19,9 +19,9 @@
 pub(crate) mod recovery;
 mod scale_out_requests;
 pub(crate) mod scheduler;
-mod silent_machines;
 pub(crate) mod store;
 mod task_exits;
+mod unreachable_machines;
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
