--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -1,42 +1,43 @@
-//! Candidate machines for a job's tasks: which machines can take one, and how well each is suited.
+//! Candidate machines for tasks of a job: which machines can take a task, and how well each one suits the job.
 
 use crate::leader::scheduler::constraints::{MachineKind, allows, zone_headroom};
 use crate::leader::scheduler::view::SchedulingView;
 use crate::model::{Job, Machine};
 use shaleshunt_wire::user::Priority;
 
-/// Most placements on one machine: a heartbeat and its reply name each of them in one body.
+/// Limit on placements on one machine: a heartbeat and its reply list all of them, at up to 128 bytes each, in one
+/// body.
 const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY / 128;
 
-/// A machine on which fewer than so many tasks of a job failed is avoided by that job; after more
-/// failures the fault is the job's own.
-const FAILED_MACHINES_AVOIDED: usize = 3;
+/// A job avoids the machines on which its tasks failed while they are fewer than this; with more of them the job
+/// itself is at fault.
+const MIN_FAILED_MACHINES_TO_BLAME_JOB: usize = 3;
 
-/// Where candidates are looked for.
+/// The extent of a candidate search.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Search<'a> {
-    /// The only zone to look in, if there is one.
+    /// The only zone to search; `None` for all zones.
     pub(crate) zone: Option<&'a str>,
-    /// So many candidates are enough; all machines are examined without a limit.
+    /// Number of candidates after which the search ends; `None` examines all machines.
     pub(crate) max_candidates: Option<usize>,
 }
 
-/// How a machine has the job's image, best first.
+/// Availability of the image of a job on a machine, best first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum ImageState {
     Present,
-    /// Another placement there is having it fetched.
+    /// Another placement on the machine is already fetching the image.
     Fetching,
     Absent,
 }
 
-/// What matters most about a machine for the job, best first. All candidates of one search have the
-/// same variant.
+/// The properties of a machine that matter most to the job, best first. All candidates of one search have the same
+/// variant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Preference {
-    /// The job is to start sooner than its image can be fetched.
+    /// Order for a job whose start objective is shorter than its image fetch.
     ImageFirst { image: ImageState, other_kind: bool },
-    /// Spot jobs on spot machines and the others elsewhere, then machines that hold the image.
+    /// Order for other jobs: the preferred kind of machine, spot or not, then machines that hold the image.
     KindFirst { other_kind: bool, fetch_needed: bool },
 }
 
@@ -44,35 +45,37 @@
 #[derive(Debug)]
 pub(super) struct Candidate<'a> {
     pub(super) machine: &'a Machine,
-    /// On probation after failures.
+    /// Whether the machine has been in quarantine and is still on probation.
     pub(super) suspect: bool,
     pub(super) preference: Preference,
-    /// Free cores, smaller first; negated where the emptiest machine is to come first.
+    /// Free cores, in thousandths, or their negative if the emptiest machine is preferred. Smaller values are
+    /// preferred.
     pub(super) free_cores_rank: i64,
-    /// How many further tasks of the job fit.
+    /// Number of further tasks of the job that fit.
     pub(super) capacity: u32,
-    /// How many tasks of the job it has already; counted only where tasks keep apart.
+    /// Number of tasks of the job on the machine; zero unless the job spreads its tasks.
     pub(super) tasks_of_job: usize,
 }
 
-/// Whether the job's tasks keep apart from each other: replicas of services, and jobs spread over zones.
-pub(super) fn keeps_apart(job: &Job) -> bool {
+/// Whether tasks of the job are spread over machines and zones: replicas of services, and jobs that ask for spread
+/// zones.
+pub(super) fn spreads_tasks(job: &Job) -> bool {
     job.is_service() || job.spec.spread_zones
 }
 
-/// Filters machines for one job and rates what is left.
+/// Filters the machines for one job and rates those that remain.
 struct Filter<'a, 'b> {
     view: &'b SchedulingView<'a>,
     job: &'b Job,
-    /// Most tasks to be placed.
+    /// Number of tasks to place.
     tasks: u32,
     search: Search<'b>,
-    image_first: bool,
+    prefers_image: bool,
     prefers_spot: bool,
-    emptiest_first: bool,
+    prefers_emptiest: bool,
 }
 
-/// Machines that can take tasks of the job, at most as many as the search allows, in the order examined.
+/// Returns machines that can take tasks of the job, in the order examined, up to the limit of the search.
 pub(super) fn find_candidates<'a>(
     view: &SchedulingView<'a>,
     job: &Job,
@@ -83,7 +86,7 @@
     let mut candidates = Vec::new();
     let mut examined = 0;
     for machine in filter.machines() {
-        if search.max_candidates.is_some_and(|most| candidates.len() >= most) {
+        if search.max_candidates.is_some_and(|max| candidates.len() >= max) {
             break;
         }
         examined += 1;
@@ -97,28 +100,28 @@
 
 impl<'a, 'b> Filter<'a, 'b> {
     fn new(view: &'b SchedulingView<'a>, job: &'b Job, tasks: u32, search: Search<'b>) -> Filter<'a, 'b> {
-        let image_first = view.must_start_before_fetch(job);
+        let prefers_image = view.must_start_before_fetch(job);
         let is_short = || view.estimates.run_s(job) < view.scheduler.ranks.spot_estimate_limit_s;
         Filter {
             view,
             job,
             tasks,
             search,
-            image_first,
-            // Offloaded jobs go to rented machines, and so do short ones; the rest keeps off machines
-            // that the cloud may take back.
+            prefers_image,
+            // Offloaded jobs and short jobs go to spot machines; other spot jobs avoid machines that the cloud may
+            // reclaim.
             prefers_spot: job.spec.spot && (job.scheduling.offloaded || is_short()),
-            // What more urgent work may preempt is spread out, so that such work finds room beside it
-            // on a machine that holds its image.
-            emptiest_first: job.scheduling.priority <= Priority::Normal && !image_first && !job.is_gang(),
+            // Work that may be preempted is spread over machines. More urgent work then finds room beside it on a
+            // machine that holds its image.
+            prefers_emptiest: job.scheduling.priority <= Priority::Normal && !prefers_image && !job.is_gang(),
         }
     }
 
-    /// The machines to examine. A limited search takes the best by free cores first.
+    /// The machines to examine. A limited search examines the best machines by free cores first.
     fn machines(&self) -> Box<dyn Iterator<Item = &'a Machine> + 'a> {
         let machines = self.view.machines;
         let cores = self.job.need.cores;
-        match (self.search.max_candidates, self.emptiest_first) {
+        match (self.search.max_candidates, self.prefers_emptiest) {
             (None, _) => machines.with_cores(cores),
             (Some(_), true) => Box::new(machines.emptiest_first(cores)),
             (Some(_), false) => Box::new(machines.fullest_first(cores)),
@@ -135,10 +138,10 @@
             && zone_headroom(self.job, &machine.zone) > 0
     }
 
-    /// Whether the job keeps off this machine because of how tasks fare there.
+    /// Whether the job avoids this machine because of failures or slow tasks there.
     fn avoids(&self, machine: &Machine) -> bool {
         let failed_on = &self.job.failures.machines;
-        let failed_here = failed_on.len() < FAILED_MACHINES_AVOIDED && failed_on.contains(&machine.id);
+        let failed_here = failed_on.len() < MIN_FAILED_MACHINES_TO_BLAME_JOB && failed_on.contains(&machine.id);
         let on_probation = machine.health.quarantine_count > 0 && !machine.placements.is_empty();
         let slow = machine.health.slow_until > self.view.now.monotonic_ms && !self.job.is_service();
         failed_here || on_probation || slow
@@ -148,13 +151,16 @@
         let suspect = machine.health.quarantine_count > 0;
         let free = machine.free();
         let fitting = if suspect { 1 } else { free.times(&self.job.need, i64::from(self.tasks)) as u32 };
-        let tasks_of_job =
-            if keeps_apart(self.job) { machine.placements.iter().filter(|p| p.job == self.job.id).count() } else { 0 };
+        let tasks_of_job = if spreads_tasks(self.job) {
+            machine.placements.iter().filter(|p| p.job == self.job.id).count()
+        } else {
+            0
+        };
         Candidate {
             machine,
             suspect,
             preference: self.preference(machine),
-            free_cores_rank: if self.emptiest_first { -free.cores } else { free.cores },
+            free_cores_rank: if self.prefers_emptiest { -free.cores } else { free.cores },
             capacity: fitting.min((MAX_PLACEMENTS_PER_MACHINE - machine.placements.len()) as u32),
             tasks_of_job,
         }
@@ -163,7 +169,7 @@
     fn preference(&self, machine: &Machine) -> Preference {
         let image = image_state(self.job, machine);
         let other_kind = machine.spot != self.prefers_spot;
-        if self.image_first {
+        if self.prefers_image {
             Preference::ImageFirst { image, other_kind }
         } else {
             Preference::KindFirst { other_kind, fetch_needed: image > ImageState::Present }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -1,9 +1,9 @@
-//! Jobs that depend on others: the paper's stages, with one deadline at the end.
+//! Dependencies between jobs, which correspond to the stages of Skedulix with one deadline at the end.
 //!
-//! A job is released when the committed outcome of each of its dependencies is done, and is cancelled
-//! with any of them. Both are final and both follow from committed records alone, so any leader reaches
-//! the same end: a job with a cancelled dependency can never have been released, has nothing on any
-//! machine, and goes straight to its final record.
+//! A job is released when all of its dependencies are done, and cancelled when any of them is cancelled. Both
+//! outcomes are final and follow from committed records alone, so any leader decides the same. A job with a
+//! cancelled dependency can never have been released: it has no placements and its final record is written
+//! directly.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -13,15 +13,15 @@
 use crate::model::{Id, Job};
 use crate::records::{FinalRecord, keys};
 
-/// A final record that could not be read is asked for again after this part of a heartbeat interval.
+/// Number of retries per heartbeat interval for a final record that could not be read.
 const READ_RETRIES_PER_HEARTBEAT: u64 = 12;
 
 impl Leader {
-    /// Enters a job into the dependency graph. What is not among the unfinished has ended: its final
-    /// record tells how.
+    /// Adds a job to the dependency graph. A dependency that is not among the unfinished jobs has ended, and its
+    /// final record is read to learn how.
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        // A started job was released once; a cancelled one never will be.
+        // A started job has been released, and a cancelled job never will be.
         if job.cancelled || job.tasks.started() {
             job.open_dependencies.clear();
             return;
@@ -41,7 +41,7 @@
         }
     }
 
-    /// A job is no longer there: what it depended on has one dependent less.
+    /// Removes a job that no longer exists from the dependents of its dependencies.
     pub(crate) fn remove_dependencies(&mut self, job: &Job) {
         for dependency in &job.open_dependencies {
             let last = self.scheduler.dependencies.remove(dependency, &job.id);
@@ -51,7 +51,7 @@
         }
     }
 
-    /// A job's committed end is known: its dependents are released or cancelled.
+    /// Releases or cancels the dependents of a job whose committed outcome is known.
     pub(crate) fn dependency_ended(&mut self, ctx: &mut Context, id: &str, end: &FinalRecord) {
         let Some(dependents) = self.scheduler.dependencies.take_dependents(id) else { return };
         if end.cancelled {
@@ -66,42 +66,42 @@
                 continue;
             }
             ctx.emit(Event::JobDependenciesMet { job: dependent.clone() });
-            // Its times begin now, and so does the demand that it stands for.
+            // The waiting time of the job begins now, and the autoscaler counts its demand from now on.
             self.record_arrival(ctx.now.monotonic_ms, &dependent);
             self.scheduler.jobs_changed();
             self.scheduler.request_pass();
         }
     }
 
-    /// A job was cancelled by its user, as its committed record says: so are its dependents.
+    /// Cancels the dependents of a job whose record says that its user cancelled it.
     pub(crate) fn job_cancelled(&mut self, ctx: &mut Context, id: &Id) {
         if let Some(dependents) = self.scheduler.dependencies.take_dependents(id) {
             self.cancel_dependents(ctx, dependents.into_iter().collect());
         }
     }
 
-    /// Cancels these jobs, of which each has a cancelled dependency, and all that depend on them.
+    /// Cancels these jobs, each of which has a cancelled dependency, and all jobs that depend on them.
     fn cancel_dependents(&mut self, ctx: &mut Context, mut unvisited: Vec<Id>) {
         while let Some(id) = unvisited.pop() {
             unvisited.extend(self.scheduler.dependencies.take_dependents(&id).into_iter().flatten());
             let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.cancelled) else { continue };
             job.cancelled = true;
             ctx.emit(Event::JobCancelledByDependency { job: id.clone() });
-            // Nothing of it was ever placed, so it only has to be written.
+            // The job never had a placement, so only its record has to be written.
             self.stop_job(ctx, &id);
             self.scheduler.jobs_changed();
         }
     }
 
-    /// The record of a job was removed by another controller, or by this one and its answer was lost: how the
-    /// job ended is read if others depend on it.
+    /// Handles the removal of a job's record by another controller, or by this one if the reply was lost: the
+    /// outcome of the job is read if other jobs depend on it.
     pub(crate) fn job_record_removed(&mut self, now: u64, id: &Id) {
         if self.scheduler.dependencies.has_dependents(id) {
             self.scheduler.dependencies.request_final_record(now, id.clone());
         }
     }
 
-    /// Reads final records that are due, a few at a time.
+    /// Sends the reads of final records that are due, up to a limit.
     pub(crate) fn read_final_records(&mut self, ctx: &mut Context) {
         for id in self.scheduler.dependencies.take_due_reads(ctx.now.monotonic_ms, &self.jobs) {
             let key = format!("{}{id}", keys::FINAL_RECORDS);
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A final record was read. One that was not found is on its way to its key yet.
+    /// Handles the reply to a read of a final record. A record that was not found is not written yet, so the read
+    /// is retried.
     pub(crate) fn handle_final_record(&mut self, ctx: &mut Context, id: Id, result: Result<KvReply, RequestError>) {
         self.scheduler.dependencies.read_answered();
         let Ok(KvReply::Found(pair)) = result else {
--- a/crates/core/src/leader/scheduler/dependency_graph.rs
+++ b/crates/core/src/leader/scheduler/dependency_graph.rs
@@ -1,23 +1,23 @@
-//! The graph of jobs that depend on unfinished jobs, and the final records that are to be read for it.
+//! The graph of jobs that depend on unfinished jobs, and the queue of final records to read for it.
 //!
-//! Holds at all times: a dependency has an entry only while a job depends on it.
+//! Invariant: a dependency has an entry only while a job depends on it.
 
 use crate::leader::scheduler::estimates::Estimates;
 use crate::model::{Id, Job};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Most final records read at once.
+/// Limit on concurrent reads of final records.
 const MAX_READS_IN_FLIGHT: u32 = 4;
 
-/// A final record that is to be read.
+/// A queued read of a final record.
 #[derive(Debug)]
 struct FinalRecordRead {
-    /// Not before this time (steady clock, ms).
+    /// Earliest time of the read (monotonic clock, ms).
     due_at: u64,
     job: Id,
 }
 
-/// Who depends on whom.
+/// Dependencies between jobs.
 #[derive(Debug, Default)]
 pub(crate) struct DependencyGraph {
     /// Dependent jobs by the job that they depend on.
@@ -27,12 +27,13 @@
 }
 
 impl DependencyGraph {
-    /// `dependent` may not start before `dependency` is done.
+    /// Adds the rule that `dependent` may not start before `dependency` is done.
     pub(super) fn add(&mut self, dependency: Id, dependent: Id) {
         self.dependents.entry(dependency).or_default().insert(dependent);
     }
 
-    /// `dependent` is gone. Returns whether nothing depends on `dependency` any more because of that.
+    /// Removes a dependency of a job that no longer exists. Returns whether `dependent` was the last job to depend
+    /// on `dependency`.
     pub(super) fn remove(&mut self, dependency: &Id, dependent: &Id) -> bool {
         let Some(dependents) = self.dependents.get_mut(dependency) else { return false };
         dependents.remove(dependent);
@@ -43,7 +44,8 @@
         last
     }
 
-    /// Takes a job that has ended out of the graph; returns what depended on it, if anything did.
+    /// Removes a job that has ended from the graph. Returns the jobs that depended on it, or `None` if there were
+    /// none.
     pub(super) fn take_dependents(&mut self, dependency: &str) -> Option<BTreeSet<Id>> {
         self.dependents.remove(dependency)
     }
@@ -53,13 +55,13 @@
         self.dependents.contains_key(dependency)
     }
 
-    /// Has a job's final record read, not before `due_at` (steady clock, ms).
+    /// Queues a read of the final record of a job, not before `due_at` (monotonic clock, ms).
     pub(super) fn request_final_record(&mut self, due_at: u64, job: Id) {
         self.reads.push_back(FinalRecordRead { due_at, job });
     }
 
-    /// Final records to read now. What is not due yet, or too much at once, stays for later; what is
-    /// among the unfinished `jobs` or no longer depended on is forgotten.
+    /// Returns the final records to read now. Reads that are not due, or exceed the limit, stay queued. Reads of
+    /// jobs that are among the unfinished `jobs`, or that no job depends on any more, are dropped.
     pub(super) fn take_due_reads(&mut self, now: u64, jobs: &BTreeMap<Id, Job>) -> Vec<Id> {
         let mut due = Vec::new();
         for _ in 0..self.reads.len() {
@@ -77,14 +79,13 @@
         due
     }
 
-    /// A read of a final record was answered.
+    /// Counts a read of a final record as answered.
     pub(super) fn read_answered(&mut self) {
         self.reads_in_flight = self.reads_in_flight.saturating_sub(1);
     }
 
-    /// All jobs that depend on this one, directly or not, and have not been offloaded: later stages
-    /// follow one that goes to rented machines, as in the paper. A job that has been offloaded hides
-    /// those behind it.
+    /// Returns the jobs that depend on this one, directly or indirectly, and have not been offloaded: as in Skedulix,
+    /// the stages after an offloaded stage are offloaded too. The dependents of an offloaded job are not visited.
     pub(super) fn dependents_to_offload(&self, jobs: &BTreeMap<Id, Job>, id: &Id) -> Vec<Id> {
         let mut found: Vec<Id> = Vec::new();
         let mut unvisited = vec![id.clone()];
@@ -99,8 +100,8 @@
         found
     }
 
-    /// Passes deadlines and priorities back from jobs to those that they depend on, the last jobs first.
-    /// A dependency must be done early enough for the critical path behind it.
+    /// Propagates deadlines and priorities from jobs to their dependencies, in reverse topological order. A
+    /// dependency must be done early enough for the critical path after it.
     pub(super) fn propagate_deadlines(&self, jobs: &mut BTreeMap<Id, Job>, estimates: &Estimates) {
         let mut unvisited_dependents = self.reset_inherited(jobs);
         let all: BTreeSet<&Id> = self.dependents.values().flatten().collect();
@@ -125,7 +126,7 @@
         }
     }
 
-    /// Forgets what dependencies inherited before; returns how many dependents each has.
+    /// Clears the inherited deadlines and priorities; returns the number of dependents of each dependency.
     fn reset_inherited(&self, jobs: &mut BTreeMap<Id, Job>) -> BTreeMap<Id, usize> {
         let mut counts = BTreeMap::new();
         for (id, dependents) in &self.dependents {
@@ -137,7 +138,7 @@
     }
 }
 
-/// The job has its own deadline and priority only.
+/// Resets the deadline and priority of a job to its own.
 pub(super) fn clear_inherited(job: &mut Job) {
     job.scheduling.inherited_deadline = None;
     job.scheduling.priority = job.spec.priority;
--- a/crates/core/src/leader/scheduler/dependency_graph/tests.rs
+++ b/crates/core/src/leader/scheduler/dependency_graph/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn deadlines_pass_back_over_the_critical_path() {
+fn deadlines_propagate_back_along_the_critical_path() {
     let (mut fixture, graph) = diamond();
     for id in ["a", "b", "c", "d"] {
         fixture.jobs.get_mut(id).expect("job").spec.estimated_run_s = 100.0;
@@ -32,7 +32,7 @@
     fixture.jobs.get_mut("d").expect("job").scheduling.priority = Priority::High;
     propagate(&mut fixture, &graph);
     let left_s = |id: &str| fixture.jobs[id].deadline().map(|due| (due - NOW.wall_ms) as f64 / 1000.0);
-    // A quarter of a heartbeat interval passes before each end is known.
+    // The end of a job is known a quarter of a heartbeat interval later.
     assert_eq!(left_s("b"), Some(1_000.0 - 100.75));
     assert_eq!(left_s("c"), Some(1_000.0 - 100.75));
     assert_eq!(left_s("a"), Some(1_000.0 - 100.75 - 300.75));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_was_inherited_is_forgotten_with_its_cause() {
+fn inherited_deadlines_are_cleared_when_the_dependent_is_removed() {
     let (mut fixture, mut graph) = diamond();
     fixture.jobs.get_mut("d").expect("job").spec.deadline_s = Some(1_000.0);
     propagate(&mut fixture, &graph);
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_entry_lasts_as_long_as_a_job_depends_on_it() {
+fn an_entry_exists_while_a_job_depends_on_it() {
     let (_, mut graph) = diamond();
     assert!(!graph.remove(&"a".into(), &"b".into()));
     assert!(graph.has_dependents(&"a".into()));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn final_records_are_read_when_due_and_a_few_at_a_time() {
+fn final_records_are_read_when_due_up_to_the_limit() {
     let (fixture, _) = diamond();
     let mut graph = DependencyGraph::default();
     for number in 0..6 {
--- a/crates/core/src/leader/scheduler/estimates.rs
+++ b/crates/core/src/leader/scheduler/estimates.rs
@@ -1,44 +1,45 @@
-//! Estimates of how long tasks run and images take to fetch.
+//! Estimates of task run times and image fetch times.
 
 use crate::model::Job;
 use shaleshunt_wire::cloud::Catalog;
 use std::collections::BTreeMap;
 
-/// The owner's estimate weighs as much as so many finished tasks of the class.
-const OWNER_WEIGHT_TASKS: f64 = 10.0;
+/// Weight of the user's estimate, as a number of finished tasks of the class.
+const USER_ESTIMATE_WEIGHT_TASKS: f64 = 10.0;
 
-/// Bounds of the factor by which a class corrects its owners' estimates.
-const LEAST_CORRECTION: f64 = 0.3;
-const MOST_CORRECTION: f64 = 3.0;
+/// Bounds of the factor by which the run times of a class correct the users' estimates.
+const MIN_CORRECTION_FACTOR: f64 = 0.3;
+const MAX_CORRECTION_FACTOR: f64 = 3.0;
 
-/// Actual and estimated run times of a class's finished tasks, summed, in seconds.
+/// Sums of the actual and estimated run times of the finished tasks of a class, in seconds.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct RuntimeStatistics {
     actual_s: f64,
     estimated_s: f64,
 }
 
-/// Run-time statistics of each class.
+/// Run-time statistics by class.
 #[derive(Debug, Default)]
 pub(crate) struct RuntimesByClass {
     classes: BTreeMap<String, RuntimeStatistics>,
 }
 
 impl RuntimesByClass {
-    /// Records that a task of `class` ran for `actual_s` and was estimated at `estimated_s`.
+    /// Records that a task of `class` ran for `actual_s` and was estimated to run for `estimated_s`.
     pub(crate) fn record(&mut self, class: &str, actual_s: f64, estimated_s: f64) {
         let statistics = self.classes.entry(class.to_string()).or_default();
         statistics.actual_s += actual_s;
         statistics.estimated_s += estimated_s;
     }
 
-    /// Estimated run time of one of the job's tasks, in seconds: the owner's estimate, corrected by how
-    /// far off the estimates of its class were.
+    /// Estimated run time of one task of the job, in seconds: the user's estimate, corrected by the error of
+    /// earlier estimates in the class.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        let seen = self.classes.get(&job.spec.class).copied().unwrap_or_default();
-        let weight = job.spec.estimated_run_s * OWNER_WEIGHT_TASKS;
-        let correction = if weight > 0.0 { (seen.actual_s + weight) / (seen.estimated_s + weight) } else { 1.0 };
-        job.spec.estimated_run_s * correction.clamp(LEAST_CORRECTION, MOST_CORRECTION)
+        let statistics = self.classes.get(&job.spec.class).copied().unwrap_or_default();
+        let weight = job.spec.estimated_run_s * USER_ESTIMATE_WEIGHT_TASKS;
+        let correction =
+            if weight > 0.0 { (statistics.actual_s + weight) / (statistics.estimated_s + weight) } else { 1.0 };
+        job.spec.estimated_run_s * correction.clamp(MIN_CORRECTION_FACTOR, MAX_CORRECTION_FACTOR)
     }
 }
 
@@ -52,17 +53,18 @@
 }
 
 impl Estimates<'_> {
-    /// Estimated run time of one of the job's tasks, in seconds.
+    /// Estimated run time of one task of the job, in seconds.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
         self.runtimes.run_s(job)
     }
 
-    /// Estimated run time of one of the job's tasks, in whole milliseconds.
+    /// Estimated run time of one task of the job, in whole milliseconds.
     pub(crate) fn run_ms(&self, job: &Job) -> u64 {
         (self.run_s(job) * 1000.0) as u64
     }
 
-    /// Time to fetch the job's image at the slowest known fetch rate, in seconds; zero if none is known.
+    /// Time to fetch the image of the job at the slowest fetch rate of the catalog, in seconds; zero if no rate is
+    /// known.
     pub(crate) fn image_fetch_s(&self, job: &Job) -> f64 {
         let rate = self
             .catalog
@@ -74,10 +76,10 @@
         if rate.is_finite() { job.spec.image_gb / rate } else { 0.0 }
     }
 
-    /// Time that the job adds to the critical path behind its dependencies, in milliseconds: its image
-    /// fetch, its run and the time until its end is heard of.
+    /// Time that the job adds to the critical path after its dependencies, in milliseconds: its image fetch, its
+    /// run time, and the delay until a heartbeat reports its end.
     pub(crate) fn critical_path_ms(&self, job: &Job) -> u64 {
-        let until_heard_s = self.heartbeat_interval_s / 4.0;
-        ((self.run_s(job) + self.image_fetch_s(job) + until_heard_s) * 1000.0) as u64
+        let report_delay_s = self.heartbeat_interval_s / 4.0;
+        ((self.run_s(job) + self.image_fetch_s(job) + report_delay_s) * 1000.0) as u64
     }
 }
--- a/crates/core/src/leader/scheduler/mod.rs
+++ b/crates/core/src/leader/scheduler/mod.rs
@@ -1,14 +1,14 @@
-//! The scheduler: which job goes first, which machine a task goes to, what is preempted for it, and which
-//! jobs are offloaded to rented machines.
+//! The scheduler decides the order of jobs, the machine for each task, which tasks are preempted, and which jobs
+//! are offloaded to rented machines.
 //!
-//! It owns what it keeps between passes over the queue: the dependency graph, the inputs of the order among
-//! jobs, usage by class and team, and run-time statistics. Jobs and machines belong to the leader and the
-//! fleet; decisions read them through a [`view::SchedulingView`] and return what is to be done, and
-//! [`pass`] and [`dependencies`] carry it out.
+//! The scheduler owns the state that is kept between scheduling passes: the dependency graph, the inputs of the
+//! job ranking, usage by class and team, and run-time statistics. Jobs belong to the leader and machines to the
+//! fleet. Decisions read both through a [`view::SchedulingView`] and return the actions to take; [`pass`] and
+//! [`dependencies`] carry these out.
 //!
-//! What always holds: usage is the sum over all placements on machines, which the leader reports as it adds
-//! and removes them; a job is placed only when nothing that it depends on is open. Only the leader calls in
-//! here; the autoscaler reads usage, estimates and constraints.
+//! Invariants: usage is the sum over all placements on machines, which the leader reports as it adds and removes
+//! them; a job is placed only when it has no open dependencies. Only the leader calls into this module; the
+//! autoscaler reads usage, estimates and constraints.
 
 pub(crate) mod candidates;
 pub(crate) mod constraints;
@@ -33,22 +33,22 @@
 use crate::leader::scheduler::usage::Usage;
 use crate::model::{Id, Job};
 
-/// What the scheduler keeps between passes over the queue.
+/// State that the scheduler keeps between scheduling passes.
 #[derive(Debug)]
 pub(crate) struct Scheduler {
     dependencies: DependencyGraph,
     usage: Usage,
     runtimes: RuntimesByClass,
     ranks: RankInputs,
-    /// Where the next sample of machines for a preemption begins.
+    /// The machine after which the next preemption search begins its sample; `None` starts at the first machine.
     preemption_sample_start: Option<Id>,
     pass_requested: bool,
-    /// No pass before this time (steady clock, ms).
+    /// Earliest time of the next pass (monotonic clock, ms).
     next_pass_at: u64,
 }
 
 impl Scheduler {
-    /// A scheduler that may make its first pass at `now` (steady clock, ms).
+    /// Creates a scheduler that may run its first pass at `now` (monotonic clock, ms).
     pub(crate) fn new(now: u64) -> Scheduler {
         Scheduler {
             dependencies: DependencyGraph::default(),
@@ -61,17 +61,17 @@
         }
     }
 
-    /// Something changed that may let tasks be placed: a pass is made as soon as one may be.
+    /// Requests a pass, as soon as one is allowed, after a change that may let tasks be placed.
     pub(crate) fn request_pass(&mut self) {
         self.pass_requested = true;
     }
 
-    /// Jobs came, went or became ready: the order among them is worked out anew before the next pass.
+    /// Has the job ranking recomputed before the next pass, after jobs were added, removed or became ready.
     pub(crate) fn jobs_changed(&mut self) {
         self.ranks.invalidate();
     }
 
-    /// Whether a pass is to be made now; it then counts as begun.
+    /// Returns whether a pass is due now, and if so marks the request as served.
     pub(crate) fn begin_pass(&mut self, now: u64) -> bool {
         let due = self.pass_requested && now >= self.next_pass_at;
         if due {
@@ -80,22 +80,22 @@
         due
     }
 
-    /// No further pass is made before this time (steady clock, ms).
+    /// Allows no further pass before `not_before` (monotonic clock, ms).
     pub(crate) fn delay_next_pass(&mut self, not_before: u64) {
         self.next_pass_at = not_before;
     }
 
-    /// What classes and teams have on machines.
+    /// Resources and task counts that classes and teams have placed on machines.
     pub(crate) fn usage(&self) -> &Usage {
         &self.usage
     }
 
-    /// To report placements that were added or removed.
+    /// Mutable usage, for reporting placements that were added or removed.
     pub(crate) fn usage_mut(&mut self) -> &mut Usage {
         &mut self.usage
     }
 
-    /// A task ran to its end: estimates of its class are corrected by it. Times in seconds.
+    /// Corrects the estimates of a class by a task that ran to its end. Times are in seconds.
     pub(crate) fn record_runtime(&mut self, class: &str, actual_s: f64, estimated_s: f64) {
         self.runtimes.record(class, actual_s, estimated_s);
     }
@@ -105,7 +105,7 @@
         self.runtimes.run_s(job)
     }
 
-    /// Estimates by what is known now.
+    /// Estimates from the run times recorded so far and the current catalog.
     pub(crate) fn estimates<'a>(&'a self, ctx: &'a Context) -> Estimates<'a> {
         Estimates {
             runtimes: &self.runtimes,
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -1,14 +1,17 @@
-//! Offloading: which jobs with deadlines go to rented machines, as in the paper.
+//! Offloading: the choice of jobs with deadlines whose tasks go to rented machines.
+//!
+//! The rules follow Skedulix: Das, Leaf, Varela, Patterson, "Skedulix: Hybrid Cloud Scheduling for Cost-Efficient
+//! Execution of Serverless Applications".
 
 use crate::leader::scheduler::view::SchedulingView;
 use crate::model::{Id, Job};
 use shaleshunt_wire::Resources;
 use std::collections::BTreeMap;
 
-/// Most slots counted on one machine.
+/// Limit on the slots counted on one machine.
 pub(super) const MAX_SLOTS_PER_MACHINE: i64 = 100_000;
 
-/// A job with a deadline that waits in its class's queue; the queue's order is the shortest run first.
+/// A job with a deadline in the queue of its class, which is ordered by run time, shortest first.
 #[derive(Clone, Copy)]
 struct QueuedJob<'a> {
     estimate_ms: u64,
@@ -20,27 +23,27 @@
         self.estimate_ms as f64 / 1000.0
     }
 
-    /// Run time of all its waiting tasks.
+    /// Run time of all waiting tasks.
     fn work_s(&self) -> f64 {
         self.estimate_s() * f64::from(self.job.waiting())
     }
 
-    /// Time left until its deadline.
+    /// Time left until the deadline.
     fn time_left_s(&self, wall_ms: u64) -> f64 {
         (self.job.deadline().unwrap_or(0) as f64 - wall_ms as f64) / 1000.0
     }
 }
 
-/// Jobs whose tasks go to rented machines: of each class what its owned slots cannot finish by the
-/// deadlines, then all jobs that depend on these. A job may be named more than once, also one that has
-/// been offloaded before.
+/// Returns the jobs whose tasks go to rented machines: of each class the jobs that its owned slots cannot finish
+/// by their deadlines, then all jobs that depend on these. A job may be listed more than once, and also if it is
+/// already offloaded.
 pub(crate) fn plan_offloading(view: &SchedulingView) -> Vec<Id> {
     let mut offloaded: Vec<Id> = Vec::new();
     for (class, queue) in deadline_queues(view) {
         let Some(first) = queue.first() else { continue };
         let slots = owned_slots(view, class, &first.job.need).max(1) as f64;
-        offloaded.extend(beyond_horizon(view, &queue, slots));
-        offloaded.extend(short_of_slack(view, &queue, slots));
+        offloaded.extend(exceeding_horizon(view, &queue, slots));
+        offloaded.extend(lacking_slack(view, &queue, slots));
     }
     let graph = &view.scheduler.dependencies;
     let dependents: Vec<Id> = offloaded.iter().flat_map(|id| graph.dependents_to_offload(view.jobs, id)).collect();
@@ -48,7 +51,7 @@
     offloaded
 }
 
-/// The queue of each class, shortest run first.
+/// The queue of each class, shortest run time first.
 fn deadline_queues<'a>(view: &SchedulingView<'a>) -> BTreeMap<&'a str, Vec<QueuedJob<'a>>> {
     let mut queues: BTreeMap<&str, Vec<QueuedJob>> = BTreeMap::new();
     let waits = |job: &&Job| !job.cancelled && job.deadline().is_some() && job.waiting() > 0;
@@ -62,8 +65,8 @@
     queues
 }
 
-/// From the tail of the queue: what the slots cannot work off by the latest deadline.
-fn beyond_horizon(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
+/// Selects jobs from the tail of the queue until the slots can finish the rest by the latest deadline.
+fn exceeding_horizon(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
     let wall_ms = view.now.wall_ms;
     let mut work_s: f64 = queue.iter().map(QueuedJob::work_s).sum();
     let horizon_s = queue.iter().map(|queued| queued.time_left_s(wall_ms)).fold(0.0, f64::max);
@@ -78,24 +81,24 @@
     offloaded
 }
 
-/// Whatever has less slack than a rented machine's boot takes, counting the work queued before it over
-/// the slots, its image fetch and its own run.
-fn short_of_slack(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
-    let mut ahead_s = 0.0;
+/// Selects jobs with less slack than a rented machine takes to boot. The slack accounts for the work queued before
+/// the job, divided by the slots, for its image fetch and for its run time.
+fn lacking_slack(view: &SchedulingView, queue: &[QueuedJob], slots: f64) -> Vec<Id> {
+    let mut work_ahead_s = 0.0;
     let mut offloaded = Vec::new();
     for queued in queue {
         let time_left_s = queued.time_left_s(view.now.wall_ms);
         let fetch_s = view.estimates.image_fetch_s(queued.job);
-        let slack_s = time_left_s - ahead_s / slots - queued.estimate_s() - fetch_s;
+        let slack_s = time_left_s - work_ahead_s / slots - queued.estimate_s() - fetch_s;
         if slack_s < view.tuning.boot_allowance_s {
             offloaded.push(queued.job.id.clone());
         }
-        ahead_s += queued.work_s();
+        work_ahead_s += queued.work_s();
     }
     offloaded
 }
 
-/// A class's owned slots: its tasks on owned machines and how many more fit there.
+/// Owned slots of a class: its tasks on owned machines and the number of further tasks that fit there.
 fn owned_slots(view: &SchedulingView, class: &str, need: &Resources) -> i64 {
     view.work.examined(view.machines.count_with_cores(need.cores));
     let free: i64 = view
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -1,5 +1,5 @@
-//! Overload: which jobs without deadlines yield to others of their class, so that the fewest miss their
-//! objective.
+//! Overload: the choice of jobs without deadlines that yield to others of their class so that the fewest miss
+//! their objective.
 
 use crate::leader::scheduler::constraints::{MachineKind, allows};
 use crate::leader::scheduler::offloading::MAX_SLOTS_PER_MACHINE;
@@ -9,34 +9,35 @@
 use crate::settings::ServiceObjective;
 use std::collections::{BTreeMap, BinaryHeap};
 
-/// An objective on starts that is shorter than so many heartbeat intervals, about a fetch or a round,
-/// says nothing about the order.
-const LEAST_START_OBJECTIVE_HEARTBEATS: f64 = 3.0;
+/// A start objective of fewer heartbeat intervals than this is ignored: it is about as short as an image fetch or
+/// an autoscaler interval, so the order of jobs has little effect on it.
+const MIN_START_OBJECTIVE_HEARTBEATS: f64 = 3.0;
 
-/// By how many levels of its class's objective each job yields; jobs that don't yield are absent.
+/// Returns the number of objective levels by which each job yields to others of its class; jobs that don't yield
+/// are absent.
 pub(super) fn yield_levels(view: &SchedulingView) -> BTreeMap<Id, u8> {
     let mut classes: BTreeMap<&str, Vec<&Job>> = BTreeMap::new();
-    let may_yield = |job: &&Job| is_placeable(job, view.now) && !job.is_service() && job.deadline().is_none();
-    for job in view.jobs.values().filter(may_yield) {
+    let is_yield_candidate = |job: &&Job| is_placeable(job, view.now) && !job.is_service() && job.deadline().is_none();
+    for job in view.jobs.values().filter(is_yield_candidate) {
         classes.entry(&job.spec.class).or_default().push(job);
     }
     let mut levels = BTreeMap::new();
     for (class, jobs) in classes {
-        let (Some(objective), Some(first)) = (view.settings.objectives.get(class), jobs.first()) else { continue };
-        let slots = class_slots(view, class, first).max(1) as f64;
+        let (Some(objective), Some(sample_job)) = (view.settings.objectives.get(class), jobs.first()) else { continue };
+        let slots = class_slots(view, class, sample_job).max(1) as f64;
         ClassOverload { view, objective, slots }.assign_levels(jobs, &mut levels);
     }
     levels
 }
 
-/// One class's jobs against its objective and its slots.
+/// The jobs of one class, compared with its objective and its slots.
 struct ClassOverload<'a, 'b> {
     view: &'b SchedulingView<'a>,
     objective: &'b ServiceObjective,
     slots: f64,
 }
 
-/// A job and the time left for its work by the objective of one level.
+/// A job and the time remaining for its work under the objective of one level.
 struct TimedJob<'a> {
     time_left_s: f64,
     job: &'a Job,
@@ -44,35 +45,36 @@
 
 /// A job that meets its objective so far; the greatest has the most work.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
-struct KeptJob<'a> {
+struct OnTimeJob<'a> {
     work_ms: u64,
     id: &'a Id,
 }
 
-/// Outcome of one level: the jobs that miss it, and the work of those that meet it.
+/// Result for one level: the jobs that miss its objective, and the work of the jobs that meet it, those of earlier
+/// levels included.
 struct LevelOutcome<'a> {
     late: Vec<&'a Job>,
     work_s: f64,
 }
 
 impl<'a> ClassOverload<'a, '_> {
-    /// Raises by one level, again and again, the jobs that miss the objective of their level. With room
-    /// for all none is raised.
+    /// Moves jobs that miss the objective of their level to the next level, repeatedly. If there is room for all
+    /// jobs, none is moved.
     fn assign_levels(&self, jobs: Vec<&'a Job>, levels: &mut BTreeMap<Id, u8>) {
-        let mut left = jobs;
-        // Work of the jobs of earlier levels.
+        let mut remaining = jobs;
+        // Work of the jobs that meet the objectives of earlier levels.
         let mut work_before_s = 0.0;
         for level in 0..=self.objective.start_s.len() as u8 {
-            let order = self.by_time_left(&left, level);
+            let order = self.by_time_left(&remaining, level);
             if order.is_empty() {
                 break;
             }
-            let outcome = self.fewest_late(order, work_before_s);
+            let outcome = self.minimize_late_jobs(order, work_before_s);
             for job in &outcome.late {
                 levels.insert(job.id.clone(), level + 1);
             }
             work_before_s = outcome.work_s;
-            left = outcome.late;
+            remaining = outcome.late;
         }
     }
 
@@ -83,23 +85,23 @@
         order
     }
 
-    /// Time left for the job's work by the objective of this level. An objective on starts leaves the
-    /// last task's own run time on top.
+    /// Time remaining for the work of the job under the objective of this level. The objective bounds the start of
+    /// the last task, so the run time of that task is added.
     fn time_left_s(&self, job: &Job, level: u8) -> Option<f64> {
         let mut objectives_s = self.objective.start_s.clone();
         objectives_s.sort_by(f64::total_cmp);
         let start_s = objectives_s.get(usize::from(level)).copied()?;
-        if start_s <= self.view.settings.heartbeat_interval_s * LEAST_START_OBJECTIVE_HEARTBEATS {
+        if start_s <= self.view.settings.heartbeat_interval_s * MIN_START_OBJECTIVE_HEARTBEATS {
             return None;
         }
         let age_s = (self.view.now.wall_ms as f64 - job.scheduling.ready_at as f64) / 1000.0;
         Some(start_s + self.view.estimates.run_s(job) - age_s)
     }
 
-    /// Moore's rule, which leaves the fewest jobs late: jobs are taken by the time at which each must be
-    /// done, and whenever the work so far does not fit before that, the job with the most work is late.
-    fn fewest_late(&self, order: Vec<TimedJob<'a>>, work_before_s: f64) -> LevelOutcome<'a> {
-        let mut kept: BinaryHeap<KeptJob> = BinaryHeap::new();
+    /// The Moore-Hodgson algorithm, which minimizes the number of late jobs: jobs are added in the order of their
+    /// due times, and whenever the work so far doesn't fit, the job with the most work becomes late.
+    fn minimize_late_jobs(&self, order: Vec<TimedJob<'a>>, work_before_s: f64) -> LevelOutcome<'a> {
+        let mut on_time: BinaryHeap<OnTimeJob> = BinaryHeap::new();
         let mut outcome = LevelOutcome { late: Vec::new(), work_s: work_before_s };
         for TimedJob { time_left_s, job } in order {
             let estimate_s = self.view.estimates.run_s(job);
@@ -108,12 +110,12 @@
                 outcome.late.push(job);
                 continue;
             }
-            kept.push(KeptJob { work_ms: (work_s * 1000.0) as u64, id: &job.id });
+            on_time.push(OnTimeJob { work_ms: (work_s * 1000.0) as u64, id: &job.id });
             outcome.work_s += work_s;
-            // The last task starts when the work before it is under way and ends an estimate later.
+            // The last task starts while the work before it is running, and ends one estimated run time later.
             let overdue = outcome.work_s > time_left_s - estimate_s * 0.5
                 && outcome.work_s > time_left_s - work_s.min(estimate_s);
-            if overdue && let Some(largest) = kept.pop() {
+            if overdue && let Some(largest) = on_time.pop() {
                 outcome.work_s -= largest.work_ms as f64 / 1000.0;
                 outcome.late.extend(self.view.jobs.get(largest.id));
             }
@@ -122,7 +124,7 @@
     }
 }
 
-/// A class's slots: its tasks on machines and how many more fit on all that its jobs may use.
+/// Slots of a class: its placed tasks and the number of further tasks that fit on machines that its jobs may use.
 fn class_slots(view: &SchedulingView, class: &str, job: &Job) -> i64 {
     view.work.examined(view.machines.count_with_cores(job.need.cores));
     let free: i64 = view
@@ -132,7 +134,7 @@
         .filter(|machine| allows(job, MachineKind::of(machine)))
         .map(|machine| machine.free().times(&job.need, MAX_SLOTS_PER_MACHINE))
         .sum();
-    free + view.scheduler.usage.of_class(class).all
+    free + view.scheduler.usage.of_class(class).total
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/scheduler/overload/tests.rs
+++ b/crates/core/src/leader/scheduler/overload/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::leader::scheduler::fixture::{Fixture, set_tasks};
 
-/// One machine with four slots for a class with objectives on starts.
+/// One machine with four slots, for a class with the given start objectives.
 fn fixture(start_s: &[f64]) -> Fixture {
     let mut fixture = Fixture::new();
     let objective = ServiceObjective { start_s: start_s.to_vec(), ..ServiceObjective::default() };
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn with_room_for_all_nothing_yields() {
+fn no_job_yields_when_all_fit() {
     let mut fixture = fixture(&[120.0]);
     for id in ["a", "b"] {
         fixture.add_job(id, |j| j.spec.tasks = 4);
@@ -24,19 +24,19 @@
 }
 
 #[test]
-fn under_overload_the_job_with_the_most_work_yields() {
+fn the_job_with_the_most_work_yields_under_overload() {
     let mut fixture = fixture(&[120.0]);
     for (id, tasks) in [("large", 40), ("middle", 5), ("small", 4)] {
         fixture.add_job(id, |j| j.spec.tasks = tasks);
     }
     assert_eq!(levels(&fixture), [("large".to_string(), 1)]);
-    // 180 s are left for the last task's end, and half an estimate of them for its start.
+    // The last task must end within 180 s, of which half of its estimate is reserved.
     set_tasks(fixture.jobs.get_mut("middle").expect("job"), 8);
     assert_eq!(levels(&fixture), [("large".to_string(), 1), ("middle".to_string(), 1)]);
 }
 
 #[test]
-fn what_yields_counts_with_the_next_objective() {
+fn a_yielding_job_is_measured_by_the_next_objective() {
     let mut fixture = fixture(&[60.0, 6_000.0]);
     for (id, tasks) in [("large", 40), ("small", 4)] {
         fixture.add_job(id, |j| j.spec.tasks = tasks);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn classes_without_a_useful_objective_and_jobs_with_deadlines_never_yield() {
+fn jobs_with_deadlines_or_without_a_usable_objective_never_yield() {
     let cases: [(&str, &[f64], Option<f64>); 3] = [
         ("no objective", &[], None),
         ("shorter than three heartbeats", &[9.0], None),
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -1,6 +1,6 @@
-//! A pass over the queue: carries out what queue order, offloading, placement and preemption decide.
+//! A scheduling pass: carries out the decisions of job ranking, offloading, placement and preemption.
 //!
-//! Placements made here are plans. No command leaves for them before they are committed.
+//! A placement made here is only planned. No command is sent for it before it is committed.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -19,22 +19,22 @@
 use shaleshunt_wire::{Attempt, Resources};
 use std::collections::BTreeSet;
 
-/// Most searches for tasks to preempt in one pass: a search takes time whether it finds some or not.
-const PREEMPTION_SEARCHES: u32 = 8;
+/// Limit on preemption searches in one pass: a search costs processor time whether or not it succeeds.
+const MAX_PREEMPTION_SEARCHES_PER_PASS: u32 = 8;
 
-/// A job that has only failed so many times in a row is tried with one task at a time.
+/// After this many failures and no success, a job is tried with one task at a time.
 const FAILURES_BEFORE_SINGLE_TASK: u32 = 3;
 
-/// What one pass has learnt and may still do.
+/// Results of the searches of one pass, and what is left of its limits.
 struct Pass {
-    /// Machines examined since the node began, when the pass did.
+    /// Count of machines examined since the process started, as of the start of the pass.
     examined_at_start: u64,
-    /// Demands that found no room: they find none again in this pass.
+    /// Demands that found too little room. They are not searched for again in this pass.
     unplaceable: Vec<PlacementDemand>,
     preemption_searches_left: u32,
 }
 
-/// What decides, zone balance aside, which machines a task may use.
+/// The properties of a job that decide which machines its tasks may use, apart from zone balance.
 #[derive(Debug)]
 struct PlacementDemand {
     need: Resources,
@@ -55,9 +55,9 @@
         }
     }
 
-    /// Whether no machine has room for a task of `job` if none has for this: it needs as much or more,
-    /// of machines that this may use too.
-    fn includes(&self, job: &Job) -> bool {
+    /// Whether a lack of room for this demand implies a lack of room for a task of `job`: the task needs at least
+    /// as much, and may use no machine that this demand may not.
+    fn rules_out(&self, job: &Job) -> bool {
         let spec = &job.spec;
         job.need.fits(&self.need)
             && (self.spot || !spec.spot)
@@ -68,14 +68,15 @@
 }
 
 impl Pass {
-    /// Machines for up to `tasks` of the job; none are looked for where there cannot be any.
+    /// Finds machines for up to `tasks` tasks of the job. Skips the search if an earlier one in this pass rules
+    /// out a result.
     fn find_machines(&mut self, view: &SchedulingView, job: &Job, tasks: u32) -> Vec<Id> {
-        if self.unplaceable.iter().any(|demand| demand.includes(job)) {
+        if self.unplaceable.iter().any(|demand| demand.rules_out(job)) {
             return Vec::new();
         }
         let search = Search { zone: None, max_candidates: self.max_candidates(view, tasks) };
         let machines = find_machines(view, job, tasks, search);
-        // A job that keeps zones in balance, or off machines where it failed, says nothing about others.
+        // A search restricted by zone balance or by failures on machines tells nothing about other jobs.
         let unrestricted = !job.spec.single_zone && !job.spec.spread_zones && job.failures.machines.is_empty();
         if unrestricted && (machines.len() as u32) < tasks {
             self.unplaceable.push(PlacementDemand::of(job));
@@ -83,8 +84,9 @@
         machines
     }
 
-    /// How many candidates a job may choose from: any number until the pass has examined as many machines
-    /// as it may, then a sample, so that a pass ends in time however large fleet and queue are.
+    /// Limit on the candidates that a job may choose from. There is none until the pass has examined its budget of
+    /// machines; after that each job gets a sample, which bounds the duration of a pass for any size of fleet and
+    /// queue.
     fn max_candidates(&self, view: &SchedulingView, tasks: u32) -> Option<usize> {
         let examined = view.work.done().machines_examined - self.examined_at_start;
         if (examined as f64) < view.tuning.pass_machines {
@@ -94,15 +96,15 @@
     }
 }
 
-/// How many tasks of the job may be placed now.
+/// Number of tasks of the job that may be placed now.
 fn tasks_to_place(view: &SchedulingView, job: &Job) -> u32 {
     let tasks = job.waiting().min(view.team_headroom(job));
-    let only_failed =
+    let all_failed =
         job.failures.count >= FAILURES_BEFORE_SINGLE_TASK && job.tasks.done_count() == 0 && !job.is_service();
-    if only_failed { tasks.min(u32::from(!job.tasks.has_placements())) } else { tasks }
+    if all_failed { tasks.min(u32::from(!job.tasks.has_placements())) } else { tasks }
 }
 
-/// Zones that a gang is tried in, one after the other; `None` stands for all together.
+/// Zones to try for a gang, one after the other; `None` stands for all zones together.
 fn zones_to_try(view: &SchedulingView, job: &Job) -> Vec<Option<String>> {
     if !job.spec.single_zone || job.spec.zone.is_some() {
         return vec![None];
@@ -111,10 +113,10 @@
     zones.into_iter().map(Some).collect()
 }
 
-/// Machines for all waiting tasks of a gang, or nothing.
+/// Finds machines for all waiting tasks of a gang; returns `None` if there are too few.
 fn find_gang_machines(view: &SchedulingView, job: &Job) -> Option<Vec<Id>> {
-    // The tasks share an attempt, by which they find each other; so a gang that lost a task starts anew
-    // when all have ended.
+    // The tasks of a gang find each other by their common attempt, so a gang that lost a task restarts only when
+    // all of its tasks have ended.
     let tasks = job.waiting();
     if job.tasks.has_placements() || view.team_headroom(job) < tasks {
         return None;
@@ -129,16 +131,16 @@
     None
 }
 
-/// A job whose tasks are being placed one by one.
+/// A job whose tasks are placed one by one.
 struct JobPlacement {
     job: Id,
-    /// The job is to start sooner than its image can be fetched.
+    /// Whether the start objective of the job is shorter than its image fetch.
     start_before_fetch: bool,
     may_preempt: bool,
 }
 
 impl Leader {
-    /// What scheduling decisions read.
+    /// The view that scheduling decisions read.
     pub(crate) fn scheduling_view<'a>(&'a self, ctx: &'a Context) -> SchedulingView<'a> {
         SchedulingView {
             jobs: &self.jobs,
@@ -152,13 +154,13 @@
         }
     }
 
-    /// One pass over the queue: places what can be placed.
+    /// Runs one scheduling pass over the queue.
     pub(crate) fn schedule(&mut self, ctx: &mut Context) {
         ctx.work.pass();
         let mut pass = Pass {
             examined_at_start: ctx.work.done().machines_examined,
             unplaceable: Vec::new(),
-            preemption_searches_left: PREEMPTION_SEARCHES,
+            preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
         };
         self.offload(ctx);
         self.refresh_ranks(ctx);
@@ -171,7 +173,7 @@
         }
     }
 
-    /// Marks jobs whose tasks go to rented machines.
+    /// Marks the jobs whose tasks are to go to rented machines.
     fn offload(&mut self, ctx: &mut Context) {
         for id in plan_offloading(&self.scheduling_view(ctx)) {
             let Some(job) = self.jobs.get_mut(&id).filter(|job| !job.scheduling.offloaded) else { continue };
@@ -180,7 +182,7 @@
         }
     }
 
-    /// Works out anew, if that is due, what the order among jobs depends on.
+    /// Recomputes the inputs of the job ranking if they are due.
     fn refresh_ranks(&mut self, ctx: &Context) {
         let interval_ms = (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
         if !self.scheduler.ranks.begin_refresh(ctx.now.monotonic_ms, interval_ms) {
@@ -200,7 +202,7 @@
         ranks.spot_estimate_limit_s = spot_estimate_limit_s;
     }
 
-    /// Places tasks of a job, with preemption where it has none else and may.
+    /// Places tasks of a job, with preemption for tasks without a machine if the job may preempt.
     fn place_tasks(&mut self, ctx: &mut Context, id: &Id, pass: &mut Pass) {
         let view = self.scheduling_view(ctx);
         let Some(job) = self.jobs.get(id) else { return };
@@ -216,23 +218,23 @@
         let mut first_task = 0;
         for _ in 0..tasks {
             let Some(task) = self.jobs.get(id).and_then(|job| job.next_free(first_task)) else { break };
-            // A task placed by preemption may have taken what a zone could still have.
-            let found = machines.find(|machine| self.zone_still_allows(id, machine));
-            let Some(machine) = self.preempt_unless_suited(ctx, &placement, found, pass) else { break };
+            // A task placed by preemption may have used up the headroom of the zone.
+            let found = machines.find(|machine| self.zone_has_headroom(id, machine));
+            let Some(machine) = self.preempt_if_unsuitable(ctx, &placement, found, pass) else { break };
             first_task = task + 1;
             self.plan_task(ctx.now.monotonic_ms, id, task, &machine, attempt);
         }
     }
 
-    /// Whether a further task of the job may be in the machine's zone.
-    fn zone_still_allows(&self, id: &Id, machine: &Id) -> bool {
+    /// Whether the zone of the machine has headroom for another task of the job.
+    fn zone_has_headroom(&self, id: &Id, machine: &Id) -> bool {
         let job_and_machine = self.jobs.get(id).zip(self.fleet.machines.get(machine));
         job_and_machine.is_some_and(|(job, machine)| zone_headroom(job, &machine.zone) > 0)
     }
 
-    /// The machine found for a task, unless there is none or its image would have to be fetched first by a
-    /// job that must start sooner: then one where preemption makes room, if it does.
-    fn preempt_unless_suited(
+    /// Returns the machine found for a task. If there is none, or a job with a short start objective would first
+    /// have to fetch its image there, returns a machine on which preemption makes room, if possible.
+    fn preempt_if_unsuitable(
         &mut self,
         ctx: &mut Context,
         placement: &JobPlacement,
@@ -258,7 +260,7 @@
         job_and_machine.is_some_and(|(job, machine)| !machine.images.contains(job.image))
     }
 
-    /// Stops less urgent tasks for one of this job; returns the machine that has room then.
+    /// Stops tasks to make room for one task of this job; returns the machine that then has room.
     fn preempt(&mut self, ctx: &mut Context, id: &Id, reason: PreemptionReason) -> Option<Id> {
         let view = self.scheduling_view(ctx);
         let job = self.jobs.get(id)?;
@@ -276,7 +278,7 @@
         Some(preemption.machine)
     }
 
-    /// Places all waiting tasks of a gang together, or none.
+    /// Places all waiting tasks of a gang, or none.
     fn place_gang(&mut self, ctx: &Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
         let Some(machines) = find_gang_machines(&self.scheduling_view(ctx), job) else { return };
@@ -289,7 +291,7 @@
         }
     }
 
-    /// Plans a task's placement on a machine.
+    /// Adds a planned placement of a task on a machine.
     fn plan_task(&mut self, now: u64, id: &Id, task: u32, machine: &Id, attempt: Attempt) {
         let placement_id = self.next_placement_id();
         let Some(agent_epoch) = self.fleet.machines.get(machine).map(|machine| machine.agent.epoch) else { return };
--- a/crates/core/src/leader/scheduler/placement.rs
+++ b/crates/core/src/leader/scheduler/placement.rs
@@ -1,19 +1,20 @@
-//! Which machines a job's tasks go to: bin packing for most jobs, spreading for those that keep apart.
+//! Choice of machines for the tasks of a job: bin packing for most jobs, spreading for replicas and spread zones.
 
-use crate::leader::scheduler::candidates::{Candidate, Preference, Search, find_candidates, keeps_apart};
+use crate::leader::scheduler::candidates::{Candidate, Preference, Search, find_candidates, spreads_tasks};
 use crate::leader::scheduler::constraints::{tasks_in_zone, zone_headroom};
 use crate::leader::scheduler::view::SchedulingView;
 use crate::model::{Id, Job};
 use std::collections::BTreeMap;
 
-/// Machines for up to `tasks` further tasks of the job, one entry for each task, best first. One search
-/// serves all the job's tasks.
+/// Returns machines for up to `tasks` further tasks of the job, best first, with one entry per task. One search
+/// serves all tasks of the job.
 pub(crate) fn find_machines(view: &SchedulingView, job: &Job, tasks: u32, search: Search) -> Vec<Id> {
     let candidates = find_candidates(view, job, tasks, search);
-    if keeps_apart(job) { spread(job, candidates, tasks) } else { pack(job, candidates, tasks, search) }
+    if spreads_tasks(job) { spread(job, candidates, tasks) } else { pack(job, candidates, tasks, search) }
 }
 
-/// Order among machines for tasks that keep apart, best first: the fields count in this order.
+/// Sort key of a machine for tasks that are spread, best first. The fields are compared in the order of their
+/// declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct SpreadRank {
     suspect: bool,
@@ -24,7 +25,7 @@
     free_cores_rank: i64,
 }
 
-/// Puts each task where the fewest others of the job are; zones and machines are rated anew after each.
+/// Puts each task where the job has the fewest tasks. Zones and machines are ranked again after each task.
 fn spread(job: &Job, mut candidates: Vec<Candidate>, tasks: u32) -> Vec<Id> {
     let mut by_zone: BTreeMap<&str, u32> = BTreeMap::new();
     for candidate in &candidates {
@@ -54,7 +55,8 @@
     found
 }
 
-/// Order among machines for tasks that are packed, best first: the fields count in this order.
+/// Sort key of a machine for tasks that are packed, best first. The fields are compared in the order of their
+/// declaration.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct PackRank {
     suspect: bool,
@@ -64,7 +66,7 @@
     free_cores_rank: i64,
 }
 
-/// Fills one machine after the other, in the job's home zone first.
+/// Fills one machine after the other, starting in the home zone of the job.
 fn pack(job: &Job, mut candidates: Vec<Candidate>, tasks: u32, search: Search) -> Vec<Id> {
     if job.spec.single_zone && search.zone.is_none() {
         keep_largest_zone(&mut candidates);
@@ -88,7 +90,7 @@
     found
 }
 
-/// Keeps the candidates of the zone with the most capacity.
+/// Keeps only the candidates of the zone with the most capacity.
 fn keep_largest_zone(candidates: &mut Vec<Candidate>) {
     let mut capacity: BTreeMap<&str, u32> = BTreeMap::new();
     for candidate in candidates.iter() {
@@ -98,16 +100,16 @@
     candidates.retain(|candidate| Some(&candidate.machine.zone) == largest.as_ref());
 }
 
-/// What a job has and could have in a zone; the greatest is its home.
+/// Placed tasks of a job in a zone and room for more. The zone with the greatest value is the home zone.
 #[derive(Default, PartialEq, Eq, PartialOrd, Ord)]
 struct ZoneShare {
     placed: u32,
     capacity: u32,
 }
 
-/// The zone that the job's tasks are kept together in. A job is done when its last task is: kept
-/// together, fewer jobs lose tasks to the partition of a zone. It is where the job has most tasks
-/// already, else where most of it finds room.
+/// Returns the zone in which the tasks of the job are kept together: where the job has the most tasks already,
+/// else where most of it fits. A job ends with its last task, so a partitioned zone delays fewer jobs if each has
+/// its tasks in one zone.
 fn home_zone<'a>(job: &Job, candidates: &[Candidate<'a>]) -> Option<&'a str> {
     let mut zones: BTreeMap<&str, ZoneShare> = BTreeMap::new();
     for candidate in candidates {
--- a/crates/core/src/leader/scheduler/placement/tests.rs
+++ b/crates/core/src/leader/scheduler/placement/tests.rs
@@ -7,7 +7,7 @@
 
 const ANYWHERE: Search = Search { zone: None, max_candidates: None };
 
-/// Which of two machines a job's only task goes to: the one that is better by the rule.
+/// Two machines, of which the only task of a job goes to the better one.
 struct Case {
     name: &'static str,
     job: ChangeJob,
@@ -24,18 +24,18 @@
 }
 
 #[test]
-fn a_task_goes_to_the_machine_that_suits_it_best() {
+fn a_task_goes_to_the_best_ranked_machine() {
     let plain: ChangeMachine = |_| {};
     let batch: ChangeJob = |_| {};
     let high: ChangeJob = |j| j.scheduling.priority = Priority::High;
     let cases = [
-        Case { name: "holds the image", job: batch, better: with_image, worse: plain },
+        Case { name: "holding the image", job: batch, better: with_image, worse: plain },
         Case { name: "owned", job: batch, better: plain, worse: |m| m.owned = false },
-        Case { name: "the emptiest, for what may be preempted", job: batch, better: plain, worse: half_full },
-        Case { name: "the fullest, for what may preempt", job: high, better: half_full, worse: plain },
-        Case { name: "image before emptiness", job: batch, better: |m| (with_image(m), half_full(m)).1, worse: plain },
+        Case { name: "the emptiest, for a preemptible job", job: batch, better: plain, worse: half_full },
+        Case { name: "the fullest, for a preempting job", job: high, better: half_full, worse: plain },
+        Case { name: "image before free cores", job: batch, better: |m| (with_image(m), half_full(m)).1, worse: plain },
         Case {
-            name: "on demand before image",
+            name: "not on probation, before image",
             job: batch,
             better: plain,
             worse: |m| {
@@ -45,13 +45,13 @@
             },
         },
         Case {
-            name: "offloaded spot jobs on spot machines",
+            name: "spot, for an offloaded spot job",
             job: |j| (j.spec.spot, j.scheduling.offloaded) = (true, true),
             better: |m| m.spot = true,
             worse: with_image,
         },
         Case {
-            name: "long spot jobs elsewhere",
+            name: "on demand, for a long spot job",
             job: |j| j.spec.spot = true,
             better: plain,
             worse: |m| {
@@ -62,7 +62,7 @@
     ];
     for case in cases {
         let mut fixture = Fixture::new();
-        // Names are chosen against the order, so that it does not come from them.
+        // The IDs sort against the expected order, so that they can't produce it.
         fixture.add_machine("z-better", case.better);
         fixture.add_machine("a-worse", case.worse);
         let id = fixture.add_job("job", case.job);
@@ -72,20 +72,20 @@
 }
 
 #[test]
-fn machines_that_cannot_take_a_task_are_left_out() {
+fn machines_that_cannot_take_a_task_are_excluded() {
     let cases: [(&str, ChangeJob, ChangeMachine); 11] = [
         ("no room", |_| {}, |m| m.capacity.used = Resources::new(13.0, 0.0, 1.0)),
         ("no accelerators", |j| j.need = Resources::new(1.0, 1.0, 1.0), |_| {}),
-        ("not recorded", |_| {}, |m| m.record.committed = false),
+        ("record not committed", |_| {}, |m| m.record.committed = false),
         ("in quarantine", |_| {}, |m| m.health.quarantined_until = NOW.monotonic_ms + 1),
-        ("silent", |_| {}, |m| m.agent.last_heard = Some(NOW.monotonic_ms - 7_500)),
-        ("slow", |_| {}, |m| m.health.slow_until = NOW.monotonic_ms + 1),
-        ("spot", |_| {}, |m| m.spot = true),
+        ("unreachable", |_| {}, |m| m.agent.last_heard = Some(NOW.monotonic_ms - 7_500)),
+        ("slow machine", |_| {}, |m| m.health.slow_until = NOW.monotonic_ms + 1),
+        ("spot machine", |_| {}, |m| m.spot = true),
         ("other type", |j| j.spec.machine_types = Some(vec!["big".into()]), |_| {}),
         ("other zone", |j| j.spec.zone = Some("b".into()), |_| {}),
-        ("failed there", |j| j.failures.machines = ["machine".into()].into(), |_| {}),
+        ("a task failed there", |j| j.failures.machines = ["machine".into()].into(), |_| {}),
         (
-            "has tasks elsewhere",
+            "single-zone job with a task in another zone",
             |j| {
                 j.spec.single_zone = true;
                 set_tasks(j, 2);
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_job_that_failed_on_many_machines_uses_them_again() {
+fn a_job_that_failed_on_many_machines_no_longer_avoids_them() {
     let mut fixture = Fixture::new();
     fixture.add_machine("one", |_| {});
     let id = fixture.add_job("job", |j| j.failures.machines = ["one".into(), "two".into(), "three".into()].into());
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn tasks_are_packed_and_one_machine_on_probation_gets_one() {
+fn tasks_are_packed_and_a_machine_on_probation_gets_one() {
     let mut fixture = Fixture::new();
     fixture.add_machine("full", |m| m.capacity.used = Resources::new(8.0, 0.0, 1.0));
     fixture.add_machine("empty", |_| {});
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_job_is_kept_together_in_its_home_zone() {
+fn tasks_of_a_job_are_kept_together_in_its_home_zone() {
     let mut fixture = Fixture::new();
     fixture.add_machine("a-1", |m| m.zone = "a".into());
     fixture.add_machine("b-1", |m| m.zone = "b".into());
@@ -132,18 +132,18 @@
         let found = find_machines(&fixture.view(), &fixture.jobs[&id], 5, ANYWHERE);
         names(&found).into_iter().map(str::to_string).collect::<Vec<_>>()
     };
-    // Most room is in b.
+    // Zone b has the most room.
     assert_eq!(found(&fixture), ["b-1", "b-1", "b-1", "b-1", "b-2"]);
-    // But where it has a task already counts more.
+    // A zone that has a task of the job is preferred to one with more room.
     fixture.run_task(&id, &"a-1".into(), 1);
     assert_eq!(found(&fixture), ["a-1", "a-1", "a-1", "b-1", "b-1"]);
-    // All in one zone: in that or nowhere.
+    // A single-zone job stays in the zone of its task.
     fixture.jobs.get_mut(&id).expect("job").spec.single_zone = true;
     assert_eq!(found(&fixture), ["a-1", "a-1", "a-1"]);
 }
 
 #[test]
-fn replicas_keep_apart() {
+fn tasks_of_services_and_spread_jobs_are_spread() {
     let mut fixture = Fixture::new();
     fixture.add_machine("a-1", |m| m.zone = "a".into());
     fixture.add_machine("a-2", |m| m.zone = "a".into());
@@ -151,7 +151,7 @@
     let service = fixture.add_job("service", |j| (j.spec.kind, j.spec.tasks) = (JobKind::Service, 4));
     let found = find_machines(&fixture.view(), &fixture.jobs[&service], 4, ANYWHERE);
     assert_eq!(names(&found), ["a-1", "b-1", "a-2", "b-1"]);
-    // At most half of the tasks in one zone.
+    // At most half of the tasks may be in one zone.
     let spread = fixture.add_job("spread", |j| (j.spec.spread_zones, j.spec.tasks) = (true, 3));
     fixture.machines.remove("a-2");
     fixture.machines.remove("a-1");
@@ -160,7 +160,7 @@
 }
 
 #[test]
-fn a_job_that_must_start_before_a_fetch_prefers_the_image_to_everything() {
+fn a_job_that_must_start_before_its_image_fetch_ranks_the_image_first() {
     let mut fixture = Fixture::new();
     fixture.add_machine_type("std", 1.0, 0.5, &["a"]);
     let objective = ServiceObjective { start_s: vec![5.0], ..ServiceObjective::default() };
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_limited_search_examines_no_more_than_it_needs() {
+fn a_limited_search_stops_at_its_candidate_limit() {
     let mut fixture = Fixture::new();
     for number in 0..10 {
         fixture.add_machine(&format!("machine-{number}"), |_| {});
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -1,4 +1,4 @@
-//! Preemption: which less urgent tasks are stopped so that a more urgent one finds room.
+//! Preemption: the choice of less urgent tasks to stop to make room for a more urgent one.
 
 use crate::leader::scheduler::constraints::{MachineKind, allows, zone_headroom};
 use crate::leader::scheduler::view::SchedulingView;
@@ -6,69 +6,69 @@
 use std::collections::HashMap;
 use std::ops::Bound;
 
-/// In place of a mere image fetch, run time of at most so many times the fetch is thrown away.
-const LOST_RUN_TIME_PER_FETCH: f64 = 2.0;
+/// Limit on the run time that a preemption may discard to avoid an image fetch, as a multiple of the fetch time.
+const MAX_LOST_RUN_TIME_PER_FETCH: f64 = 2.0;
 
-/// Why tasks are to be preempted.
+/// Reason for a preemption.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PreemptionReason {
     /// No machine has room.
     NoRoom,
-    /// There is room, but only where the image would have to be fetched first.
+    /// A machine has room, but would have to fetch the image first.
     ImageAbsent,
 }
 
-/// Placements to stop on one machine, which then has room for a task of the job.
+/// Placements to stop on one machine so that a task of the job fits there.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Preemption {
     pub(crate) machine: Id,
-    /// Numbers of the placements inside this process.
+    /// IDs of the placements within this process.
     pub(crate) placements: Vec<u64>,
 }
 
-/// What came of a search in a sample of the machines.
+/// Result of a search in a sample of the machines.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct PreemptionSearch {
     pub(crate) preemption: Option<Preemption>,
-    /// The last machine of the sample; the next search goes on behind it.
+    /// The last machine of the sample, after which the next search begins; `None` if there are no machines.
     pub(crate) last_examined: Option<Id>,
 }
 
-/// What a preemption costs, cheapest first: the fields count in this order.
+/// Cost of a preemption, cheapest first. The fields are compared in the order of their declaration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Cost {
-    /// A fetch would cost the start more than preempting elsewhere saves.
+    /// Whether the image has to be fetched, which delays the start by more than a preemption elsewhere costs.
     fetches_image: bool,
-    /// Run time thrown away.
+    /// Run time that is discarded.
     lost_ms: u64,
 }
 
-/// Chooses tasks to preempt for one task of the job: on the machine where the least run time is lost.
-/// A task that takes no checkpoints ends at once, so the new one starts with the same command. Of many
-/// machines a sample is examined, which begins behind `sample_start` and wraps around.
+/// Chooses the tasks to preempt for one task of the job, on the machine where the least run time is lost. Only
+/// tasks without checkpoints are chosen: such a task ends at once, so the command that stops it can also start the
+/// new one. The search examines a sample of the machines that begins after `sample_start` and wraps around.
 pub(crate) fn choose_preemption(
     view: &SchedulingView,
     job: &Job,
     reason: PreemptionReason,
     sample_start: Option<&Id>,
 ) -> PreemptionSearch {
-    let mut chooser = Chooser { view, job, reason, preemptible_jobs: HashMap::new() };
+    let mut chooser = PreemptionChooser { view, job, reason, preemptible_jobs: HashMap::new() };
     let mut best: Option<(Cost, Preemption)> = None;
     let mut last_examined = None;
     let mut sampled = 0;
-    let behind_start = sample_start.map_or(Bound::Unbounded, Bound::Excluded);
-    let machines = view.machines.range::<Id, _>((behind_start, Bound::Unbounded)).chain(view.machines.iter());
+    let after_start = sample_start.map_or(Bound::Unbounded, Bound::Excluded);
+    let machines = view.machines.range::<Id, _>((after_start, Bound::Unbounded)).chain(view.machines.iter());
     for (id, machine) in machines.take(view.machines.len()) {
         if sampled >= view.tuning.sample as u32 {
             break;
         }
         last_examined = Some(id.clone());
-        if !chooser.may_use(machine) {
+        if !chooser.is_usable(machine) {
             continue;
         }
         sampled += 1;
         if let Some((cost, preemption)) = chooser.preemption_on(machine)
-            && best.as_ref().is_none_or(|(least, _)| cost < *least)
+            && best.as_ref().is_none_or(|(best_cost, _)| cost < *best_cost)
         {
             best = Some((cost, preemption));
         }
@@ -76,12 +76,12 @@
     PreemptionSearch { preemption: best.map(|(_, preemption)| preemption), last_examined }
 }
 
-/// Looks for preemptions on one machine after the other.
-struct Chooser<'a, 'b> {
+/// Searches one machine after the other for preemptions.
+struct PreemptionChooser<'a, 'b> {
     view: &'b SchedulingView<'a>,
     job: &'b Job,
     reason: PreemptionReason,
-    /// Which jobs yield; one has tasks on many machines.
+    /// Cache of whether a job is preemptible, since a job has tasks on many machines.
     preemptible_jobs: HashMap<&'a Id, bool>,
 }
 
@@ -91,9 +91,9 @@
     run_ms: u64,
 }
 
-impl<'a> Chooser<'a, '_> {
-    /// Whether the job may use this machine, once there is room.
-    fn may_use(&self, machine: &Machine) -> bool {
+impl<'a> PreemptionChooser<'a, '_> {
+    /// Whether the job may use this machine once it has room.
+    fn is_usable(&self, machine: &Machine) -> bool {
         let now = self.view.now.monotonic_ms;
         let slow = machine.health.slow_until > now && !self.job.is_service();
         let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.images.contains(self.job.image);
@@ -106,7 +106,8 @@
             && !image_missing
     }
 
-    /// The preemption that loses the least on this machine, if any makes room and is worth its cost.
+    /// Returns the preemption on this machine that loses the least run time, if one makes room and is worth its
+    /// cost.
     fn preemption_on(&mut self, machine: &'a Machine) -> Option<(Cost, Preemption)> {
         let mut victims = self.victims(machine);
         let mut freeable = machine.free();
@@ -149,21 +150,21 @@
 
     fn is_preemptible(&mut self, id: &'a Id) -> bool {
         let (view, job, reason) = (self.view, self.job, self.reason);
-        let decide = || view.jobs.get(id).is_some_and(|other| yields_to(view, other, job, reason));
+        let decide = || view.jobs.get(id).is_some_and(|other| is_preemptible_for(view, other, job, reason));
         *self.preemptible_jobs.entry(id).or_insert_with(decide)
     }
 
-    /// Services preempt for an image whatever it costs.
+    /// Whether a preemption costs more than fetching the image. A service preempts for its image at any cost.
     fn costs_more_than_fetch(&self, lost_ms: u64) -> bool {
         self.reason == PreemptionReason::ImageAbsent
             && !self.job.is_service()
-            && lost_ms as f64 > self.view.estimates.image_fetch_s(self.job) * (LOST_RUN_TIME_PER_FETCH * 1000.0)
+            && lost_ms as f64 > self.view.estimates.image_fetch_s(self.job) * (MAX_LOST_RUN_TIME_PER_FETCH * 1000.0)
     }
 }
 
-/// Whether tasks of `other` may be preempted for `job`: less urgent ones; and, for a job within its
-/// team's guarantee that finds no room, what another team runs beyond its own guarantee.
-fn yields_to(view: &SchedulingView, other: &Job, job: &Job, reason: PreemptionReason) -> bool {
+/// Whether tasks of `other` may be preempted for `job`: less urgent tasks and, if `job` is within the guarantee of
+/// its team and finds no room, tasks of another team beyond its own guarantee.
+fn is_preemptible_for(view: &SchedulingView, other: &Job, job: &Job, reason: PreemptionReason) -> bool {
     let takes_checkpoints = other.spec.checkpoint_interval_s > 0.0;
     if takes_checkpoints {
         return false;
@@ -172,7 +173,7 @@
         || reason == PreemptionReason::NoRoom && reclaims_guarantee(view, other, job)
 }
 
-/// Whether `job` may have the room of `other` because its team was guaranteed it.
+/// Whether `job` may take the room of `other` because the guarantee of its team covers it.
 fn reclaims_guarantee(view: &SchedulingView, other: &Job, job: &Job) -> bool {
     let guaranteed = &view.scheduler.ranks.guaranteed;
     guaranteed.contains(&job.id)
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -1,4 +1,5 @@
-//! The order among jobs: by priority; in it the deadline queues, shortest first; then the others by age.
+//! The order of jobs in the queue: by priority; within a priority the deadline queues, shortest job first; then
+//! the jobs without deadlines, oldest first.
 
 use crate::io::Timestamp;
 use crate::leader::scheduler::view::SchedulingView;
@@ -8,23 +9,23 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shares of the longest time until a job's first start: one that waited this long goes before others
-/// of its priority, and then before all.
-const AGED_SHARE: f64 = 0.5;
-const OVERDUE_SHARE: f64 = 0.75;
+/// Fractions of the longest allowed time until the first start of a job. A job that has waited for the first
+/// fraction goes before the other jobs of its priority, after the second before all jobs.
+const AGED_WAIT_FRACTION: f64 = 0.5;
+const OVERDUE_WAIT_FRACTION: f64 = 0.75;
 
-/// What the order is worked out from. It takes a look at all jobs and machines, so it is refreshed once
-/// a round or when jobs come or go, not at each pass.
+/// Inputs of the job ranking. Computing them reads all jobs and machines, so they are refreshed once per
+/// autoscaler interval and when jobs change, not at each pass.
 #[derive(Debug)]
 pub(crate) struct RankInputs {
-    outdated: bool,
-    /// Next refresh (steady clock, ms).
+    is_outdated: bool,
+    /// Time of the next refresh (monotonic clock, ms).
     refresh_at: u64,
-    /// By how many levels of its class's objective a job yields to others; absent for none.
+    /// Number of objective levels by which a job yields to others of its class; absent for jobs that don't yield.
     pub(super) yield_levels: BTreeMap<Id, u8>,
-    /// Jobs within their team's guarantee.
+    /// Jobs within the guarantee of their team.
     pub(super) guaranteed: BTreeSet<Id>,
-    /// Spot jobs with a shorter estimate than this go to spot machines first.
+    /// Spot jobs with a shorter estimate than this, in seconds, prefer spot machines.
     pub(super) spot_estimate_limit_s: f64,
     pub(super) on_demand_cores: OnDemandCores,
 }
@@ -32,7 +33,7 @@
 impl RankInputs {
     pub(super) fn new() -> RankInputs {
         RankInputs {
-            outdated: true,
+            is_outdated: true,
             refresh_at: 0,
             yield_levels: BTreeMap::new(),
             guaranteed: BTreeSet::new(),
@@ -41,53 +42,52 @@
         }
     }
 
-    /// Jobs came or went: the inputs are refreshed before the next pass.
+    /// Has the inputs refreshed before the next pass.
     pub(super) fn invalidate(&mut self) {
-        self.outdated = true;
+        self.is_outdated = true;
     }
 
-    /// Whether a refresh is due; the next is then due an interval later.
+    /// Returns whether a refresh is due, and if so schedules the next one after `interval_ms`.
     pub(super) fn begin_refresh(&mut self, now: u64, interval_ms: u64) -> bool {
-        if !self.outdated && now < self.refresh_at {
+        if !self.is_outdated && now < self.refresh_at {
             return false;
         }
-        self.outdated = false;
+        self.is_outdated = false;
         self.refresh_at = now + interval_ms;
         true
     }
 }
 
-/// Cores of the machines that the cloud cannot take back, counted now and then.
+/// Cores of the machines that the cloud cannot reclaim, recounted at intervals.
 #[derive(Debug, Default, Clone, Copy)]
 pub(crate) struct OnDemandCores {
-    /// When they are counted again (steady clock, ms).
+    /// Time of the next count (monotonic clock, ms).
     recount_at: u64,
-    /// In thousandths.
+    /// Number of cores, in thousandths.
     cores: i64,
 }
 
-/// A job's place in the queue, smallest first: the fields count in this order.
+/// Sort key of a job in the queue, smallest first. The fields are compared in the order of their declaration.
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 struct Rank {
-    /// Nothing of it has started for so long that it goes before everything.
+    /// No task has started for so long that the job goes before all others.
     overdue: Reverse<bool>,
     priority: Reverse<Priority>,
-    /// Nothing of it has started for long.
+    /// No task has started for so long that the job goes before the others of its priority.
     aged: Reverse<bool>,
     guaranteed: Reverse<bool>,
     yield_level: u8,
     without_deadline: bool,
-    /// Zero without a deadline.
+    /// Zero for jobs without a deadline.
     estimate_ms: u64,
     ready_at: u64,
 }
 
-/// Jobs with tasks to place, in order: by priority, in it the deadline queues of the classes, shortest
-/// first, then the others by age. What can no longer meet its objective goes behind what can, but for a
-/// while only: a job of which nothing has started for long goes first.
+/// Returns the jobs with tasks to place in the order of the queue. A job that can no longer meet its objective
+/// goes behind jobs that can, but the wait is bounded: a job without a started task moves to the front with time.
 pub(crate) fn rank_jobs(view: &SchedulingView) -> Vec<Id> {
     let mut jobs: Vec<&Job> = view.jobs.values().filter(|job| is_placeable(job, view.now)).collect();
-    // Stable: jobs of the same rank stay in the order of their names.
+    // The sort is stable: jobs of equal rank stay ordered by their IDs.
     jobs.sort_by_cached_key(|job| rank(view, job));
     jobs.into_iter().map(|job| job.id.clone()).collect()
 }
@@ -104,9 +104,9 @@
     let without_deadline = job.deadline().is_none();
     let inputs = &view.scheduler.ranks;
     Rank {
-        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_SHARE && job.tasks.placed_count() == 0),
+        overdue: Reverse(unstarted_ms > start_within_ms * OVERDUE_WAIT_FRACTION && job.tasks.placed_count() == 0),
         priority: Reverse(job.scheduling.priority),
-        aged: Reverse(unstarted_ms > start_within_ms * AGED_SHARE),
+        aged: Reverse(unstarted_ms > start_within_ms * AGED_WAIT_FRACTION),
         guaranteed: Reverse(inputs.guaranteed.contains(&job.id)),
         yield_level: inputs.yield_levels.get(&job.id).copied().unwrap_or(0),
         without_deadline,
@@ -115,7 +115,8 @@
     }
 }
 
-/// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
+/// Returns the jobs that fit into the guarantee of their team together with all earlier unfinished jobs of the
+/// team.
 pub(super) fn guaranteed_jobs(view: &SchedulingView) -> BTreeSet<Id> {
     let mut by_age: Vec<&Job> = view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
     by_age.sort_by_key(|job| (job.scheduling.ready_at, &job.id));
@@ -132,7 +133,8 @@
     guaranteed
 }
 
-/// Cores of machines that the cloud cannot take back: as counted last, or anew if that is long ago.
+/// Counts the cores of machines that the cloud cannot reclaim. Returns the last count unless `interval_ms` has
+/// passed since.
 pub(super) fn count_on_demand_cores(view: &SchedulingView, interval_ms: u64) -> OnDemandCores {
     let now = view.now.monotonic_ms;
     let last = view.scheduler.ranks.on_demand_cores;
@@ -145,8 +147,8 @@
     OnDemandCores { recount_at: now + interval_ms, cores }
 }
 
-/// The estimate below which spot jobs go to spot machines first, in seconds. Longer ones fill the
-/// machines that cannot be taken back, where a task that would lose most is safe.
+/// Returns the estimate, in seconds, below which spot jobs prefer spot machines. Longer spot jobs fill the
+/// machines that the cloud cannot reclaim, because they would lose the most work in a preemption.
 pub(super) fn spot_estimate_limit_s(view: &SchedulingView, on_demand: OnDemandCores) -> f64 {
     struct SpotWork {
         estimate_s: f64,
--- a/crates/core/src/leader/scheduler/usage.rs
+++ b/crates/core/src/leader/scheduler/usage.rs
@@ -1,20 +1,20 @@
-//! What classes and teams have placed on machines.
+//! Resources and task counts that classes and teams have placed on machines.
 //!
-//! Holds at all times: the sums are those over all placements that were added and not removed.
+//! Invariant: the sums cover exactly the placements that were added and not removed.
 
 use shaleshunt_wire::Resources;
 use std::collections::BTreeMap;
 
-/// How many tasks of a class are placed.
+/// Numbers of placed tasks of a class.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ClassUsage {
-    /// On any machine.
-    pub(crate) all: i64,
-    /// On owned machines.
+    /// Tasks on any machine.
+    pub(crate) total: i64,
+    /// Tasks on owned machines.
     pub(crate) owned: i64,
 }
 
-/// Whether a machine is owned or was rented from the cloud.
+/// Whether a machine is owned or rented from the cloud.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ownership {
     Owned,
@@ -22,7 +22,7 @@
 }
 
 impl Ownership {
-    /// Ownership from a machine's flag.
+    /// Converts a flag for owned machines.
     pub(crate) fn from_owned(owned: bool) -> Ownership {
         if owned { Ownership::Owned } else { Ownership::Rented }
     }
@@ -43,26 +43,26 @@
 }
 
 impl Usage {
-    /// A task of this class and team was placed.
+    /// Adds a placed task of this class and team.
     pub(crate) fn add(&mut self, class: &str, team: &str, need: &Resources, ownership: Ownership) {
         self.by_team.entry(team.to_string()).or_default().add(need, 1);
         let class = self.by_class.entry(class.to_string()).or_default();
-        class.all += 1;
+        class.total += 1;
         class.owned += ownership.owned_count();
     }
 
-    /// A task of this class and team left its machine.
+    /// Removes a placed task of this class and team.
     pub(crate) fn remove(&mut self, class: &str, team: &str, need: &Resources, ownership: Ownership) {
         if let Some(used) = self.by_team.get_mut(team) {
             used.add(need, -1);
         }
         if let Some(class) = self.by_class.get_mut(class) {
-            class.all -= 1;
+            class.total -= 1;
             class.owned -= ownership.owned_count();
         }
     }
 
-    /// A machine with a placed task of this class turned out to be owned, or not to be.
+    /// Corrects the ownership of a machine with a placed task of this class. `ownership` is the new value.
     pub(crate) fn change_ownership(&mut self, class: &str, ownership: Ownership) {
         if let Some(class) = self.by_class.get_mut(class) {
             class.owned += match ownership {
@@ -72,17 +72,17 @@
         }
     }
 
-    /// What the team's tasks take.
+    /// Resources that the placed tasks of the team take.
     pub(crate) fn of_team(&self, team: &str) -> Resources {
         self.by_team.get(team).copied().unwrap_or_default()
     }
 
-    /// What each team's tasks take.
+    /// Resources that the placed tasks of each team take.
     pub(crate) fn by_team(&self) -> &BTreeMap<String, Resources> {
         &self.by_team
     }
 
-    /// How many tasks of the class are placed.
+    /// Numbers of placed tasks of the class.
     pub(crate) fn of_class(&self, class: &str) -> ClassUsage {
         self.by_class.get(class).copied().unwrap_or_default()
     }
--- a/crates/core/src/leader/scheduler/view.rs
+++ b/crates/core/src/leader/scheduler/view.rs
@@ -1,7 +1,6 @@
-//! What scheduling decisions read: a borrowed picture of jobs, machines and settings at one time.
+//! The input of scheduling decisions: read access to jobs, machines and settings at one time.
 //!
-//! Decisions are functions from a view to a typed result. They change nothing; the leader carries out
-//! what they return.
+//! A decision is a function from a view to a typed result. It changes nothing; the leader carries out the result.
 
 use crate::io::Timestamp;
 use crate::leader::fleet::machines::MachineIndex;
@@ -12,31 +11,31 @@
 use crate::work_counters::WorkCounter;
 use std::collections::BTreeMap;
 
-/// Everything that a scheduling decision may read.
+/// All data that a scheduling decision may read.
 pub(crate) struct SchedulingView<'a> {
     /// Unfinished jobs.
     pub(crate) jobs: &'a BTreeMap<Id, Job>,
     /// Known machines.
     pub(crate) machines: &'a MachineIndex,
-    /// What the scheduler keeps between passes.
+    /// State that the scheduler keeps between passes.
     pub(crate) scheduler: &'a Scheduler,
-    /// Run times and image fetches.
+    /// Estimates of run times and image fetches.
     pub(crate) estimates: Estimates<'a>,
     pub(crate) settings: &'a Settings,
     pub(crate) tuning: &'a Tuning,
     pub(crate) now: Timestamp,
-    /// Counts how many machines the decision examined.
+    /// Counts the machines that a decision examines.
     pub(crate) work: &'a WorkCounter,
 }
 
 impl SchedulingView<'_> {
-    /// How many further tasks of the job its team's limit allows; none for an unknown team.
+    /// Number of further tasks of the job that the limit of its team allows; zero for an unknown team.
     pub(crate) fn team_headroom(&self, job: &Job) -> u32 {
         let Some(team) = self.settings.teams.get(&job.spec.team) else { return 0 };
         team.max_tasks(&self.scheduler.usage.of_team(&job.spec.team), &job.need)
     }
 
-    /// Whether the objective of the job's class is to start sooner than its image can be fetched.
+    /// Whether the start objective of the job's class is shorter than the image fetch of the job.
     pub(crate) fn must_start_before_fetch(&self, job: &Job) -> bool {
         let objective = self.settings.objectives.get(&job.spec.class);
         let start_s = objective.and_then(|objective| objective.start());
