--- a/crates/core/src/controller/context.rs
+++ b/crates/core/src/controller/context.rs
@@ -129,7 +129,7 @@
     }
 
     /// Sends commands to the agent at an address, rather than with the reply to its next heartbeat.
-    pub fn direct_commands(&mut self, to: String, commands: DirectCommands, pending: PendingRequest) -> RequestId {
+    pub fn send_direct_commands(&mut self, to: String, commands: DirectCommands, pending: PendingRequest) -> RequestId {
         let id = self.register(pending);
         self.effects.push(Effect::DirectCommands(id, to, commands));
         id
@@ -184,7 +184,7 @@
 
     /// The leader's writes were throttled. While users' submissions wait to be written, the cause is assumed to be
     /// those, and the leader's rate stays.
-    pub fn write_refused(&mut self) {
+    pub fn record_throttled_write(&mut self) {
         let interval = self.settings.heartbeat_interval_ms();
         if !self.submissions_waiting() && self.limits.refused(self.now.monotonic_ms, interval) {
             self.emit(Event::WriteRateReduced { writes_per_s: self.limits.rate() });
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -87,21 +87,21 @@
 
     /// Works through a batch of commands; returns the effects to carry out, in order.
     pub fn step(&mut self, now: Timestamp, batch: Batch) -> Vec<Effect> {
-        self.begin(now);
+        self.begin_batch(now);
         for command in batch {
-            self.take(command);
+            self.handle_command(command);
         }
-        self.finish()
+        self.end_batch()
     }
 
-    /// Begins a batch. [`Controller::take`] and [`Controller::finish`] are its other parts, for callers that measure
+    /// Begins a batch. [`Controller::handle_command`] and [`Controller::end_batch`] are its other parts, for callers that measure
     /// each command.
-    pub fn begin(&mut self, now: Timestamp) {
+    pub fn begin_batch(&mut self, now: Timestamp) {
         self.ctx.begin_batch(now);
     }
 
     /// Takes in one command of a batch.
-    pub fn take(&mut self, command: Command) {
+    pub fn handle_command(&mut self, command: Command) {
         match command {
             Command::Submit(id, submission) => self.api.submit(&mut self.ctx, id, *submission),
             Command::Status(id, job) => self.api.status(&mut self.ctx, id, job),
@@ -118,7 +118,7 @@
     }
 
     /// Ends a batch: does what is due by time, and returns the effects to carry out, in order.
-    pub fn finish(&mut self) -> Vec<Effect> {
+    pub fn end_batch(&mut self) -> Vec<Effect> {
         self.run_due();
         self.ctx.take_effects()
     }
@@ -129,7 +129,7 @@
     }
 
     /// Whether this process leads and has completed its failover.
-    pub fn leads(&self) -> bool {
+    pub fn is_active_leader(&self) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.active)
     }
 
--- a/crates/core/src/controller/peer_lease_reports.rs
+++ b/crates/core/src/controller/peer_lease_reports.rs
@@ -12,11 +12,11 @@
     /// The peer's zone.
     pub zone: String,
     /// When its last heartbeat arrived; 0 for never.
-    pub last_heard: u64,
+    pub last_heartbeat_at_ms: u64,
     /// Its last heartbeat was sent after this time, because it echoes a heartbeat that this process sent then.
-    pub sent_after: u64,
+    pub sent_after_ms: u64,
     /// It renewed no lease later than this, up to its last heartbeat.
-    pub kept: u64,
+    pub last_renewal_at_ms: u64,
 }
 
 /// The reports of all configured peers, by peer name.
@@ -34,9 +34,9 @@
     /// heartbeat that it echoes, if it echoes one of this process.
     pub fn record(&mut self, peer: &str, now: u64, renewal_age_ms: u32, echoed_at: Option<u64>) {
         let Some(report) = self.0.get_mut(peer) else { return };
-        report.last_heard = now;
-        report.kept = now.saturating_sub(u64::from(renewal_age_ms));
-        report.sent_after = report.sent_after.max(echoed_at.unwrap_or(0));
+        report.last_heartbeat_at_ms = now;
+        report.last_renewal_at_ms = now.saturating_sub(u64::from(renewal_age_ms));
+        report.sent_after_ms = report.sent_after_ms.max(echoed_at.unwrap_or(0));
     }
 
     /// Whether there are no peers.
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -62,7 +62,7 @@
         if *step == CommitStep::Send {
             match &result {
                 Ok(KvReply::Committed(_)) => ctx.limits.carried_out(),
-                Err(RequestError::Throttled) => ctx.write_refused(),
+                Err(RequestError::Throttled) => ctx.record_throttled_write(),
                 _ => {}
             }
         }
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -67,7 +67,7 @@
         }
         let has_commands = !commands.is_empty();
         let body = DirectCommands { token: m.agent.token(self.epoch), agent_epoch: m.agent.epoch, commands };
-        let request = ctx.direct_commands(m.agent.endpoint.clone(), body, pending);
+        let request = ctx.send_direct_commands(m.agent.endpoint.clone(), body, pending);
         m.call.begin(CallInFlight { request, purpose, has_commands, first_starts: starts, more_to_send: false });
         if purpose == CallPurpose::ConfirmToken {
             self.fleet.calls.confirmation_begun();
--- a/crates/core/src/leader/fleet/lease_expiry.rs
+++ b/crates/core/src/leader/fleet/lease_expiry.rs
@@ -50,8 +50,8 @@
     /// said, a lease later, that it kept none since; or it has not heard from us for so long that
     /// its term is over, and a lease as well.
     fn cannot_be_kept_by(&self, peer: &PeerLeaseReport, last_heard: u64) -> bool {
-        let said_so = peer.sent_after >= last_heard.max(peer.kept) + self.lease;
-        let term_over = self.now > last_heard.max(peer.last_heard + self.renewal_window) + self.lease;
+        let said_so = peer.sent_after_ms >= last_heard.max(peer.last_renewal_at_ms) + self.lease;
+        let term_over = self.now > last_heard.max(peer.last_heartbeat_at_ms + self.renewal_window) + self.lease;
         said_so || term_over
     }
 }
--- a/crates/core/src/leader/fleet/lease_expiry/tests.rs
+++ b/crates/core/src/leader/fleet/lease_expiry/tests.rs
@@ -13,7 +13,7 @@
 
 /// A controller that says it kept no lease since before the machine was last heard.
 fn peer(zone: &str) -> PeerLeaseReport {
-    PeerLeaseReport { zone: zone.into(), last_heard: 1000, sent_after: 1000, kept: 0 }
+    PeerLeaseReport { zone: zone.into(), last_heartbeat_at_ms: 1000, sent_after_ms: 1000, last_renewal_at_ms: 0 }
 }
 
 #[test]
@@ -36,9 +36,9 @@
 #[test]
 fn a_lease_does_not_expire_while_a_controller_of_the_zone_may_keep_it() {
     let silent = machine(Some(800), true);
-    let kept = PeerLeaseReport { kept: 901, ..peer("a") };
-    let not_said = PeerLeaseReport { sent_after: 899, last_heard: 870, ..peer("a") };
-    let term_over = PeerLeaseReport { sent_after: 0, last_heard: 869, ..peer("a") };
+    let kept = PeerLeaseReport { last_renewal_at_ms: 901, ..peer("a") };
+    let not_said = PeerLeaseReport { sent_after_ms: 899, last_heartbeat_at_ms: 870, ..peer("a") };
+    let term_over = PeerLeaseReport { sent_after_ms: 0, last_heartbeat_at_ms: 869, ..peer("a") };
     let cases = [
         ("kept none", peer("a"), true),
         ("kept it until less than a lease ago", kept.clone(), false),
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -138,12 +138,12 @@
 
     /// Steps the core with a batch and executes the effects, in order.
     fn process(&mut self, batch: Batch) {
-        self.core.begin(self.clock.now());
+        self.core.begin_batch(self.clock.now());
         for command in batch {
             let kind = loop_metrics::command_kind(&command);
-            self.metrics.measure(kind, || self.core.take(command));
+            self.metrics.measure(kind, || self.core.handle_command(command));
         }
-        let effects = self.metrics.measure(loop_metrics::DUE_WORK, || self.core.finish());
+        let effects = self.metrics.measure(loop_metrics::DUE_WORK, || self.core.end_batch());
         for effect in effects {
             let kind = loop_metrics::effect_kind(&effect);
             self.metrics.measure(kind, || self.effects.execute(effect));
--- a/crates/simulation/src/simulation/controllers.rs
+++ b/crates/simulation/src/simulation/controllers.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn leads(&self) -> bool {
-        self.process.as_ref().is_some_and(ControllerNode::leads)
+        self.process.as_ref().is_some_and(ControllerNode::is_active_leader)
     }
 
     /// The process's clocks: the steady one counts from its start.
