--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -76,7 +76,7 @@
     /// nothing, are compared again. If no changed one is among the queries, all are read.
     fn handle_changed_records(&mut self, ctx: &mut Context, batch: Vec<JobQuery>, failed: &[String]) {
         for key in failed {
-            self.known.forget_unfinished(keys::job_of(key));
+            self.known.forget_unfinished(keys::job_id(key));
         }
         let (same, changed): (Vec<_>, Vec<_>) =
             batch.into_iter().partition(|query| self.known.unfinished(&query.job).is_some());
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -5,7 +5,7 @@
 use crate::api::split_submission::SplitSubmission;
 use crate::controller::{Context, PendingRequest};
 use crate::io::KvRequest;
-use crate::records::SplitJobRecord;
+use crate::records::SplitSubmissionRecord;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::KeyValue;
 
@@ -34,7 +34,7 @@
     /// What the parts are read for.
     pub query: JobQuery,
     /// The job's record.
-    pub record: SplitJobRecord,
+    pub record: SplitSubmissionRecord,
     /// Revision of the record.
     pub revision: Revision,
     /// Parts read so far, in order.
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -8,7 +8,7 @@
 use crate::api::acceptance::PendingSubmission;
 use crate::controller::Context;
 use crate::io::RequestId;
-use crate::records::{SplitJobRecord, keys};
+use crate::records::{SplitSubmissionRecord, keys};
 use serde_json::json;
 use shaleshunt_wire::kv::{Condition, Transaction, Write};
 use shaleshunt_wire::{MAX_BODY, Revision};
@@ -127,7 +127,7 @@
 
     fn record_transaction(&self) -> Transaction {
         let job = self.submission.job();
-        let record = SplitJobRecord {
+        let record = SplitSubmissionRecord {
             parts_prefix: self.prefix.clone(),
             tasks: self.submission.submission.tasks,
             accepted_at_ms: self.submission.submitted_at_ms,
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -5,7 +5,7 @@
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::store::{
-    Changes, CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext,
+    CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext, TransactionChanges,
     WriteUrgency,
 };
 use crate::leader::{Leader, LeaderRequest};
@@ -73,7 +73,7 @@
     fn handle_commit_outcome(&mut self, ctx: &mut Context, outcome: CommitOutcome) {
         match outcome {
             CommitOutcome::Pending => {}
-            CommitOutcome::Ask(request) => self.send_commit_request(ctx, request),
+            CommitOutcome::SendRequest(request) => self.send_commit_request(ctx, request),
             CommitOutcome::Committed { changes, revision } => self.apply_committed(ctx, *changes, revision),
             CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
             CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
@@ -112,7 +112,7 @@
     }
 
     /// A transaction was carried out.
-    fn apply_committed(&mut self, ctx: &mut Context, changes: Changes, revision: Revision) {
+    fn apply_committed(&mut self, ctx: &mut Context, changes: TransactionChanges, revision: Revision) {
         let (store, mut sources) = self.store_and_sources();
         let committed = store.apply_committed(changes, revision, &mut sources);
         for placement in committed.placements {
@@ -166,7 +166,7 @@
 
     /// A transaction was given up. The jobs whose records conflicted are read again, and their
     /// placements are given up; all else waits to be written again.
-    fn apply_abandoned(&mut self, ctx: &mut Context, changes: Changes, conflicting: &[String]) {
+    fn apply_abandoned(&mut self, ctx: &mut Context, changes: TransactionChanges, conflicting: &[String]) {
         let now = ctx.now.monotonic_ms;
         let (store, mut sources) = self.store_and_sources();
         let abandoned = store.apply_abandoned(changes, conflicting, &mut sources);
@@ -176,7 +176,7 @@
         for planned in &abandoned.placements {
             self.give_up_placement(now, planned, &abandoned.stale_jobs);
         }
-        for id in abandoned.jobs_with_facts {
+        for id in abandoned.jobs_with_entries {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.writes.urgent = true;
             }
@@ -191,7 +191,7 @@
     fn mark_stale(&mut self, ctx: &mut Context, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.record.stale = true;
-            self.refresh(ctx, id.clone());
+            self.refresh_job_record(ctx, id.clone());
         }
     }
 
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -31,7 +31,7 @@
 use crate::leader::fleet::Fleet;
 use crate::leader::recovery::{Recovery, ScanPosition};
 use crate::leader::scheduler::Scheduler;
-use crate::leader::store::{CommitStep, SplitJobRead, Store};
+use crate::leader::store::{CommitStep, SplitSubmissionRead, Store};
 use crate::leader::watch::JobWatch;
 use crate::model::{Id, Job};
 use crate::step_down::{ForeignWrite, StepDown};
@@ -69,7 +69,7 @@
     /// The final record of a job that others depend on.
     End(Id),
     /// Parts of a job's submission.
-    Parts(Box<SplitJobRead>),
+    Parts(Box<SplitSubmissionRead>),
     /// A direct call to a machine's agent.
     DirectCommands(Id),
     /// Machines from the cloud, by the request's name.
@@ -154,8 +154,8 @@
             LeaderRequest::Load(position) => self.handle_scan_reply(ctx, position, result),
             LeaderRequest::Renew => self.handle_lease_renewal(ctx, result),
             LeaderRequest::Watch => self.handle_watch_reply(ctx, sent, result),
-            LeaderRequest::Refresh(id) => self.handle_refresh_reply(ctx, id, result),
-            LeaderRequest::Parts(read) => self.handle_parts(ctx, *read, result),
+            LeaderRequest::Refresh(id) => self.handle_job_refresh_reply(ctx, id, result),
+            LeaderRequest::Parts(read) => self.handle_submission_parts_reply(ctx, *read, result),
             LeaderRequest::End(id) => self.handle_final_record(ctx, id, result),
             LeaderRequest::Commit(step) => self.handle_commit_reply(ctx, &step, result),
             LeaderRequest::ForeignWrite(write) => self.handle_foreign_write(write, result),
@@ -218,7 +218,7 @@
         }
         self.read_final_records(ctx);
         while let Some(read) = self.store.next_submission_retry(now) {
-            self.read_parts(ctx, read);
+            self.read_submission_parts(ctx, read);
         }
         self.run_autoscaler(ctx);
         if self.scheduler.begin_pass(now) {
@@ -244,7 +244,7 @@
         let waiting: u32 = self.jobs.values().filter(|job| !job.cancelled).map(Job::waiting).sum();
         let machines = self.fleet.machines.values();
         let used = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
-        let store = self.store.take_figures();
+        let store = self.store.take_stats();
         ctx.emit(Event::LeaderStatus(Box::new(LeaderFigures {
             jobs: self.jobs.len(),
             tasks_waiting: waiting,
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::controller::Context;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::store::SplitJobRead;
+use crate::leader::store::SplitSubmissionRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
 use crate::step_down::StepDown;
@@ -83,7 +83,7 @@
     scans_in_flight: u32,
     retries: Vec<ScanRetry>,
     submission_parts: Vec<KeyValue>,
-    split_records: Vec<SplitJobRead>,
+    split_records: Vec<SplitSubmissionRead>,
     pages: Vec<KeyValue>,
     blocks: Vec<KeyValue>,
     v0_1_machines: Vec<KeyValue>,
@@ -92,7 +92,7 @@
 
 impl Recovery {
     /// The record of a job was read whose submission is in parts.
-    pub(crate) fn add_split_record(&mut self, read: SplitJobRead) {
+    pub(crate) fn defer_split_submission(&mut self, read: SplitSubmissionRead) {
         self.split_records.push(read);
     }
 
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -73,9 +73,9 @@
             match by_prefix.remove(&read.record.parts_prefix) {
                 Some(parts) => {
                     read.parts = parts;
-                    self.add_split_job(ctx, read);
+                    self.add_split_submission(ctx, read);
                 }
-                None => self.read_parts(ctx, read),
+                None => self.read_submission_parts(ctx, read),
             }
         }
         self.store.add_unreferenced_parts(by_prefix.into_values());
--- a/crates/core/src/leader/store/apply.rs
+++ b/crates/core/src/leader/store/apply.rs
@@ -1,7 +1,7 @@
 //! What follows for the store when a transaction was carried out, or is given up.
 
 use super::Store;
-use super::changes::Changes;
+use super::changes::TransactionChanges;
 use super::pages::PlannedPlacement;
 use super::scale_outs;
 use super::sources::RecordSources;
@@ -25,8 +25,8 @@
     /// Jobs whose record is newer than known.
     pub stale_jobs: Vec<Id>,
     pub placements: Vec<PlannedPlacement>,
-    /// Jobs with facts that were not written, to be queued again; one may come several times.
-    pub jobs_with_facts: Vec<Id>,
+    /// Jobs with entries that were not written, to be queued again; one may come several times.
+    pub jobs_with_entries: Vec<Id>,
     /// Jobs whose end was not written, to be queued again.
     pub ended_jobs: Vec<Id>,
 }
@@ -35,7 +35,7 @@
     /// A transaction was carried out.
     pub(crate) fn apply_committed(
         &mut self,
-        changes: Changes,
+        changes: TransactionChanges,
         revision: Revision,
         sources: &mut RecordSources,
     ) -> CommittedChanges {
@@ -57,11 +57,11 @@
     /// Records of jobs that conflicted are newer than known.
     pub(crate) fn apply_abandoned(
         &mut self,
-        changes: Changes,
+        changes: TransactionChanges,
         conflicting: &[String],
         sources: &mut RecordSources,
     ) -> AbandonedChanges {
-        let stale_jobs: Vec<Id> = conflicting.iter().map(|key| Id::from(keys::job_of(key))).collect();
+        let stale_jobs: Vec<Id> = conflicting.iter().map(|key| Id::from(keys::job_id(key))).collect();
         self.blocks.apply_abandoned(&changes.blocks);
         scale_outs::apply_abandoned(&changes.scale_outs, sources.scale_outs);
         // Parts of a job that was accepted meanwhile may be in use.
@@ -76,11 +76,11 @@
         if changes.catalog {
             self.catalog.record();
         }
-        let (jobs_with_facts, placements) = changes.pages.into_abandoned();
-        AbandonedChanges { stale_jobs, placements, jobs_with_facts, ended_jobs: changes.ended_jobs }
+        let (jobs_with_entries, placements) = changes.pages.into_abandoned();
+        AbandonedChanges { stale_jobs, placements, jobs_with_entries, ended_jobs: changes.ended_jobs }
     }
 
-    /// A job's end is stored: nothing refers to its facts and to the parts of its submission any more.
+    /// A job's end is stored: nothing refers to its entries and to the parts of its submission any more.
     pub(crate) fn job_ended(&mut self, job: &Job) {
         self.forget_job(job);
         let parts = self.submissions.remove(&job.id);
--- a/crates/core/src/leader/store/changes.rs
+++ b/crates/core/src/leader/store/changes.rs
@@ -12,7 +12,7 @@
 
 /// What one transaction changes.
 #[derive(Debug)]
-pub(crate) struct Changes {
+pub(crate) struct TransactionChanges {
     pub(super) builder: TransactionBuilder,
     pub(super) pages: PageChanges,
     /// Jobs whose end is written.
@@ -28,10 +28,10 @@
     pub(super) catalog: bool,
 }
 
-impl Changes {
+impl TransactionChanges {
     /// None yet.
-    pub(super) fn new(limits: TransactionLimits) -> Changes {
-        Changes {
+    pub(super) fn new(limits: TransactionLimits) -> TransactionChanges {
+        TransactionChanges {
             builder: TransactionBuilder::new(limits),
             pages: PageChanges::default(),
             ended_jobs: Vec::new(),
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -1,14 +1,14 @@
 //! Putting a transaction together from what is due, the most urgent first.
 
 use super::blocks::{BlockLimits, BlockMembers};
-use super::changes::Changes;
+use super::changes::TransactionChanges;
 use super::pages::PageCompaction;
 use super::sources::{RecordSources, StoreContext};
 use super::{Store, WriteUrgency, job_ends, scale_outs};
 use crate::model::{Id, Job};
 use std::collections::BTreeMap;
 
-/// So many jobs whose facts find no room end the search for smaller ones.
+/// So many jobs whose entries find no room end the search for smaller ones.
 const MAX_JOBS_WITHOUT_SPACE: usize = 4;
 /// While other work waits, blocks have this part of a transaction.
 const BLOCK_PART: usize = 4;
@@ -23,7 +23,7 @@
         &mut self,
         ctx: &StoreContext,
         sources: &mut RecordSources,
-        changes: &mut Changes,
+        changes: &mut TransactionChanges,
         rate: f64,
     ) {
         let max_writes = changes.builder.limits().writes;
@@ -45,7 +45,13 @@
 
     /// Machines that came are of use only when they are recorded; those that went are taken out when
     /// there is room. While other work waits, it has most of the room.
-    fn collect_blocks(&mut self, ctx: &StoreContext, sources: &mut RecordSources, changes: &mut Changes, rate: f64) {
+    fn collect_blocks(
+        &mut self,
+        ctx: &StoreContext,
+        sources: &mut RecordSources,
+        changes: &mut TransactionChanges,
+        rate: f64,
+    ) {
         let now = ctx.now.monotonic_ms;
         if self.budget.has_half_after(0, rate) {
             let lease_ms = (ctx.settings.lease_s * 1000.0) as u64;
@@ -66,7 +72,7 @@
         &mut self,
         ctx: &StoreContext,
         jobs: &BTreeMap<Id, Job>,
-        changes: &mut Changes,
+        changes: &mut TransactionChanges,
         max_writes: usize,
     ) {
         while changes.builder.write_count_with_reserved() < max_writes
@@ -82,7 +88,12 @@
     }
 
     /// Jobs with placements to commit.
-    fn collect_placements(&mut self, ctx: &StoreContext, jobs: &mut BTreeMap<Id, Job>, changes: &mut Changes) {
+    fn collect_placements(
+        &mut self,
+        ctx: &StoreContext,
+        jobs: &mut BTreeMap<Id, Job>,
+        changes: &mut TransactionChanges,
+    ) {
         let due = self.queue.first_urgent(changes.builder.limits().conditions);
         let mut jobs_without_space = 0;
         for urgent in due {
@@ -90,7 +101,7 @@
                 break;
             }
             let is_open = jobs.get(&urgent.job).is_some_and(|job| !job.record.stale && !job.has_ended());
-            if is_open && !self.collect_facts(ctx, jobs, changes, &urgent.job) {
+            if is_open && !self.collect_entries(ctx, jobs, changes, &urgent.job) {
                 jobs_without_space += 1;
                 continue;
             }
@@ -102,7 +113,7 @@
     }
 
     /// Outcomes go along with placements, or alone after a while.
-    fn collect_outcomes(&mut self, ctx: &StoreContext, jobs: &mut BTreeMap<Id, Job>, changes: &mut Changes) {
+    fn collect_outcomes(&mut self, ctx: &StoreContext, jobs: &mut BTreeMap<Id, Job>, changes: &mut TransactionChanges) {
         let heartbeat_interval_ms = ctx.settings.heartbeat_interval_ms();
         let patience_ms = if changes.pages.has_drafts() { 0 } else { heartbeat_interval_ms / OUTCOME_PATIENCE_PART };
         while let Some(deferred) = self.queue.first_deferred() {
@@ -110,8 +121,8 @@
                 break;
             }
             // A job's placements go with all else that is to be said of it.
-            let is_collected = changes.pages.has_facts_of(&deferred.job);
-            if !is_collected && !self.collect_facts(ctx, jobs, changes, &deferred.job) {
+            let is_collected = changes.pages.has_entries_of(&deferred.job);
+            if !is_collected && !self.collect_entries(ctx, jobs, changes, &deferred.job) {
                 break;
             }
             self.queue.remove_deferred(&deferred);
@@ -121,14 +132,20 @@
         }
     }
 
-    /// Puts facts of a job into the transaction; false if not all fit.
-    fn collect_facts(&self, ctx: &StoreContext, jobs: &BTreeMap<Id, Job>, changes: &mut Changes, id: &Id) -> bool {
+    /// Puts entries of a job into the transaction; false if not all fit.
+    fn collect_entries(
+        &self,
+        ctx: &StoreContext,
+        jobs: &BTreeMap<Id, Job>,
+        changes: &mut TransactionChanges,
+        id: &Id,
+    ) -> bool {
         let Some(job) = jobs.get(id) else { return true };
-        self.pages.collect_facts(&mut changes.builder, &mut changes.pages, job, ctx.limits.page_bytes())
+        self.pages.collect_entries(&mut changes.builder, &mut changes.pages, job, ctx.limits.page_bytes())
     }
 
     /// Whether half of the budget stays free for what is urgent.
-    fn has_spare_budget(&self, changes: &Changes, rate: f64) -> bool {
+    fn has_spare_budget(&self, changes: &TransactionChanges, rate: f64) -> bool {
         self.budget.has_half_after(changes.builder.write_count(), rate)
     }
 
@@ -137,7 +154,7 @@
         &mut self,
         ctx: &StoreContext,
         jobs: &mut BTreeMap<Id, Job>,
-        changes: &mut Changes,
+        changes: &mut TransactionChanges,
         rate: f64,
     ) {
         if !self.has_spare_budget(changes, rate) {
@@ -146,12 +163,12 @@
         changes.submission_parts = self.unreferenced.collect_submission_parts(&mut changes.builder, jobs);
         self.pages.collect_unreferenced(&mut changes.builder, &mut changes.pages);
         if let Some(compaction) = self.pages.begin_compaction() {
-            self.rewrite_facts(ctx.now.monotonic_ms, jobs, &compaction);
+            self.rewrite_entries(ctx.now.monotonic_ms, jobs, &compaction);
         }
     }
 
-    /// Has the facts on a page that still count written anew.
-    fn rewrite_facts(&mut self, now: u64, jobs: &mut BTreeMap<Id, Job>, compaction: &PageCompaction) {
+    /// Has the entries on a page that still count written anew.
+    fn rewrite_entries(&mut self, now: u64, jobs: &mut BTreeMap<Id, Job>, compaction: &PageCompaction) {
         for id in &compaction.jobs {
             let Some(job) = jobs.get_mut(id) else { continue };
             let pages = (0..).zip(&job.writes.page_of_task);
@@ -163,7 +180,7 @@
     }
 
     /// Removes keys that hold nothing any more.
-    fn collect_obsolete_keys(&mut self, changes: &mut Changes, rate: f64) {
+    fn collect_obsolete_keys(&mut self, changes: &mut TransactionChanges, rate: f64) {
         if self.queue.is_empty() && !self.blocks.has_dirty() {
             self.unreferenced.release_v0_1_keys();
         }
@@ -179,7 +196,7 @@
 /// Puts a job's end into a transaction; false if there is no room. It has ended when every placement of
 /// it has been proven gone. One whose record is stale is left out: it is queued again when the record has
 /// been read.
-fn collect_job_end(ctx: &StoreContext, job: &Job, changes: &mut Changes) -> bool {
+fn collect_job_end(ctx: &StoreContext, job: &Job, changes: &mut TransactionChanges) -> bool {
     if job.record.stale || !job.has_ended() || changes.ended_jobs.contains(&job.id) {
         return true;
     }
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -4,7 +4,7 @@
 //! is sent again as it was while that key has not changed: whichever copy comes first counts.
 
 use super::Store;
-use super::changes::Changes;
+use super::changes::TransactionChanges;
 use super::sources::{RecordSources, StoreContext};
 use super::transaction::TransactionLimits;
 use super::write_budget::{WriteDemand, leader_share};
@@ -95,7 +95,7 @@
 /// The transaction under way. Nothing else is written before it is known what became of it.
 #[derive(Debug)]
 pub(super) struct InFlight {
-    changes: Changes,
+    changes: TransactionChanges,
     /// A key that it writes, and its version before.
     marker: Condition,
     copies: EarlierCopies,
@@ -105,7 +105,7 @@
 
 impl InFlight {
     /// A transaction that is being sent; none if it has no writes.
-    fn new(changes: Changes) -> Option<InFlight> {
+    fn new(changes: TransactionChanges) -> Option<InFlight> {
         let marker = changes.builder.marker()?;
         Some(InFlight { changes, marker, copies: EarlierCopies::Answered, awaiting_reply: true })
     }
@@ -172,11 +172,11 @@
     /// That is not known yet: [`Store::next_request`] goes on with it.
     Pending,
     /// The next request about it.
-    Ask(CommitRequest),
+    SendRequest(CommitRequest),
     /// It was carried out.
-    Committed { changes: Box<Changes>, revision: Revision },
+    Committed { changes: Box<TransactionChanges>, revision: Revision },
     /// It was not carried out and never will be; these keys conflicted.
-    Abandoned { changes: Box<Changes>, conflicting: Vec<String> },
+    Abandoned { changes: Box<TransactionChanges>, conflicting: Vec<String> },
     /// A key that only the leader writes was written by somebody else. Nothing more is sent.
     ForeignWrite(ForeignWrite),
     /// It is too large for limits that have fallen. [`Store::limits_lowered`] goes on with it, or
@@ -221,7 +221,7 @@
         if writes == 0 {
             return None;
         }
-        let mut changes = Changes::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
+        let mut changes = TransactionChanges::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
@@ -345,7 +345,7 @@
     fn keep(&mut self, mut in_flight: InFlight, request: CommitRequest) -> CommitOutcome {
         in_flight.awaiting_reply = true;
         self.in_flight = Some(in_flight);
-        CommitOutcome::Ask(request)
+        CommitOutcome::SendRequest(request)
     }
 
     /// Keeps the transaction and goes on with it after a while.
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -1,7 +1,7 @@
 //! The leader's writes to the key-value store.
 //!
 //! `Store` owns what waits to be written and what is known of the stored records: their versions, the
-//! pages of task facts, the blocks of machines, the parts of submissions. It decides nothing about jobs
+//! pages of task entries, the blocks of machines, the parts of submissions. It decides nothing about jobs
 //! or machines, and does not know the leader that calls it: `record_change` and `queue_write` when
 //! something about a job has changed, `join_block` and the like for machines, `next_request` once a
 //! batch, `handle_reply` with each answer. What an answer means for jobs and machines it returns.
@@ -15,7 +15,7 @@
 //! - A placement counts as committed, and a job or machine as recorded, only when the transaction that
 //!   says so is known to have been carried out.
 //!
-//! Facts about tasks go on pages (see [`pages`]), so a transaction that places tasks of many jobs
+//! Entries about tasks go on pages (see [`pages`]), so a transaction that places tasks of many jobs
 //! costs one write or two. Outcomes go along, or alone after a while: nothing but the machines'
 //! permission to forget them waits for that, since a new leader learns them from the next heartbeats.
 
@@ -38,11 +38,11 @@
 mod write_queue;
 
 pub(crate) use blocks::StoredBlock;
-pub(crate) use changes::Changes;
+pub(crate) use changes::TransactionChanges;
 pub(crate) use commit::{CommitOutcome, CommitRequest, CommitStep};
 pub(crate) use pages::{PlannedPlacement, StoredPlacement};
 pub(crate) use sources::{RecordSources, StoreContext};
-pub(crate) use split_submissions::SplitJobRead;
+pub(crate) use split_submissions::SplitSubmissionRead;
 pub(crate) use write_counts::WriteCounts;
 pub(crate) use write_queue::WriteUrgency;
 
@@ -79,7 +79,7 @@
 
 /// How much there is to write, for operators.
 #[derive(Debug)]
-pub(crate) struct StoreFigures {
+pub(crate) struct StoreStats {
     /// Writes since the last time that this was asked.
     pub written: WriteCounts,
     /// Writes that may be sent now.
@@ -167,27 +167,27 @@
     }
 
     /// Parts of a job's submission are being read.
-    pub(crate) fn begin_submission_read(&mut self, read: &SplitJobRead) {
+    pub(crate) fn begin_submission_read(&mut self, read: &SplitSubmissionRead) {
         self.submissions.begin_read(read);
     }
 
     /// Whether an answer to a read of parts is for the record that is known last.
-    pub(crate) fn is_submission_read_current(&self, read: &SplitJobRead) -> bool {
+    pub(crate) fn is_submission_read_current(&self, read: &SplitSubmissionRead) -> bool {
         self.submissions.is_current(read)
     }
 
     /// All parts of a job's submission have been read.
-    pub(crate) fn end_submission_read(&mut self, read: &SplitJobRead) {
+    pub(crate) fn end_submission_read(&mut self, read: &SplitSubmissionRead) {
         self.submissions.end_read(read);
     }
 
     /// A read of parts brought no answer: it is begun anew at a time (ms, monotonic).
-    pub(crate) fn retry_submission_read(&mut self, at: u64, read: SplitJobRead) {
+    pub(crate) fn retry_submission_read(&mut self, at: u64, read: SplitSubmissionRead) {
         self.submissions.retry_at(at, read);
     }
 
     /// The next read of parts whose time has come.
-    pub(crate) fn next_submission_retry(&mut self, now: u64) -> Option<SplitJobRead> {
+    pub(crate) fn next_submission_retry(&mut self, now: u64) -> Option<SplitSubmissionRead> {
         self.submissions.next_retry(now)
     }
 
@@ -233,8 +233,8 @@
     }
 
     /// How much there is to write. Counts of writes begin anew.
-    pub(crate) fn take_figures(&mut self) -> StoreFigures {
-        StoreFigures {
+    pub(crate) fn take_stats(&mut self) -> StoreStats {
+        StoreStats {
             written: std::mem::take(&mut self.write_counts),
             write_budget: self.budget.tokens(),
             job_ends: self.queue.job_end_count(),
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -1,9 +1,9 @@
-//! Facts about tasks, on pages: where each is placed, which are done, which are free again.
+//! Entries about tasks, on pages: where each is placed, which are done, which are free again.
 //!
-//! A page is one value of the key-value store with facts of any number of jobs, so that a
+//! A page is one value of the key-value store with entries of any number of jobs, so that a
 //! transaction writes one page however many tasks it places. The newest page is written again with
-//! more until it is full. Of the facts about a task the last one counts, in the order of pages and
-//! of the facts on a page: an old placement had been proven gone when a newer one was planned, so
+//! more until it is full. Of the entries about a task the last one counts, in the order of pages and
+//! of the entries on a page: an old placement had been proven gone when a newer one was planned, so
 //! a reader that finds both knows that only the newer can be. A page that nothing refers to any
 //! more is removed; what little is left on an old one is written anew first.
 
@@ -14,8 +14,8 @@
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::model::{Id, Job};
-use crate::records::{PageRecord, TaskFact, keys};
-use draft::{PageDraft, PendingFacts, RecordedFacts};
+use crate::records::{PageRecord, TaskEntry, keys};
+use draft::{PageDraft, PendingEntries, RecordedEntries};
 use serde_json::json;
 use shaleshunt_wire::kv::KeyValue;
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
@@ -23,7 +23,7 @@
 
 /// Most tasks of a job in one transaction.
 const MAX_TASKS: usize = 1024;
-/// Most bytes that a run of tasks takes in a fact, with room for the rest of the fact among many.
+/// Most bytes that a run of tasks takes in an entry, with room for the rest of the entry among many.
 const RUN_BYTES: usize = 20;
 /// An old page of which less than this share still counts is written anew.
 const COMPACTION_SHARE: f64 = 0.5;
@@ -34,15 +34,15 @@
 #[derive(Debug, Default)]
 struct Page {
     version: Revision,
-    /// Tasks of which the fact here still counts, by job, and of all jobs together.
+    /// Tasks of which the entry here still counts, by job, and of all jobs together.
     live_by_job: BTreeMap<Id, u32>,
     live: u32,
-    /// Tasks with a fact here.
+    /// Tasks with an entry here.
     total: u32,
 }
 
 /// The stored pages, and the newest one's content. For each task of an unfinished job,
-/// `writes.page_of_task` names the page with its last fact, and that page counts it as live.
+/// `writes.page_of_task` names the page with its last entry, and that page counts it as live.
 #[derive(Debug, Default)]
 pub(super) struct TaskPages {
     pages: BTreeMap<u32, Page>,
@@ -52,7 +52,7 @@
     compacting: Option<u32>,
 }
 
-/// An old page of which the facts that count are to be written anew.
+/// An old page of which the entries that count are to be written anew.
 #[derive(Debug)]
 pub(super) struct PageCompaction {
     pub page: u32,
@@ -75,9 +75,9 @@
         self.pages.len()
     }
 
-    /// Puts facts of a job on the pages of a transaction, all that are pending or as many as find room;
+    /// Puts entries of a job on the pages of a transaction, all that are pending or as many as find room;
     /// false if not all fit.
-    pub(super) fn collect_facts(
+    pub(super) fn collect_entries(
         &self,
         builder: &mut TransactionBuilder,
         changes: &mut PageChanges,
@@ -89,8 +89,8 @@
             if job.writes.tasks.is_empty() {
                 return true;
             }
-            let pending = PendingFacts::new(job, max_tasks);
-            let pages = self.pages_needed(changes, page_bytes, &pending.facts);
+            let pending = PendingEntries::new(job, max_tasks);
+            let pages = self.pages_needed(changes, page_bytes, &pending.entries);
             let bytes = pending.max_bytes() + changes.draft_bytes();
             if builder.has_space_for(Space { writes: pages, conditions: 1 + pages, bytes }) {
                 if !pending.planned.is_empty() {
@@ -108,21 +108,21 @@
         }
     }
 
-    /// Whether a first fact goes on the newest page: it is begun, or the fact fits. The page may be
+    /// Whether a first entry goes on the newest page: it is begun, or the entry fits. The page may be
     /// larger than what may be written by now; then it stays as it is.
-    fn newest_has_space(&self, page_bytes: usize, fact: Option<&TaskFact>) -> bool {
-        let bytes = fact.map_or(0, TaskFact::max_bytes);
+    fn newest_has_space(&self, page_bytes: usize, entry: Option<&TaskEntry>) -> bool {
+        let bytes = entry.map_or(0, TaskEntry::max_bytes);
         self.newest.is_empty() || self.newest.bytes() + bytes <= page_bytes
     }
 
-    /// How many more pages a transaction writes with these facts.
-    fn pages_needed(&self, changes: &PageChanges, page_bytes: usize, facts: &[TaskFact]) -> usize {
+    /// How many more pages a transaction writes with these entries.
+    fn pages_needed(&self, changes: &PageChanges, page_bytes: usize, entries: &[TaskEntry]) -> usize {
         let (mut pages, mut used) = match changes.last_draft() {
             Some(draft) => (0, draft.bytes()),
-            None if self.newest_has_space(page_bytes, facts.first()) => (1, self.newest.bytes()),
+            None if self.newest_has_space(page_bytes, entries.first()) => (1, self.newest.bytes()),
             None => (1, 0),
         };
-        for bytes in facts.iter().map(TaskFact::max_bytes) {
+        for bytes in entries.iter().map(TaskEntry::max_bytes) {
             if used + bytes > page_bytes && used > 0 {
                 pages += 1;
                 used = 0;
@@ -132,18 +132,18 @@
         pages
     }
 
-    /// Puts facts on the pages of a transaction.
-    fn draft(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingFacts) {
+    /// Puts entries on the pages of a transaction.
+    fn draft(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingEntries) {
         if !changes.has_drafts() {
             let number = self.newest.number().max(1);
-            changes.begin(if self.newest_has_space(page_bytes, pending.facts.first()) {
+            changes.begin(if self.newest_has_space(page_bytes, pending.entries.first()) {
                 self.newest.clone().with_number(number)
             } else {
                 PageDraft::new(number + 1)
             });
         }
-        for fact in pending.facts {
-            changes.push(job, fact, &pending.change_of_task, page_bytes);
+        for entry in pending.entries {
+            changes.push(job, entry, &pending.change_of_task, page_bytes);
         }
         changes.planned.extend(pending.planned);
     }
@@ -153,7 +153,7 @@
         builder.release_reserved();
         for draft in changes.take_drafts() {
             let version = self.pages.get(&draft.number()).map_or(Revision::ABSENT, |page| page.version);
-            let value = json!(PageRecord { facts: draft.facts().to_vec() });
+            let value = json!(PageRecord { entries: draft.entries().to_vec() });
             builder.set(keys::task_page(draft.number()), version, value, draft.bytes());
             changes.written.push(draft);
         }
@@ -185,7 +185,7 @@
         Some(compaction)
     }
 
-    /// The pages of a transaction are stored: the facts on them are the last of their tasks. Returns the
+    /// The pages of a transaction are stored: the entries on them are the last of their tasks. Returns the
     /// placements that are committed with them.
     pub(super) fn apply_committed(
         &mut self,
@@ -196,14 +196,14 @@
         for draft in changes.written {
             let page = self.pages.entry(draft.number()).or_default();
             page.version = revision;
-            page.total = draft.facts().iter().map(TaskFact::task_count).sum();
+            page.total = draft.entries().iter().map(TaskEntry::task_count).sum();
             if draft.number() >= self.newest.number() {
                 self.newest = draft;
             }
         }
         for recorded in changes.recorded {
             if let Some(job) = jobs.get_mut(&recorded.job) {
-                self.apply_recorded_facts(job, recorded);
+                self.apply_recorded_entries(job, recorded);
             }
         }
         for number in changes.removed {
@@ -212,7 +212,7 @@
         changes.planned
     }
 
-    fn apply_recorded_facts(&mut self, job: &mut Job, recorded: RecordedFacts) {
+    fn apply_recorded_entries(&mut self, job: &mut Job, recorded: RecordedEntries) {
         if job.writes.page_of_task.is_empty() {
             job.writes.page_of_task = vec![0; job.spec.tasks as usize];
         }
@@ -242,27 +242,27 @@
     /// Takes in the pages that earlier leaders wrote, in order, and what they say of jobs' tasks.
     /// Returns the placements among it.
     pub(super) fn restore(&mut self, pairs: Vec<KeyValue>, jobs: &mut BTreeMap<Id, Job>) -> Vec<StoredPlacement> {
-        let mut last_facts: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
+        let mut last_entries: BTreeMap<Id, BTreeMap<u32, LastEntry>> = BTreeMap::new();
         for pair in pairs {
             let Some(number) = keys::task_page_number(&pair.path) else { continue };
             let record: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
-            let total = record.facts.iter().map(TaskFact::task_count).sum();
+            let total = record.entries.iter().map(TaskEntry::task_count).sum();
             self.pages.insert(number, Page { version: pair.version, total, ..Page::default() });
             // What it holds is not written again: a new page follows.
             self.newest = PageDraft::new(self.newest.number().max(number + 1));
-            for fact in record.facts {
-                if let Some(job) = jobs.get_mut(fact.job.as_str()) {
-                    let facts_of_job = last_facts.entry(job.id.clone()).or_default();
-                    restore_fact(job, facts_of_job, number, &fact);
+            for entry in record.entries {
+                if let Some(job) = jobs.get_mut(entry.job.as_str()) {
+                    let entries_of_job = last_entries.entry(job.id.clone()).or_default();
+                    restore_entry(job, entries_of_job, number, &entry);
                 }
             }
         }
         let mut placements = Vec::new();
-        for (id, facts) in last_facts {
+        for (id, entries) in last_entries {
             if let Some(job) = jobs.get_mut(&id) {
-                restore_progress(job, &facts);
+                restore_progress(job, &entries);
             }
-            for (task, LastFact { page, placement }) in facts {
+            for (task, LastEntry { page, placement }) in entries {
                 self.count(page, &id, 1);
                 placements.extend(placement.map(|(machine, agent_epoch, attempt)| StoredPlacement {
                     job: id.clone(),
@@ -276,7 +276,7 @@
         placements
     }
 
-    /// More or fewer tasks of a job have their last fact on a page.
+    /// More or fewer tasks of a job have their last entry on a page.
     fn count(&mut self, number: u32, job: &Id, change: i32) {
         let Some(page) = self.pages.get_mut(&number) else { return };
         let live = page.live_by_job.entry(job.clone()).or_default();
@@ -288,32 +288,32 @@
     }
 }
 
-/// The last fact about a task: its page, and where the task is placed.
-struct LastFact {
+/// The last entry about a task: its page, and where the task is placed.
+struct LastEntry {
     page: u32,
     placement: Option<(Id, AgentEpoch, Attempt)>,
 }
 
-fn restore_fact(job: &mut Job, facts_of_job: &mut BTreeMap<u32, LastFact>, page: u32, fact: &TaskFact) {
-    let placement = fact
+fn restore_entry(job: &mut Job, entries_of_job: &mut BTreeMap<u32, LastEntry>, page: u32, entry: &TaskEntry) {
+    let placement = entry
         .placement
         .as_ref()
         .map(|placement| (Id::from(placement.machine.as_str()), placement.agent_epoch, placement.attempt));
-    for run in &fact.runs {
+    for run in &entry.runs {
         for task in run.first..run.tasks().end.min(job.spec.tasks) {
-            if fact.done {
+            if entry.done {
                 job.tasks.mark_done(task);
             }
-            facts_of_job.insert(task, LastFact { page, placement: placement.clone() });
+            entries_of_job.insert(task, LastEntry { page, placement: placement.clone() });
         }
     }
 }
 
-fn restore_progress(job: &mut Job, facts: &BTreeMap<u32, LastFact>) {
+fn restore_progress(job: &mut Job, entries: &BTreeMap<u32, LastEntry>) {
     job.tasks.mark_started();
     job.writes.page_of_task = vec![0; job.spec.tasks as usize];
-    for (task, fact) in facts {
-        job.writes.page_of_task[*task as usize] = fact.page;
+    for (task, entry) in entries {
+        job.writes.page_of_task[*task as usize] = entry.page;
     }
 }
 
--- a/crates/core/src/leader/store/pages/draft.rs
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -1,7 +1,7 @@
 //! Pages as a transaction would leave them.
 
 use crate::model::{Id, Job};
-use crate::records::{PlacementRecord, TaskFact, TaskRun};
+use crate::records::{PlacementRecord, TaskEntry, TaskRun};
 use shaleshunt_wire::{AgentEpoch, Attempt};
 use std::collections::BTreeMap;
 
@@ -9,8 +9,8 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct PageDraft {
     number: u32,
-    facts: Vec<TaskFact>,
-    /// A bound on the length of the facts.
+    entries: Vec<TaskEntry>,
+    /// A bound on the length of the entries.
     bytes: usize,
 }
 
@@ -28,8 +28,8 @@
         self.number
     }
 
-    pub(super) fn facts(&self) -> &[TaskFact] {
-        &self.facts
+    pub(super) fn entries(&self) -> &[TaskEntry] {
+        &self.entries
     }
 
     pub(super) fn bytes(&self) -> usize {
@@ -37,14 +37,14 @@
     }
 
     pub(super) fn is_empty(&self) -> bool {
-        self.facts.is_empty()
+        self.entries.is_empty()
     }
 }
 
-/// Facts in a transaction: tasks of a job, with the number of the change that each fact shows, and the
+/// Entries in a transaction: tasks of a job, with the number of the change that each entry shows, and the
 /// page that they are on.
 #[derive(Debug)]
-pub(super) struct RecordedFacts {
+pub(super) struct RecordedEntries {
     pub job: Id,
     pub change_of_task: Vec<(u32, u64)>,
     pub page: u32,
@@ -64,8 +64,8 @@
     drafts: Vec<PageDraft>,
     /// Pages that are in the transaction.
     pub(super) written: Vec<PageDraft>,
-    pub(super) recorded: Vec<RecordedFacts>,
-    /// Placements among the facts that are not committed yet.
+    pub(super) recorded: Vec<RecordedEntries>,
+    /// Placements among the entries that are not committed yet.
     pub(super) planned: Vec<PlannedPlacement>,
     /// Pages that are removed.
     pub(super) removed: Vec<u32>,
@@ -82,12 +82,12 @@
         self.drafts.iter().map(PageDraft::bytes).sum()
     }
 
-    /// Whether facts about a job are in the transaction.
-    pub(in crate::leader::store) fn has_facts_of(&self, job: &Id) -> bool {
+    /// Whether entries about a job are in the transaction.
+    pub(in crate::leader::store) fn has_entries_of(&self, job: &Id) -> bool {
         self.recorded.iter().any(|recorded| recorded.job == *job)
     }
 
-    /// The transaction is given up: jobs with facts in it, where one may come several times, and the
+    /// The transaction is given up: jobs with entries in it, where one may come several times, and the
     /// placements that are not committed.
     pub(in crate::leader::store) fn into_abandoned(self) -> (Vec<Id>, Vec<PlannedPlacement>) {
         (self.recorded.into_iter().map(|recorded| recorded.job).collect(), self.planned)
@@ -106,42 +106,42 @@
         std::mem::take(&mut self.drafts)
     }
 
-    /// Puts a fact on the last page, or on a new one if that is full.
-    pub(super) fn push(&mut self, job: &Id, fact: TaskFact, changes: &BTreeMap<u32, u64>, page_bytes: usize) {
-        let bytes = fact.max_bytes();
+    /// Puts an entry on the last page, or on a new one if that is full.
+    pub(super) fn push(&mut self, job: &Id, entry: TaskEntry, changes: &BTreeMap<u32, u64>, page_bytes: usize) {
+        let bytes = entry.max_bytes();
         let Some(last) = self.drafts.last() else { return };
         if last.bytes + bytes > page_bytes && !last.is_empty() {
             let next = PageDraft::new(last.number + 1);
             self.drafts.push(next);
         }
         let Some(last) = self.drafts.last_mut() else { return };
-        let tasks = fact.runs.iter().flat_map(TaskRun::tasks);
+        let tasks = entry.runs.iter().flat_map(TaskRun::tasks);
         let change_of_task = tasks.filter_map(|task| changes.get(&task).map(|change| (task, *change))).collect();
-        self.recorded.push(RecordedFacts { job: job.clone(), change_of_task, page: last.number });
+        self.recorded.push(RecordedEntries { job: job.clone(), change_of_task, page: last.number });
         last.bytes += bytes;
-        last.facts.push(fact);
+        last.entries.push(entry);
     }
 }
 
 /// What is to be written of a job.
 #[derive(Debug)]
-pub(super) struct PendingFacts {
-    pub facts: Vec<TaskFact>,
-    /// Placements among the facts that are not committed yet.
+pub(super) struct PendingEntries {
+    pub entries: Vec<TaskEntry>,
+    /// Placements among the entries that are not committed yet.
     pub planned: Vec<PlannedPlacement>,
-    /// The tasks, with the number of the change that their facts show.
+    /// The tasks, with the number of the change that their entries show.
     pub change_of_task: BTreeMap<u32, u64>,
 }
 
-impl PendingFacts {
+impl PendingEntries {
     /// Of the first of a job's tasks of which something is to be written.
-    pub(super) fn new(job: &Job, max_tasks: usize) -> PendingFacts {
+    pub(super) fn new(job: &Job, max_tasks: usize) -> PendingEntries {
         let change_of_task: BTreeMap<u32, u64> =
             job.writes.tasks.iter().take(max_tasks).map(|(task, change)| (*task, *change)).collect();
-        let mut done = TaskFact::new(&job.id);
+        let mut done = TaskEntry::new(&job.id);
         done.done = true;
-        let mut free = TaskFact::new(&job.id);
-        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskFact> = BTreeMap::new();
+        let mut free = TaskEntry::new(&job.id);
+        let mut placed: BTreeMap<(&Id, AgentEpoch, Attempt), TaskEntry> = BTreeMap::new();
         let mut planned = Vec::new();
         for task in change_of_task.keys() {
             if job.tasks.is_done(*task) {
@@ -154,23 +154,23 @@
             }
             for placement in placements {
                 let key = (&placement.machine, placement.agent_epoch, placement.attempt);
-                placed.entry(key).or_insert_with(|| TaskFact::new(&job.id)).push(*task);
+                placed.entry(key).or_insert_with(|| TaskEntry::new(&job.id)).push(*task);
                 if placement.planned {
                     let (machine, placement_id) = (placement.machine.clone(), placement.placement_id);
                     planned.push(PlannedPlacement { machine, placement_id });
                 }
             }
         }
-        let mut facts: Vec<TaskFact> = [done, free].into_iter().filter(|fact| !fact.runs.is_empty()).collect();
-        facts.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut fact)| {
-            fact.placement = Some(PlacementRecord { machine: machine.to_string(), agent_epoch, attempt });
-            fact
+        let mut entries: Vec<TaskEntry> = [done, free].into_iter().filter(|entry| !entry.runs.is_empty()).collect();
+        entries.extend(placed.into_iter().map(|((machine, agent_epoch, attempt), mut entry)| {
+            entry.placement = Some(PlacementRecord { machine: machine.to_string(), agent_epoch, attempt });
+            entry
         }));
-        PendingFacts { facts, planned, change_of_task }
+        PendingEntries { entries, planned, change_of_task }
     }
 
-    /// A bound on the length of the facts.
+    /// A bound on the length of the entries.
     pub(super) fn max_bytes(&self) -> usize {
-        self.facts.iter().map(TaskFact::max_bytes).sum()
+        self.entries.iter().map(TaskEntry::max_bytes).sum()
     }
 }
--- a/crates/core/src/leader/store/split_submissions.rs
+++ b/crates/core/src/leader/store/split_submissions.rs
@@ -2,7 +2,7 @@
 //! comes, and removes those that no record refers to.
 
 use crate::model::Id;
-use crate::records::SplitJobRecord;
+use crate::records::SplitSubmissionRecord;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::KeyValue;
 use std::collections::BTreeMap;
@@ -25,17 +25,17 @@
 
 /// A record of a job whose submission is in parts, and the parts read so far.
 #[derive(Debug)]
-pub(crate) struct SplitJobRead {
-    pub record: SplitJobRecord,
+pub(crate) struct SplitSubmissionRead {
+    pub record: SplitSubmissionRecord,
     /// Version of the record.
     pub version: Revision,
     pub parts: Vec<KeyValue>,
 }
 
-impl SplitJobRead {
+impl SplitSubmissionRead {
     /// One of which no part has been read.
-    pub(crate) fn new(record: SplitJobRecord, version: Revision) -> SplitJobRead {
-        SplitJobRead { record, version, parts: Vec::new() }
+    pub(crate) fn new(record: SplitSubmissionRecord, version: Revision) -> SplitSubmissionRead {
+        SplitSubmissionRead { record, version, parts: Vec::new() }
     }
 }
 
@@ -43,7 +43,7 @@
 #[derive(Debug)]
 struct Retry {
     at: u64,
-    record: SplitJobRecord,
+    record: SplitSubmissionRecord,
     version: Revision,
 }
 
@@ -60,35 +60,35 @@
 
 impl SplitSubmissions {
     /// Parts of a job are being read.
-    pub(super) fn begin_read(&mut self, read: &SplitJobRead) {
+    pub(super) fn begin_read(&mut self, read: &SplitSubmissionRead) {
         self.being_read.insert(read.record.job().into(), read.version);
     }
 
     /// Whether an answer to a read is for the record that is known last.
-    pub(super) fn is_current(&self, read: &SplitJobRead) -> bool {
+    pub(super) fn is_current(&self, read: &SplitSubmissionRead) -> bool {
         self.is_being_read(&read.record, read.version)
     }
 
-    fn is_being_read(&self, record: &SplitJobRecord, version: Revision) -> bool {
+    fn is_being_read(&self, record: &SplitSubmissionRecord, version: Revision) -> bool {
         self.being_read.get(record.job()) == Some(&version)
     }
 
     /// All parts of a job have been read.
-    pub(super) fn end_read(&mut self, read: &SplitJobRead) {
+    pub(super) fn end_read(&mut self, read: &SplitSubmissionRead) {
         self.being_read.remove(read.record.job());
     }
 
     /// A read brought no answer: it is begun anew at a time.
-    pub(super) fn retry_at(&mut self, at: u64, read: SplitJobRead) {
+    pub(super) fn retry_at(&mut self, at: u64, read: SplitSubmissionRead) {
         self.retries.push(Retry { at, record: read.record, version: read.version });
     }
 
     /// The next read whose time has come, unless its record has changed since.
-    pub(super) fn next_retry(&mut self, now: u64) -> Option<SplitJobRead> {
+    pub(super) fn next_retry(&mut self, now: u64) -> Option<SplitSubmissionRead> {
         while let Some(at) = self.retries.iter().position(|retry| now >= retry.at) {
             let Retry { record, version, .. } = self.retries.swap_remove(at);
             if self.is_being_read(&record, version) {
-                return Some(SplitJobRead::new(record, version));
+                return Some(SplitSubmissionRead::new(record, version));
             }
         }
         None
--- a/crates/core/src/leader/store/split_submissions/tests.rs
+++ b/crates/core/src/leader/store/split_submissions/tests.rs
@@ -1,14 +1,14 @@
 use super::*;
 
-fn read(job: &str, version: u64) -> SplitJobRead {
-    let record = SplitJobRecord {
+fn read(job: &str, version: u64) -> SplitSubmissionRead {
+    let record = SplitSubmissionRecord {
         parts_prefix: format!("s/{job}/n0-1-1/"),
         tasks: 3,
         accepted_at_ms: 1,
         cancelled: false,
         has_cancellation_key: false,
     };
-    SplitJobRead::new(record, Revision(version))
+    SplitSubmissionRead::new(record, Revision(version))
 }
 
 #[test]
--- a/crates/core/src/leader/store/unreferenced.rs
+++ b/crates/core/src/leader/store/unreferenced.rs
@@ -53,7 +53,7 @@
             if !builder.has_space_for(PART_SPACE) {
                 break;
             }
-            let job = keys::job_of_submission_part(&first.key);
+            let job = keys::job_id_of_submission_part(&first.key);
             builder.drop_key(first.key.clone(), first.version);
             if !jobs.contains_key(job) {
                 builder.require_absent(keys::job(job));
--- a/crates/core/src/leader/store/write_queue.rs
+++ b/crates/core/src/leader/store/write_queue.rs
@@ -45,7 +45,7 @@
     job_ends: BTreeSet<JobEnd>,
     urgent: BTreeSet<UrgentJob>,
     deferred: BTreeSet<DeferredJob>,
-    /// Changes so far: tells a newer fact about a task from the one that was written.
+    /// Changes so far: tells a newer entry about a task from the one that was written.
     change_counter: u64,
 }
 
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -106,7 +106,7 @@
                     self.apply_job_record(ctx, &path, value, version);
                 }
                 Change { drop: Some(path), version, .. } => {
-                    let id = keys::job_of(&path);
+                    let id = keys::job_id(&path);
                     self.store.job_record_removed(id, version);
                     if self.jobs.get(id).is_some_and(|job| job.record.version < version) {
                         self.apply_job_removal(ctx, id);
@@ -120,7 +120,7 @@
 
     /// The record of an unfinished job has been read.
     pub(crate) fn apply_job_record(&mut self, ctx: &mut Context, key: &str, value: Value, version: Revision) {
-        let id = keys::job_of(key);
+        let id = keys::job_id(key);
         let is_newer_known = self.jobs.get(id).is_some_and(|job| job.record.version > version);
         if self.watch.ended_jobs.contains_key(id) || is_newer_known {
             return;
@@ -135,7 +135,7 @@
         }
         match record {
             StoredJob::Whole(record) => self.add_job(ctx, *record, version),
-            StoredJob::SplitSubmission(record) => self.add_split_record(ctx, record, version),
+            StoredJob::SplitSubmission(record) => self.handle_split_submission_record(ctx, record, version),
         }
     }
 
@@ -186,7 +186,7 @@
         let id = job.id.clone();
         self.stop_job(ctx, &id);
         if self.active {
-            self.refresh(ctx, id);
+            self.refresh_job_record(ctx, id);
         }
     }
 
@@ -206,14 +206,19 @@
     }
 
     /// Reads a job's record again, after a condition on it failed.
-    pub(crate) fn refresh(&mut self, ctx: &mut Context, id: Id) {
+    pub(crate) fn refresh_job_record(&mut self, ctx: &mut Context, id: Id) {
         let key = keys::job(&id);
         let wait = self.wait(LeaderRequest::Refresh(id));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
     /// A job's record was read again, or not: then once more.
-    pub(crate) fn handle_refresh_reply(&mut self, ctx: &mut Context, id: Id, result: Result<KvReply, RequestError>) {
+    pub(crate) fn handle_job_refresh_reply(
+        &mut self,
+        ctx: &mut Context,
+        id: Id,
+        result: Result<KvReply, RequestError>,
+    ) {
         match result {
             Ok(KvReply::Found(pair)) => {
                 // A job that has ended meanwhile never comes back.
@@ -222,7 +227,7 @@
                 }
             }
             Ok(KvReply::Missing) => self.apply_job_removal(ctx, &id),
-            _ => self.refresh(ctx, id),
+            _ => self.refresh_job_record(ctx, id),
         }
     }
 
--- a/crates/core/src/leader/watch/split_jobs.rs
+++ b/crates/core/src/leader/watch/split_jobs.rs
@@ -3,10 +3,10 @@
 use crate::controller::Context;
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::store::SplitJobRead;
+use crate::leader::store::SplitSubmissionRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::Id;
-use crate::records::SplitJobRecord;
+use crate::records::SplitSubmissionRecord;
 use shaleshunt_wire::Revision;
 
 /// A read without an answer is begun anew after this part of a heartbeat interval.
@@ -15,17 +15,22 @@
 impl Leader {
     /// The record of a job whose submission is in parts has come. During a failover all parts are read
     /// anyway.
-    pub(super) fn add_split_record(&mut self, ctx: &mut Context, record: SplitJobRecord, version: Revision) {
-        let read = SplitJobRead::new(record, version);
+    pub(super) fn handle_split_submission_record(
+        &mut self,
+        ctx: &mut Context,
+        record: SplitSubmissionRecord,
+        version: Revision,
+    ) {
+        let read = SplitSubmissionRead::new(record, version);
         if self.active {
-            self.read_parts(ctx, read);
+            self.read_submission_parts(ctx, read);
         } else {
-            self.recovery.add_split_record(read);
+            self.recovery.defer_split_submission(read);
         }
     }
 
     /// Reads the next parts of a job that has come.
-    pub(crate) fn read_parts(&mut self, ctx: &mut Context, read: SplitJobRead) {
+    pub(crate) fn read_submission_parts(&mut self, ctx: &mut Context, read: SplitSubmissionRead) {
         self.store.begin_submission_read(&read);
         let after = read.parts.last().map(|part| part.path.clone()).unwrap_or_default();
         let prefix = read.record.parts_prefix.clone();
@@ -34,10 +39,10 @@
     }
 
     /// Parts were read, or not: then once more.
-    pub(crate) fn handle_parts(
+    pub(crate) fn handle_submission_parts_reply(
         &mut self,
         ctx: &mut Context,
-        mut read: SplitJobRead,
+        mut read: SplitSubmissionRead,
         result: Result<KvReply, RequestError>,
     ) {
         // The record has changed or is gone since: this answer is late.
@@ -51,15 +56,15 @@
         };
         read.parts.extend(page.pairs);
         if page.truncated {
-            self.read_parts(ctx, read);
+            self.read_submission_parts(ctx, read);
         } else {
             self.store.end_submission_read(&read);
-            self.add_split_job(ctx, read);
+            self.add_split_submission(ctx, read);
         }
     }
 
     /// All parts of a job's submission have been read.
-    pub(crate) fn add_split_job(&mut self, ctx: &mut Context, read: SplitJobRead) {
+    pub(crate) fn add_split_submission(&mut self, ctx: &mut Context, read: SplitSubmissionRead) {
         let Some(whole) = read.record.join(&read.parts) else {
             ctx.emit(Event::SubmissionPartsUnreadable { prefix: read.record.parts_prefix });
             return;
--- a/crates/core/src/records/job.rs
+++ b/crates/core/src/records/job.rs
@@ -42,7 +42,7 @@
 
 /// Record of an unfinished job whose submission takes more than a value and is in parts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct SplitJobRecord {
+pub struct SplitSubmissionRecord {
     /// Prefix of the parts' keys.
     #[serde(rename = "p")]
     pub parts_prefix: String,
@@ -60,7 +60,7 @@
     pub has_cancellation_key: bool,
 }
 
-impl SplitJobRecord {
+impl SplitSubmissionRecord {
     /// The record of the whole job, if the parts make up a submission.
     pub fn join(&self, parts: &[KeyValue]) -> Option<JobRecord> {
         let text: String = parts.iter().filter_map(|part| part.v.as_str()).collect();
@@ -74,7 +74,7 @@
 
     /// Its job, by the prefix of the parts.
     pub fn job(&self) -> &str {
-        keys::job_of_submission_part(&self.parts_prefix)
+        keys::job_id_of_submission_part(&self.parts_prefix)
     }
 }
 
@@ -85,7 +85,7 @@
     /// A record with the submission.
     Whole(Box<JobRecord>),
     /// A record of a job whose submission is in parts.
-    SplitSubmission(SplitJobRecord),
+    SplitSubmission(SplitSubmissionRecord),
 }
 
 impl StoredJob {
@@ -123,7 +123,7 @@
         match self {
             StoredJob::Whole(record) => json!(record.into_cancelled()),
             StoredJob::SplitSubmission(record) => {
-                json!(SplitJobRecord { cancelled: true, has_cancellation_key: true, ..record })
+                json!(SplitSubmissionRecord { cancelled: true, has_cancellation_key: true, ..record })
             }
         }
     }
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -15,7 +15,7 @@
 pub const SUBMISSION_PARTS: &str = "s/";
 /// Finished jobs.
 pub const FINAL_RECORDS: &str = "f/";
-/// Facts about unfinished jobs' tasks, on pages.
+/// Entries about unfinished jobs' tasks, on pages.
 pub const TASK_PAGES: &str = "p/";
 /// Machines, in blocks.
 pub const MACHINE_BLOCKS: &str = "b/";
@@ -39,7 +39,7 @@
 }
 
 /// The unfinished job that a key stands for.
-pub fn job_of(key: &str) -> &str {
+pub fn job_id(key: &str) -> &str {
     &key[JOBS.len().min(key.len())..]
 }
 
@@ -58,7 +58,7 @@
     format!("{SCALE_OUTS}{request}")
 }
 
-/// The key of a page of task facts. In the order of the keys pages are in the order of their numbers.
+/// The key of a page of task entries. In the order of the keys pages are in the order of their numbers.
 pub fn task_page(number: u32) -> String {
     format!("{TASK_PAGES}{number:010}")
 }
@@ -84,6 +84,6 @@
 }
 
 /// The job that a part of a submission belongs to, by the key of the part or its prefix.
-pub fn job_of_submission_part(key: &str) -> &str {
+pub fn job_id_of_submission_part(key: &str) -> &str {
     key.get(SUBMISSION_PARTS.len()..).and_then(|rest| rest.split('/').next()).unwrap_or_default()
 }
--- a/crates/core/src/records/mod.rs
+++ b/crates/core/src/records/mod.rs
@@ -9,9 +9,9 @@
 mod machine;
 mod page;
 
-pub use job::{FinalRecord, JobRecord, SplitJobRecord, StoredJob};
+pub use job::{FinalRecord, JobRecord, SplitSubmissionRecord, StoredJob};
 pub use machine::{BlockRecord, ImageRecord, MachineRecord, V01MachineRecord, V01PlacementRecord};
-pub use page::{PageRecord, PlacementRecord, TaskFact, TaskRun};
+pub use page::{PageRecord, PlacementRecord, TaskEntry, TaskRun};
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/records/page.rs
+++ b/crates/core/src/records/page.rs
@@ -1,4 +1,4 @@
-//! Records of task facts, on pages.
+//! Records of task entries, on pages.
 
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::{AgentEpoch, Attempt};
@@ -6,14 +6,14 @@
 /// A page's record.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PageRecord {
-    /// Facts, oldest first.
+    /// Entries, oldest first.
     #[serde(rename = "e")]
-    pub facts: Vec<TaskFact>,
+    pub entries: Vec<TaskEntry>,
 }
 
 /// What holds for some tasks of a job: done, placed, or (neither given) free.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TaskFact {
+pub struct TaskEntry {
     /// Job.
     #[serde(rename = "j")]
     pub job: String,
@@ -81,10 +81,10 @@
     }
 }
 
-impl TaskFact {
-    /// A fact about no task yet: free, unless set otherwise.
-    pub fn new(job: &str) -> TaskFact {
-        TaskFact { job: job.to_string(), placement: None, done: false, runs: Vec::new() }
+impl TaskEntry {
+    /// An entry about no task yet: free, unless set otherwise.
+    pub fn new(job: &str) -> TaskEntry {
+        TaskEntry { job: job.to_string(), placement: None, done: false, runs: Vec::new() }
     }
 
     /// Adds a task; in the order of their numbers they take the least room.
