--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -3,7 +3,7 @@
 //! `JobWatch` owns the place up to which changes have been seen. Changes are applied once, in their
 //! order; a record that is older than what is known of a job changes nothing.
 
-mod split_jobs;
+mod split_submissions;
 
 use crate::controller::Context;
 use crate::event::Event;
