--- a/crates/core/src/leader/autoscaler/arrivals.rs
+++ b/crates/core/src/leader/autoscaler/arrivals.rs
@@ -26,7 +26,7 @@
 impl Arrivals {
     /// A job arrived at `now` (steady clock, ms).
     fn record(&mut self, now: u64, job: &Job) {
-        let record = JobRecord::new(job.spec.clone(), job.accepted_at);
+        let record = JobRecord::new(job.spec.clone(), job.accepted_at_ms);
         self.recent.push_back(Arrival { at: now, job: Job::new(record, job.record.version) });
         if self.recent.len() > MAX_ARRIVALS {
             self.recent.pop_front();
--- a/crates/core/src/leader/autoscaler/catalog.rs
+++ b/crates/core/src/leader/autoscaler/catalog.rs
@@ -63,7 +63,7 @@
         if changed || !self.store.has_catalog() {
             self.store.record_catalog();
         }
-        self.fleet.machines.set_rooms(|name| catalog.machine_type(name).map(MachineType::resources));
+        self.fleet.machines.set_capacities(|name| catalog.machine_type(name).map(MachineType::resources));
         ctx.catalog = Some(catalog);
         self.scheduler.request_pass();
     }
--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -15,7 +15,7 @@
         .scheduling
         .jobs
         .values()
-        .filter(|job| !job.cancelled && job.scheduling.not_before <= now && job.waiting() > 0)
+        .filter(|job| !job.cancelled && job.scheduling.not_before_ms <= now && job.waiting_task_count() > 0)
         .filter(|job| wants_rented_machines(view, job, &mut fleet))
         .collect();
     demand.extend(view.arrivals.jobs());
@@ -68,7 +68,7 @@
     if fleet.of(view, job, tasks_together) < tasks_together {
         return true;
     }
-    let waited_s = view.scheduling.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 / 1000.0;
+    let waited_s = view.scheduling.now.wall_ms.saturating_sub(job.scheduling.ready_at_ms) as f64 / 1000.0;
     !has_deadline && waited_s >= longest_wait_s(view, job)
 }
 
--- a/crates/core/src/leader/autoscaler/demand/tests.rs
+++ b/crates/core/src/leader/autoscaler/demand/tests.rs
@@ -50,7 +50,7 @@
         Case { change: |j| j.spec.zone = Some("b".into()), ..case("no machine that it may use", 0, true) },
         Case { change: |j| j.need = Resources::new(17.0, 0.0, 1.0), ..case("no machine large enough", 0, true) },
         Case { change: |j| j.cancelled = true, ..case("cancelled", 9_999, false) },
-        Case { change: |j| j.scheduling.not_before = NOW.monotonic_ms + 1, ..case("held back", 9_999, false) },
+        Case { change: |j| j.scheduling.not_before_ms = NOW.monotonic_ms + 1, ..case("held back", 9_999, false) },
     ];
     for case in cases {
         let mut fixture = Fixture::new();
@@ -63,7 +63,7 @@
         };
         fixture.settings.objectives.insert("class".into(), objective);
         fixture.add_job("job", |j| {
-            j.scheduling.ready_at = NOW.wall_ms - case.waited_s * 1000;
+            j.scheduling.ready_at_ms = NOW.wall_ms - case.waited_s * 1000;
             (case.change)(j);
         });
         assert_eq!(wants(&fixture), case.wants, "{}", case.name);
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -149,7 +149,7 @@
             // silent; its return is answered 200 again.
             let mut machine = self.new_machine(ctx, &id, &listed.machine_type, &listed.zone, listed.spot, owned);
             let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64;
-            machine.rented_at = ctx.now.wall_ms.saturating_sub(age_ms);
+            machine.rented_at_ms = ctx.now.wall_ms.saturating_sub(age_ms);
             // Known by the list only: it is recorded when its agent is heard.
             self.fleet.machines.insert(machine);
         }
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -93,7 +93,7 @@
         let plan = plan_scale_out(&self.scale_out_view(ctx, catalog));
         for id in plan.needed_machines {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.lifecycle.needed_at = now;
+                machine.lifecycle.needed_at_ms = now;
             }
         }
         for planned in plan.requests {
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -86,7 +86,7 @@
     fn cover(&mut self, job: &Job) {
         let Some(quota) = self.view.scheduling.settings.teams.get(&job.spec.team) else { return };
         let used = self.team_usage.entry(job.spec.team.clone()).or_default();
-        let tasks = job.waiting().min(quota.max_tasks(used, &job.need));
+        let tasks = job.waiting_task_count().min(quota.max_tasks(used, &job.need));
         let uncovered = self.use_spare(job, tasks);
         self.rent(job, uncovered);
     }
@@ -219,7 +219,7 @@
 /// Whether the machine takes tasks now or is booting. One that boots in a partitioned zone is of no use
 /// before the partition is over.
 fn is_usable_soon(view: &ScaleOutView, machine: &Machine) -> bool {
-    let booting = machine.agent.last_heard.is_none()
+    let booting = machine.agent.last_heartbeat_ms.is_none()
         && !machine.lifecycle.scale_in_wanted
         && !view.reachability.is_partitioned(&machine.zone);
     booting || machine.is_schedulable(view.scheduling.now.monotonic_ms, view.scheduling.settings)
--- a/crates/core/src/leader/autoscaler/plan/tests.rs
+++ b/crates/core/src/leader/autoscaler/plan/tests.rs
@@ -81,8 +81,8 @@
 #[test]
 fn capacity_that_is_free_or_on_its_way_is_used_first() {
     let mut fixture = fixture();
-    fixture.add_machine("booting", |m| m.agent.last_heard = None);
-    fixture.add_machine("unneeded", |m| (m.agent.last_heard, m.zone) = (None, "b".into()));
+    fixture.add_machine("booting", |m| m.agent.last_heartbeat_ms = None);
+    fixture.add_machine("unneeded", |m| (m.agent.last_heartbeat_ms, m.zone) = (None, "b".into()));
     fixture.add_machine("nearly-full", |m| m.capacity.used = Resources::new(12.0, 0.0, 1.0));
     // Arrivals are demand whatever the fleet has.
     let mut known = Known::default();
@@ -130,8 +130,8 @@
 #[test]
 fn tasks_of_a_job_keep_to_its_zone_rules() {
     let mut fixture = fixture();
-    fixture.add_machine("a-booting", |m| (m.agent.last_heard, m.zone) = (None, "a".into()));
-    fixture.add_machine("b-booting", |m| (m.agent.last_heard, m.zone) = (None, "b".into()));
+    fixture.add_machine("a-booting", |m| (m.agent.last_heartbeat_ms, m.zone) = (None, "a".into()));
+    fixture.add_machine("b-booting", |m| (m.agent.last_heartbeat_ms, m.zone) = (None, "b".into()));
     let mut known = Known::default();
     known.arrivals.record_for_test(0, &job("spread", |j| (j.spec.tasks, j.spec.spread_zones) = (4, true)));
     assert_eq!(names(&plan(&fixture, &known).needed_machines), ["a-booting", "b-booting"]);
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -66,7 +66,7 @@
     /// Why the machine is to be returned, if it is. An owned machine is not: it goes only when the cloud's
     /// list shows that it failed.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
-        match machine.agent.last_heard {
+        match machine.agent.last_heartbeat_ms {
             None if machine.owned => None,
             None if machine.agent.epoch > AgentEpoch::NONE => {
                 self.leads_for_long().then_some(ScaleInReason::NeverHeard)
@@ -83,7 +83,7 @@
             Some(ScaleInReason::Silent)
         } else if !machine.placements.is_empty() {
             None
-        } else if machine.lifecycle.preempted_at.is_some() {
+        } else if machine.lifecycle.preemption_at_ms.is_some() {
             Some(ScaleInReason::Preempted)
         } else {
             self.idle_for_long(machine).then_some(ScaleInReason::Idle)
@@ -103,7 +103,7 @@
     fn never_booted(&self, machine: &Machine) -> bool {
         let machine_type = self.catalog.and_then(|catalog| catalog.machine_type(&machine.machine_type));
         let boot_s = machine_type.map_or(self.settings.lease_s, |machine_type| machine_type.boot_s);
-        let age_s = self.now.wall_ms.saturating_sub(machine.rented_at) as f64 / 1000.0;
+        let age_s = self.now.wall_ms.saturating_sub(machine.rented_at_ms) as f64 / 1000.0;
         let patience_s = boot_s * BOOT_TIMES_BEFORE_GIVING_UP + self.settings.heartbeat_interval_s;
         age_s > patience_s && self.leads_for_long()
     }
@@ -130,7 +130,7 @@
     }
 
     fn idle_for_long(&self, machine: &Machine) -> bool {
-        let idle_since = machine.lifecycle.idle_since.max(machine.lifecycle.needed_at);
+        let idle_since = machine.lifecycle.idle_since_ms.max(machine.lifecycle.needed_at_ms);
         let idle_ms = self.now.monotonic_ms.saturating_sub(idle_since) as f64;
         idle_ms > self.tuning.idle_before_scale_in_s * 1000.0
     }
--- a/crates/core/src/leader/autoscaler/scale_in/tests.rs
+++ b/crates/core/src/leader/autoscaler/scale_in/tests.rs
@@ -28,17 +28,17 @@
 const SILENCE_MS: u64 = 9_000;
 
 fn silent_for(machine: &mut Machine, ms: u64) {
-    machine.agent.last_heard = Some(NOW.monotonic_ms - ms);
+    machine.agent.last_heartbeat_ms = Some(NOW.monotonic_ms - ms);
 }
 
 fn idle_for(machine: &mut Machine, ms: u64) {
-    machine.lifecycle.idle_since = NOW.monotonic_ms - ms;
+    machine.lifecycle.idle_since_ms = NOW.monotonic_ms - ms;
 }
 
 fn never_heard(machine: &mut Machine, rented_s_ago: u64) {
-    machine.agent.last_heard = None;
+    machine.agent.last_heartbeat_ms = None;
     machine.agent.epoch = AgentEpoch::NONE;
-    machine.rented_at = NOW.wall_ms - rented_s_ago * 1000;
+    machine.rented_at_ms = NOW.wall_ms - rented_s_ago * 1000;
 }
 
 struct Case {
@@ -80,13 +80,13 @@
         Case { known: kept_in_a(), ..case("leases there are over", past_leases, Some(ScaleInReason::Silent)) },
         case("idle for long", |m| idle_for(m, 45_001), Some(ScaleInReason::Idle)),
         case("idle for a while", |m| idle_for(m, 45_000), None),
-        case("idle but needed", |m| (idle_for(m, 45_001), m.lifecycle.needed_at = NOW.monotonic_ms).1, None),
-        case("preempted and empty", |m| m.lifecycle.preempted_at = Some(0), Some(ScaleInReason::Preempted)),
+        case("idle but needed", |m| (idle_for(m, 45_001), m.lifecycle.needed_at_ms = NOW.monotonic_ms).1, None),
+        case("preempted and empty", |m| m.lifecycle.preemption_at_ms = Some(0), Some(ScaleInReason::Preempted)),
         case("did not come up", |m| never_heard(m, 244), Some(ScaleInReason::NeverBooted)),
         case("may still come up", |m| never_heard(m, 243), None),
         Case { known: recent(), ..case("did not come up, leader is new", |m| never_heard(m, 244), None) },
-        case("not heard by this leader", |m| m.agent.last_heard = None, Some(ScaleInReason::NeverHeard)),
-        Case { known: recent(), ..case("not heard yet", |m| m.agent.last_heard = None, None) },
+        case("not heard by this leader", |m| m.agent.last_heartbeat_ms = None, Some(ScaleInReason::NeverHeard)),
+        Case { known: recent(), ..case("not heard yet", |m| m.agent.last_heartbeat_ms = None, None) },
         case(
             "return under way",
             |m| {
@@ -123,7 +123,7 @@
             (m.owned, m.agent.partitioned) = (false, true);
             silent_for(m, silent_ms);
             idle_for(m, 99_000);
-            m.lifecycle.preempted_at = Some(0);
+            m.lifecycle.preemption_at_ms = Some(0);
         });
         let job = fixture.add_job("job", |j| j.spec.deadline_s = deadline_s);
         fixture.run_task(&job, &machine, 1_000);
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -132,7 +132,7 @@
         let Some(placement) = self.fleet.machines.get_mut(&machine).and_then(|m| m.placement_mut(placement_id)) else {
             return;
         };
-        placement.stage = PlacementState::Committed;
+        placement.state = PlacementState::Committed;
         if let Some(job) = self.jobs.get_mut(&placement.job) {
             job.tasks.commit_placement(placement.task, placement_id);
         }
@@ -200,7 +200,7 @@
         let machine = self.fleet.machines.get(&planned.machine);
         let placement = machine.and_then(|machine| machine.placement(planned.placement_id));
         let is_given_up = |stage, job| stage == PlacementState::Planned && stale.contains(job);
-        if let Some(placement) = placement.filter(|placement| is_given_up(placement.stage, &placement.job)) {
+        if let Some(placement) = placement.filter(|placement| is_given_up(placement.state, &placement.job)) {
             let job = placement.job.clone();
             self.release_unfinished(now, &planned.machine, planned.placement_id);
             self.queue_write(now, &job);
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -25,10 +25,10 @@
         let planned = commands_for(m, channel, outcome_pending);
         for placement_id in &planned.starts {
             if channel == CommandChannel::HeartbeatReply {
-                m.call.start_repeated(*placement_id);
+                m.call.remove_first_start(*placement_id);
             }
             if let Some(placement) = m.placement_mut(*placement_id) {
-                placement.sent = true;
+                placement.start_sent = true;
             }
         }
         planned
@@ -41,10 +41,10 @@
             let Some(m) = self.fleet.machines.get_mut(&id) else { continue };
             match decide_call(m, now) {
                 CallDecision::Call => self.call(ctx, &id, CallPurpose::SendCommands),
-                CallDecision::AfterCurrentCall => m.call.send_more_afterwards(),
+                CallDecision::AfterCurrentCall => m.call.request_follow_up_call(),
                 CallDecision::Later(time) => self.fleet.calls.call_at(time, id),
                 CallDecision::ReleaseUnsent => self.release_unsent(now, &id),
-                CallDecision::Unreachable => {}
+                CallDecision::AgentUnknown => {}
             }
         }
         // A confirmation changes nothing at the machine, so its fate need not be known; but each
@@ -68,9 +68,9 @@
         let has_commands = !commands.is_empty();
         let body = DirectCommands { token: m.agent.token(self.epoch), agent_epoch: m.agent.epoch, commands };
         let request = ctx.direct_commands(m.agent.endpoint.clone(), body, pending);
-        m.call.begin(CallInFlight { request, purpose, has_commands, first_starts: starts, more_to_send: false });
+        m.call.begin(CallInFlight { request, purpose, has_commands, first_starts: starts, follow_up_needed: false });
         if purpose == CallPurpose::ConfirmToken {
-            self.fleet.calls.confirmation_begun();
+            self.fleet.calls.confirmation_started();
         }
     }
 
@@ -87,7 +87,7 @@
         if call.purpose == CallPurpose::ConfirmToken {
             self.fleet.calls.confirmation_ended();
         }
-        let more_to_send = call.more_to_send;
+        let follow_up_needed = call.follow_up_needed;
         let call_again = match result {
             Ok(DirectCommandsReply::Executed(heartbeat) | DirectCommandsReply::Fenced(heartbeat)) => {
                 self.direct_call_answered(ctx, machine, heartbeat)
@@ -97,7 +97,7 @@
                 true
             }
         };
-        if more_to_send || call_again {
+        if follow_up_needed || call_again {
             self.fleet.calls.call_soon(machine.clone());
         }
     }
@@ -110,7 +110,7 @@
             return false;
         }
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.agent.command_acknowledged();
+            m.agent.record_acknowledged_command();
         }
         self.take_heartbeat(ctx, machine, heartbeat, HeartbeatSource::DirectCall);
         self.fleet.machines.get(machine).is_some_and(|m| m.placements.iter().any(is_unsent))
@@ -122,14 +122,14 @@
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         // For want of room here nothing is known of the machine.
         if error != RequestError::LocalOverload {
-            m.agent.command_unacknowledged();
+            m.agent.record_unacknowledged_command();
         }
         let doublings = m.agent.unacknowledged_commands.saturating_sub(1).min(MOST_DOUBLINGS);
         m.call.back_off_until(now + ctx.settings.heartbeat_interval_ms() / PAUSE_PART * u64::from(1u32 << doublings));
         if matches!(error, RequestError::NotSent | RequestError::LocalOverload) {
             // What was in it never left; others can have it.
             for placement in m.placements.iter_mut().filter(|p| call.first_starts.contains(&p.placement_id)) {
-                placement.sent = false;
+                placement.start_sent = false;
             }
             // The reply to its next heartbeat can carry them, if it is not the machine's doing.
             if error == RequestError::NotSent {
@@ -153,5 +153,5 @@
 
 /// Whether a placement is committed and its start command has not left.
 fn is_unsent(placement: &Placement) -> bool {
-    !placement.sent && placement.stage == PlacementState::Committed
+    !placement.start_sent && placement.state == PlacementState::Committed
 }
--- a/crates/core/src/leader/fleet/calls.rs
+++ b/crates/core/src/leader/fleet/calls.rs
@@ -24,7 +24,7 @@
     /// Its zone is cut off: what has not left would only wait, so it is released.
     ReleaseUnsent,
     /// It has never been heard, so there is nobody to call.
-    Unreachable,
+    AgentUnknown,
 }
 
 /// Decides how to send something to a machine.
@@ -35,10 +35,10 @@
         CallDecision::ReleaseUnsent
     } else if now < machine.call.not_before() {
         CallDecision::Later(machine.call.not_before())
-    } else if machine.agent.is_reachable() {
+    } else if machine.agent.can_be_called() {
         CallDecision::Call
     } else {
-        CallDecision::Unreachable
+        CallDecision::AgentUnknown
     }
 }
 
@@ -81,7 +81,7 @@
     }
 
     /// A machine has been asked to confirm the fencing token.
-    pub(crate) fn confirmation_begun(&mut self) {
+    pub(crate) fn confirmation_started(&mut self) {
         self.confirmations_in_flight += 1;
     }
 
--- a/crates/core/src/leader/fleet/calls/tests.rs
+++ b/crates/core/src/leader/fleet/calls/tests.rs
@@ -25,8 +25,8 @@
         ("failed lately", changed(|m| m.call.back_off_until(NOW + 1)), CallDecision::Later(NOW + 1)),
         ("called already", changed(samples::begin_call), CallDecision::AfterCurrentCall),
         ("cut off", changed(|m| m.agent.partitioned = true), CallDecision::ReleaseUnsent),
-        ("no address", changed(|m| m.agent.endpoint.clear()), CallDecision::Unreachable),
-        ("never heard", changed(|m| m.agent.epoch = AgentEpoch::NONE), CallDecision::Unreachable),
+        ("no address", changed(|m| m.agent.endpoint.clear()), CallDecision::AgentUnknown),
+        ("never heard", changed(|m| m.agent.epoch = AgentEpoch::NONE), CallDecision::AgentUnknown),
     ];
     for (name, machine, expected) in cases {
         assert_eq!(decide_call(&machine, NOW), expected, "{name}");
@@ -55,7 +55,7 @@
     let mut calls = CallQueue::default();
     calls.set_unconfirmed(["a", "b", "c"].into_iter().map(Id::from));
     assert_eq!(calls.next_unconfirmed(1, |id| id != "a").as_deref(), Some("b"));
-    calls.confirmation_begun();
+    calls.confirmation_started();
     assert_eq!(calls.next_unconfirmed(1, |_| true), None);
     calls.confirmation_ended();
     assert_eq!(calls.next_unconfirmed(1, |_| true).as_deref(), Some("c"));
--- a/crates/core/src/leader/fleet/commands.rs
+++ b/crates/core/src/leader/fleet/commands.rs
@@ -63,13 +63,13 @@
     let task = || format!("{}/{}", placement.job, placement.task);
     let attempt = placement.attempt;
     let stop = |grace_period_s| Some(TaskCommand::Stop { task: task(), attempt, grace_period_s });
-    match (placement.stage, placement.stop_grace_s) {
+    match (placement.state, placement.stop_grace_s) {
         (PlacementState::Fetching | PlacementState::Running, Some(grace_period_s)) => stop(grace_period_s),
         // It saves already; only a stop at once says more.
         (PlacementState::Checkpointing, Some(0.0)) => stop(0.0),
         // Not seen yet: if the command to start it arrives, the stop behind it ends it.
         (PlacementState::Committed, Some(_)) => stop(0.0),
-        (PlacementState::Committed, None) if !placement.sent || channel == CommandChannel::HeartbeatReply => {
+        (PlacementState::Committed, None) if !placement.start_sent || channel == CommandChannel::HeartbeatReply => {
             Some(TaskCommand::Run { task: task(), attempt })
         }
         _ => None,
--- a/crates/core/src/leader/fleet/commands/tests.rs
+++ b/crates/core/src/leader/fleet/commands/tests.rs
@@ -7,8 +7,8 @@
     samples::attempt(9)
 }
 
-fn placement(stage: PlacementState, sent: bool, stop_grace_s: Option<f64>) -> Placement {
-    Placement { sent, stop_grace_s, ..samples::placement(stage) }
+fn placement(state: PlacementState, start_sent: bool, stop_grace_s: Option<f64>) -> Placement {
+    Placement { start_sent, stop_grace_s, ..samples::placement(state) }
 }
 
 fn machine() -> Machine {
@@ -79,7 +79,7 @@
         purpose: CallPurpose::ConfirmToken,
         has_commands: false,
         first_starts: Vec::new(),
-        more_to_send: false,
+        follow_up_needed: false,
     });
     assert!(commands_for(&machine, CommandChannel::HeartbeatReply, |_, _| false).commands.is_empty());
 }
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -26,9 +26,9 @@
 
 /// What a failure tells of its job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum JobVerdict {
+pub(crate) enum JobDiagnosis {
     /// Its tasks do well elsewhere.
-    Sound,
+    Healthy,
     /// It has not failed often.
     Unknown,
     /// It fails often, but some of its tasks run on machines where none failed.
@@ -39,7 +39,7 @@
 
 /// What a failure tells of its machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum MachineVerdict {
+pub(crate) enum MachineDiagnosis {
     /// Nothing yet.
     Unknown,
     /// It fails tasks that would do well elsewhere.
@@ -48,11 +48,11 @@
 
 /// A task of the job that failed, on another machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct MateEvidence {
+pub(crate) struct SiblingTaskEvidence {
     /// It has run for longer than the failed one had.
     pub outlasted: bool,
     /// It runs, on a machine where none of the job's tasks failed.
-    pub runs_on_sound_machine: bool,
+    pub runs_on_healthy_machine: bool,
 }
 
 /// What is known of a job when one of its tasks has failed, that failure included.
@@ -67,31 +67,34 @@
 }
 
 /// Judges a job of which a task failed, given its other tasks that are on machines.
-pub(crate) fn judge_job(job: JobFailureEvidence, mates: impl Iterator<Item = MateEvidence> + Clone) -> JobVerdict {
+pub(crate) fn diagnose_job(
+    job: JobFailureEvidence,
+    mates: impl Iterator<Item = SiblingTaskEvidence> + Clone,
+) -> JobDiagnosis {
     if job.any_done || mates.clone().any(|mate| mate.outlasted) {
-        return JobVerdict::Sound;
+        return JobDiagnosis::Healthy;
     }
     let often = job.failed_machines >= OFTEN_MACHINES || job.failures >= OFTEN_FAILURES;
     if !often {
-        return JobVerdict::Unknown;
+        return JobDiagnosis::Unknown;
     }
     // Tasks that have only just begun elsewhere are no sign that the job is sound, but a job of
     // which some run is not called broken: a large one loses many tasks at once to a few machines.
-    let some_run = mates.clone().any(|mate| mate.runs_on_sound_machine);
-    if some_run { JobVerdict::Suspect } else { JobVerdict::Broken }
+    let some_run = mates.clone().any(|mate| mate.runs_on_healthy_machine);
+    if some_run { JobDiagnosis::Suspect } else { JobDiagnosis::Broken }
 }
 
 /// Judges a machine on which a task failed. Its health already counts the failure, unless that is
 /// the job's fault.
-pub(crate) fn judge_machine(health: &MachineHealth, job: JobVerdict) -> MachineVerdict {
+pub(crate) fn diagnose_machine(health: &MachineHealth, job: JobDiagnosis) -> MachineDiagnosis {
     let failing = match job {
-        JobVerdict::Broken => false,
-        JobVerdict::Sound => true,
-        JobVerdict::Unknown | JobVerdict::Suspect => {
+        JobDiagnosis::Broken => false,
+        JobDiagnosis::Healthy => true,
+        JobDiagnosis::Unknown | JobDiagnosis::Suspect => {
             health.quarantine_count > 0 || health.failed_job_count() >= FAILED_JOBS
         }
     };
-    if failing { MachineVerdict::Failing } else { MachineVerdict::Unknown }
+    if failing { MachineDiagnosis::Failing } else { MachineDiagnosis::Unknown }
 }
 
 /// For how long a broken job is held back after so many failures, given the length of a machine's
@@ -111,17 +114,17 @@
 }
 
 /// What the placements of a job's other tasks tell.
-pub(crate) fn mates_evidence<'a>(
+pub(crate) fn sibling_task_evidence<'a>(
     job: &'a Job,
     failed: FailedTask<'a>,
     machines: &'a MachineIndex,
     now: u64,
-) -> impl Iterator<Item = MateEvidence> + Clone + 'a {
+) -> impl Iterator<Item = SiblingTaskEvidence> + Clone + 'a {
     job.tasks.placements().map(move |mate| {
-        let running_since = placement_of(mate, machines).and_then(|placement| placement.running);
-        MateEvidence {
+        let running_since = placement_of(mate, machines).and_then(|placement| placement.running_since_ms);
+        SiblingTaskEvidence {
             outlasted: *mate.machine != *failed.machine && running_since.is_some_and(|at| now - at > failed.ran_ms),
-            runs_on_sound_machine: running_since.is_some() && !job.failures.machines.contains(&mate.machine),
+            runs_on_healthy_machine: running_since.is_some() && !job.failures.machines.contains(&mate.machine),
         }
     })
 }
--- a/crates/core/src/leader/fleet/heartbeat_effects.rs
+++ b/crates/core/src/leader/fleet/heartbeat_effects.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct FindingEffects {
     /// Placements proven gone by a newer agent epoch.
-    pub of_earlier_agent: Vec<u64>,
+    pub earlier_agent_epoch: Vec<u64>,
     /// Placements proven gone by their absence.
     pub absent: Vec<u64>,
     /// Placements proven ended.
@@ -40,20 +40,20 @@
     for (placement, finding) in machine.placements.iter_mut().zip(findings) {
         let placement_id = placement.placement_id;
         match *finding {
-            Finding::OfEarlierAgent => effects.of_earlier_agent.push(placement_id),
+            Finding::EarlierAgentEpoch => effects.earlier_agent_epoch.push(placement_id),
             Finding::Absent => effects.absent.push(placement_id),
             Finding::Ended(cause) => effects.ended.push(EndedPlacement { placement_id, cause }),
             Finding::StartLost => {
-                placement.sent = false;
+                placement.start_sent = false;
                 effects.start_lost = true;
             }
             Finding::Present(state) => {
-                let first_run = placement.running.is_none() && state.is_running();
+                let first_run = placement.running_since_ms.is_none() && state.is_running();
                 if let Some(job) = advance(placement, state, jobs, now).filter(|_| first_run) {
                     machine.images.touch(job.image, job.spec.image_gb, disk_gb);
                 }
             }
-            Finding::EndedUnproven | Finding::Nothing => {}
+            Finding::EndedUnproven | Finding::NoChange => {}
         }
     }
     effects
@@ -67,11 +67,11 @@
     jobs: &'a mut BTreeMap<Id, Job>,
     now: u64,
 ) -> Option<&'a Job> {
-    let ran = placement.stage.is_running();
-    placement.sent = true;
-    placement.stage = state;
-    if state == PlacementState::Running && placement.running.is_none() {
-        placement.running = Some(now);
+    let ran = placement.state.is_running();
+    placement.start_sent = true;
+    placement.state = state;
+    if state == PlacementState::Running && placement.running_since_ms.is_none() {
+        placement.running_since_ms = Some(now);
     }
     if ran == state.is_running() {
         return None;
--- a/crates/core/src/leader/fleet/interruption/tests.rs
+++ b/crates/core/src/leader/fleet/interruption/tests.rs
@@ -5,10 +5,10 @@
 const NOW: u64 = 100_000;
 
 /// A machine that is taken away in so many seconds, with a task that runs since a time.
-fn machine(left_s: Option<u64>, running: Option<u64>) -> Machine {
+fn machine(left_s: Option<u64>, running_since_ms: Option<u64>) -> Machine {
     let mut machine = samples::machine("vm-1");
-    machine.lifecycle.preempted_at = left_s.map(|left_s| NOW + left_s * 1000);
-    machine.placements.push(Placement { running, ..samples::placement(PlacementState::Running) });
+    machine.lifecycle.preemption_at_ms = left_s.map(|left_s| NOW + left_s * 1000);
+    machine.placements.push(Placement { running_since_ms, ..samples::placement(PlacementState::Running) });
     machine
 }
 
--- a/crates/core/src/leader/fleet/lease_expiry/tests.rs
+++ b/crates/core/src/leader/fleet/lease_expiry/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 use crate::model::samples;
 
-const CLOCK: LeaseClock = LeaseClock { now: 1000, lease: 100, renewal_window: 30, elected_at: 500 };
+const CLOCK: LeaseTiming = LeaseTiming { now_ms: 1000, lease_ms: 100, renewal_window_ms: 30, elected_at_ms: 500 };
 
 fn machine(last_heard: Option<u64>, token_confirmed: bool) -> Machine {
     let mut machine = samples::machine("vm-1");
     machine.zone = "a".into();
-    machine.agent.last_heard = last_heard;
+    machine.agent.last_heartbeat_ms = last_heard;
     machine.agent.token_confirmed = token_confirmed;
     machine
 }
@@ -18,15 +18,20 @@
 
 #[test]
 fn a_lease_expires_after_the_last_time_that_it_could_be_renewed() {
-    let early = LeaseClock { now: 630, ..CLOCK };
+    let early = LeaseTiming { now_ms: 630, ..CLOCK };
     let cases = [
         ("heard a lease ago", CLOCK, machine(Some(900), true), false),
         ("heard longer ago", CLOCK, machine(Some(899), true), true),
         ("heard, but an earlier leader may have replied since", early, machine(Some(400), false), false),
-        ("a lease after an earlier leader's term", LeaseClock { now: 631, ..CLOCK }, machine(Some(400), false), true),
+        (
+            "a lease after an earlier leader's term",
+            LeaseTiming { now_ms: 631, ..CLOCK },
+            machine(Some(400), false),
+            true,
+        ),
         ("the same with a confirmed token", early, machine(Some(400), true), true),
         ("never heard", early, machine(None, false), false),
-        ("never heard, a lease after the term", LeaseClock { now: 631, ..CLOCK }, machine(None, false), true),
+        ("never heard, a lease after the term", LeaseTiming { now_ms: 631, ..CLOCK }, machine(None, false), true),
     ];
     for (name, clock, machine, expected) in cases {
         assert_eq!(clock.has_expired(&machine, &[]), expected, "{name}");
--- a/crates/core/src/leader/fleet/machines.rs
+++ b/crates/core/src/leader/fleet/machines.rs
@@ -67,19 +67,19 @@
         let at = machine.placements.iter().position(|placement| placement.placement_id == placement_id)?;
         let placement = machine.placements.remove(at);
         if machine.placements.is_empty() {
-            machine.lifecycle.idle_since = now;
+            machine.lifecycle.idle_since_ms = now;
         }
         self.change(id, |machine| machine.capacity.used.add(&placement.need, -1));
         Some(placement)
     }
 
     /// All the room that a machine has became known.
-    pub(crate) fn set_room(&mut self, id: &str, resources: Resources) {
+    pub(crate) fn set_capacity(&mut self, id: &str, resources: Resources) {
         self.change(id, |machine| machine.capacity.total = resources);
     }
 
     /// The room of machines by their type became known.
-    pub(crate) fn set_rooms(&mut self, room_of: impl Fn(&str) -> Option<Resources>) {
+    pub(crate) fn set_capacities(&mut self, room_of: impl Fn(&str) -> Option<Resources>) {
         let changed: Vec<(Id, Resources)> = self
             .machines
             .values()
@@ -90,7 +90,7 @@
             })
             .collect();
         for (id, resources) in changed {
-            self.set_room(&id, resources);
+            self.set_capacity(&id, resources);
         }
     }
 
@@ -116,13 +116,13 @@
     }
 
     /// How many machines have so many CPUs free.
-    pub(crate) fn count_with_cores(&self, cores: i64) -> usize {
+    pub(crate) fn count_with_free_cores(&self, cores: i64) -> usize {
         self.by_free.range(cores..).map(|(_, ids)| ids.len()).sum()
     }
 
     /// Machines that have so many CPUs free, in no order that matters.
-    pub(crate) fn with_cores(&self, cores: i64) -> Box<dyn Iterator<Item = &Machine> + '_> {
-        if self.count_with_cores(cores) * LOOK_UP_BELOW <= self.machines.len() {
+    pub(crate) fn with_free_cores(&self, cores: i64) -> Box<dyn Iterator<Item = &Machine> + '_> {
+        if self.count_with_free_cores(cores) * LOOK_UP_BELOW <= self.machines.len() {
             Box::new(self.fullest_first(cores))
         } else {
             Box::new(self.machines.values().filter(move |m| m.free().cores >= cores))
@@ -140,7 +140,7 @@
     }
 
     /// Whether the order by free CPUs is that of the machines.
-    pub(crate) fn consistent(&self) -> bool {
+    pub(crate) fn is_consistent(&self) -> bool {
         let kept: usize = self.by_free.values().map(BTreeSet::len).sum();
         let found = |m: &Machine| self.by_free.get(&m.free().cores).is_some_and(|ids| ids.contains(&m.id));
         kept == self.machines.len() && self.machines.values().all(found)
--- a/crates/core/src/leader/fleet/mod.rs
+++ b/crates/core/src/leader/fleet/mod.rs
@@ -65,7 +65,7 @@
 
     /// All machines that can be called are asked to confirm the fencing token, some at a time.
     pub(crate) fn confirm_all_tokens(&mut self) {
-        let reachable = self.machines.values().filter(|machine| machine.agent.is_reachable());
+        let reachable = self.machines.values().filter(|machine| machine.agent.can_be_called());
         self.calls.set_unconfirmed(reachable.map(|machine| machine.id.clone()));
     }
 
@@ -75,7 +75,7 @@
         let machines = &self.machines;
         self.calls.next_unconfirmed(most, |id| {
             machines.get(id).is_some_and(|machine| {
-                !machine.agent.token_confirmed && machine.call.is_idle() && machine.agent.is_reachable()
+                !machine.agent.token_confirmed && machine.call.is_idle() && machine.agent.can_be_called()
             })
         })
     }
--- a/crates/core/src/leader/fleet/partitions.rs
+++ b/crates/core/src/leader/fleet/partitions.rs
@@ -15,20 +15,20 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct PartitionCheck {
     /// The time.
-    pub now: u64,
+    pub now_ms: u64,
     /// The heartbeat interval.
-    pub interval: u64,
+    pub interval_ms: u64,
     /// When this leader was elected.
-    pub elected_at: u64,
+    pub elected_at_ms: u64,
 }
 
 /// What a check has found.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PartitionFinding {
     /// Nobody is heard, for less time than that could happen by chance.
-    AllQuiet,
+    Inconclusive,
     /// Nobody has been heard for so long that it must be this leader which is cut off.
-    LeaderUnheard,
+    LeaderPartitioned,
     /// Others are heard while these zones are not.
     Zones(BTreeSet<String>),
 }
@@ -37,15 +37,15 @@
     /// Looks for zones that are cut off.
     pub(crate) fn run(&self, fleet: &Fleet) -> PartitionFinding {
         let zones = fleet.reachability.zones();
-        let newest = zones.values().map(|zone| zone.last_heard).max().unwrap_or(0);
-        if self.now.saturating_sub(newest) > self.interval / 10 {
+        let newest = zones.values().map(|zone| zone.last_heartbeat_ms).max().unwrap_or(0);
+        if self.now_ms.saturating_sub(newest) > self.interval_ms / 10 {
             return self.judge_silence_of_all(fleet, newest);
         }
         let is_silent = |zone: &str, last_heard: u64, machines: u32| {
-            let patience = (self.interval / 5).max(self.time_for_heartbeats(machines));
-            self.now.saturating_sub(last_heard) > patience && self.heartbeats_missing(fleet, Some(zone), machines)
+            let patience = (self.interval_ms / 5).max(self.time_for_heartbeats(machines));
+            self.now_ms.saturating_sub(last_heard) > patience && self.heartbeats_missing(fleet, Some(zone), machines)
         };
-        let silent = zones.iter().filter(|(name, zone)| is_silent(name, zone.last_heard, zone.machines));
+        let silent = zones.iter().filter(|(name, zone)| is_silent(name, zone.last_heartbeat_ms, zone.machines));
         PartitionFinding::Zones(silent.map(|(name, _)| name.clone()).collect())
     }
 
@@ -53,20 +53,20 @@
     /// though the state service may still take it for one.
     fn judge_silence_of_all(&self, fleet: &Fleet, newest: u64) -> PartitionFinding {
         let machines: u32 = fleet.reachability.zones().values().map(|zone| zone.machines).sum();
-        let patience = (self.interval / 2).max(self.time_for_heartbeats(machines));
+        let patience = (self.interval_ms / 2).max(self.time_for_heartbeats(machines));
         // Machines that hang on to a lost leader need a while to come.
-        let last_heard = newest.max(self.elected_at + self.interval * 2);
-        let too_long = !fleet.machines.is_empty() && self.now.saturating_sub(last_heard) > patience;
+        let last_heard = newest.max(self.elected_at_ms + self.interval_ms * 2);
+        let too_long = !fleet.machines.is_empty() && self.now_ms.saturating_sub(last_heard) > patience;
         if too_long && self.heartbeats_missing(fleet, None, machines) {
-            PartitionFinding::LeaderUnheard
+            PartitionFinding::LeaderPartitioned
         } else {
-            PartitionFinding::AllQuiet
+            PartitionFinding::Inconclusive
         }
     }
 
     /// In what time so many machines send enough heartbeats that the lack of all is no chance.
     fn time_for_heartbeats(&self, machines: u32) -> u64 {
-        self.interval * MISSED_HEARTBEATS as u64 / u64::from(machines.max(1))
+        self.interval_ms * MISSED_HEARTBEATS as u64 / u64::from(machines.max(1))
     }
 
     /// Whether heartbeats are missing from a zone, or from all, with so many machines: enough of
@@ -81,9 +81,9 @@
     fn is_overdue(&self, machine: &Machine) -> bool {
         // A machine known from records has two intervals after a failover to be heard.
         let known_from_record = machine.agent.epoch > AgentEpoch::NONE;
-        let expected_from = known_from_record.then_some(self.elected_at + self.interval);
-        let last_heard = machine.agent.last_heard.or(expected_from);
-        last_heard.is_some_and(|at| self.now.saturating_sub(at) > latest_heartbeat_after(self.interval))
+        let expected_from = known_from_record.then_some(self.elected_at_ms + self.interval_ms);
+        let last_heard = machine.agent.last_heartbeat_ms.or(expected_from);
+        last_heard.is_some_and(|at| self.now_ms.saturating_sub(at) > latest_heartbeat_after(self.interval_ms))
     }
 }
 
@@ -92,9 +92,10 @@
     /// be released, for which they are queued as for a call.
     pub(crate) fn mark_partitioned_machines(&mut self) {
         for machine in self.machines.values_mut() {
-            let partitioned = self.reachability.is_partitioned(&machine.zone) && machine.agent.last_heard.is_some();
+            let partitioned =
+                self.reachability.is_partitioned(&machine.zone) && machine.agent.last_heartbeat_ms.is_some();
             let newly = partitioned && !machine.agent.partitioned;
-            if newly && machine.placements.iter().any(|placement| !placement.sent) {
+            if newly && machine.placements.iter().any(|placement| !placement.start_sent) {
                 self.calls.call_soon(machine.id.clone());
             }
             machine.agent.partitioned = partitioned;
--- a/crates/core/src/leader/fleet/probes.rs
+++ b/crates/core/src/leader/fleet/probes.rs
@@ -20,7 +20,7 @@
 }
 
 fn is_overdue(machine: &Machine, now: u64, interval: u64) -> bool {
-    let silent_for = machine.agent.last_heard.map(|heard| now.saturating_sub(heard));
+    let silent_for = machine.agent.last_heartbeat_ms.map(|heard| now.saturating_sub(heard));
     silent_for.is_some_and(|silence| silence > latest_heartbeat_after(interval))
         && !machine.lifecycle.scale_in_wanted
         && !machine.agent.partitioned
--- a/crates/core/src/leader/fleet/probes/tests.rs
+++ b/crates/core/src/leader/fleet/probes/tests.rs
@@ -9,7 +9,7 @@
 /// A rented machine with a placement.
 fn machine(name: &str, last_heard: Option<u64>, change: impl FnOnce(&mut Machine)) -> Machine {
     let mut machine = samples::machine(name);
-    machine.agent.last_heard = last_heard;
+    machine.agent.last_heartbeat_ms = last_heard;
     machine.placements.push(samples::placement(PlacementState::Running));
     change(&mut machine);
     machine
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ZoneActivity {
     /// When the last one came, or later while a new leader gives the zone time to be heard.
-    pub last_heard: u64,
+    pub last_heartbeat_ms: u64,
     /// How many machines send them.
     pub machines: u32,
 }
@@ -48,20 +48,21 @@
     }
 
     /// A machine in this zone has been heard.
-    pub(crate) fn zone_heard(&mut self, zone: &str, now: u64) {
+    pub(crate) fn record_zone_heartbeat(&mut self, zone: &str, now: u64) {
         match self.zones.get_mut(zone) {
             // Later than now while a new leader gives the zone time to be heard: one machine that
             // answers at once does not end that for the others, who only just change over.
-            Some(activity) => activity.last_heard = activity.last_heard.max(now),
+            Some(activity) => activity.last_heartbeat_ms = activity.last_heartbeat_ms.max(now),
             None => {
-                self.zones.insert(zone.to_string(), ZoneActivity { last_heard: now, machines: 1 });
+                self.zones.insert(zone.to_string(), ZoneActivity { last_heartbeat_ms: now, machines: 1 });
             }
         }
     }
 
     /// A machine of this zone is known from its record: the zone has until this time to be heard.
     pub(crate) fn expect_machine(&mut self, zone: &str, until: u64) {
-        let activity = self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heard: until, machines: 0 });
+        let activity =
+            self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heartbeat_ms: until, machines: 0 });
         activity.machines += 1;
     }
 
--- a/crates/core/src/leader/fleet/reconciliation.rs
+++ b/crates/core/src/leader/fleet/reconciliation.rs
@@ -14,20 +14,20 @@
 
 /// What a heartbeat's claims are worth.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct Evidence {
+pub(crate) struct HeartbeatEvidence {
     /// The agent epoch that sent it.
     pub agent_epoch: AgentEpoch,
     /// It shows the fencing token that commands carry now.
     pub token_is_current: bool,
     /// A command that has left may still start a task.
-    pub commands_under_way: bool,
+    pub commands_in_flight: bool,
 }
 
 /// What a heartbeat tells of one placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Finding {
     /// It was for an earlier agent epoch: gone.
-    OfEarlierAgent,
+    EarlierAgentEpoch,
     /// It is on the machine.
     Present(PlacementState),
     /// It has ended.
@@ -39,7 +39,7 @@
     /// The command that was to start it has been lost.
     StartLost,
     /// Nothing new.
-    Nothing,
+    NoChange,
 }
 
 /// What a heartbeat tells of its machine.
@@ -69,7 +69,7 @@
 }
 
 /// Compares a machine's placements with the tasks that a heartbeat reports.
-pub(crate) fn reconcile(placements: &[Placement], tasks: &[TaskReport], evidence: Evidence) -> Reconciliation {
+pub(crate) fn reconcile(placements: &[Placement], tasks: &[TaskReport], evidence: HeartbeatEvidence) -> Reconciliation {
     let mut unexpected = Vec::new();
     let mut reported = Vec::with_capacity(tasks.len());
     for report in tasks {
@@ -85,7 +85,7 @@
     let mut start_acknowledged = false;
     for placement in placements {
         if placement.agent_epoch < evidence.agent_epoch {
-            findings.push(Finding::OfEarlierAgent);
+            findings.push(Finding::EarlierAgentEpoch);
             continue;
         }
         let key = (&*placement.job, placement.task, placement.attempt);
@@ -94,7 +94,7 @@
             entry.expected = true;
             entry.report
         });
-        start_acknowledged |= shown.is_some() && placement.stage == PlacementState::Committed;
+        start_acknowledged |= shown.is_some() && placement.state == PlacementState::Committed;
         findings.push(finding(placement, shown, evidence));
     }
     unexpected.extend(reported.iter().filter(|entry| !entry.expected).map(|entry| unexpected_task(entry.report)));
@@ -102,7 +102,7 @@
 }
 
 /// What a heartbeat tells of a placement for its agent epoch, given its report of the task.
-fn finding(placement: &Placement, shown: Option<&TaskReport>, evidence: Evidence) -> Finding {
+fn finding(placement: &Placement, shown: Option<&TaskReport>, evidence: HeartbeatEvidence) -> Finding {
     let Some(report) = shown else { return finding_of_missing(placement, evidence) };
     match report.status {
         TaskStatus::Exited if evidence.token_is_current => Finding::Ended(report.cause.unwrap_or(ExitCause::Unknown)),
@@ -114,15 +114,15 @@
 }
 
 /// What it means that a heartbeat lacks a placement.
-fn finding_of_missing(placement: &Placement, evidence: Evidence) -> Finding {
-    if !evidence.token_is_current || evidence.commands_under_way {
-        return Finding::Nothing;
+fn finding_of_missing(placement: &Placement, evidence: HeartbeatEvidence) -> Finding {
+    if !evidence.token_is_current || evidence.commands_in_flight {
+        return Finding::NoChange;
     }
-    match placement.stage {
-        PlacementState::Planned => Finding::Nothing,
+    match placement.state {
+        PlacementState::Planned => Finding::NoChange,
         PlacementState::Committed if placement.stop_grace_s.is_some() => Finding::Absent,
-        PlacementState::Committed if placement.sent => Finding::StartLost,
-        PlacementState::Committed => Finding::Nothing,
+        PlacementState::Committed if placement.start_sent => Finding::StartLost,
+        PlacementState::Committed => Finding::NoChange,
         PlacementState::Fetching | PlacementState::Running | PlacementState::Checkpointing => Finding::Absent,
     }
 }
--- a/crates/core/src/leader/fleet/slow_machines.rs
+++ b/crates/core/src/leader/fleet/slow_machines.rs
@@ -4,11 +4,11 @@
 const OVERRUN: f64 = 1.5;
 
 /// A machine is slow if at least so many of its tasks overrun, and a part of this size of them.
-pub(crate) const LEAST_OVERRUNS: usize = 3;
+pub(crate) const MIN_OVERRUNNING_TASKS: usize = 3;
 const OVERRUN_PART: usize = 3;
 
 /// Run times of so many ended tasks say what a job's tasks usually take.
-pub(crate) const LEAST_RUN_TIMES: u32 = 3;
+pub(crate) const MIN_RUN_TIMES: u32 = 3;
 
 /// A running task, with times in ms.
 #[derive(Debug, Clone, Copy)]
@@ -16,12 +16,12 @@
     /// For how long it has run.
     pub elapsed_ms: f64,
     /// What its job's tasks usually take.
-    pub usual_ms: f64,
+    pub typical_run_ms: f64,
 }
 
 impl RunningTask {
     fn overruns(&self, tolerance_ms: f64) -> bool {
-        self.elapsed_ms > self.usual_ms * OVERRUN + tolerance_ms
+        self.elapsed_ms > self.typical_run_ms * OVERRUN + tolerance_ms
     }
 }
 
@@ -33,7 +33,7 @@
         running += 1;
         overruns += usize::from(task.overruns(tolerance_ms));
     }
-    overruns >= LEAST_OVERRUNS && overruns * OVERRUN_PART >= running
+    overruns >= MIN_OVERRUNNING_TASKS && overruns * OVERRUN_PART >= running
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/fleet/slow_machines/tests.rs
+++ b/crates/core/src/leader/fleet/slow_machines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 fn task(elapsed_ms: f64) -> RunningTask {
-    RunningTask { elapsed_ms, usual_ms: 1000.0 }
+    RunningTask { elapsed_ms, typical_run_ms: 1000.0 }
 }
 
 #[test]
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -8,7 +8,7 @@
 use crate::leader::fleet::commands::CommandChannel;
 use crate::leader::fleet::heartbeat_effects::{FindingEffects, apply_findings};
 use crate::leader::fleet::interruption::stop_before_interruption;
-use crate::leader::fleet::reconciliation::{Evidence, reconcile};
+use crate::leader::fleet::reconciliation::{HeartbeatEvidence, reconcile};
 use crate::model::{HeartbeatOrder, Id, Machine};
 use crate::step_down::StepDown;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
@@ -109,11 +109,11 @@
     fn note_contact(&mut self, ctx: &Context, machine: &Id, order: HeartbeatOrder) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if m.agent.last_heard.is_none() || !m.answers(now, &ctx.settings) {
+        if m.agent.last_heartbeat_ms.is_none() || !m.is_responsive(now, &ctx.settings) {
             self.scheduler.request_pass();
         }
-        m.agent.heard(order, now);
-        self.fleet.reachability.zone_heard(&m.zone, now);
+        m.agent.record_heartbeat(order, now);
+        self.fleet.reachability.record_zone_heartbeat(&m.zone, now);
     }
 
     /// Takes over what a heartbeat says of the machine itself, and its room once its type is known.
@@ -128,7 +128,7 @@
             room = Resources::default();
             for placement in &m.placements {
                 if let Some(job) = self.jobs.get_mut(&placement.job) {
-                    job.tasks.placement_zone_known(&m.zone);
+                    job.tasks.set_placement_zone(&m.zone);
                 }
             }
         }
@@ -142,7 +142,7 @@
             self.scheduler.request_pass();
         }
         if room != m.capacity.total {
-            self.fleet.machines.set_room(machine, room);
+            self.fleet.machines.set_capacity(machine, room);
         }
     }
 
@@ -150,13 +150,13 @@
     fn note_interruption(&mut self, ctx: &mut Context, machine: &Id, notice_s: Option<f64>) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         match notice_s {
-            Some(seconds_left) if m.lifecycle.preempted_at.is_none() => {
+            Some(seconds_left) if m.lifecycle.preemption_at_ms.is_none() => {
                 let left_ms = (seconds_left.max(0.0) * 1000.0) as u64;
-                m.lifecycle.preempted_at = Some(ctx.now.monotonic_ms + left_ms);
+                m.lifecycle.preemption_at_ms = Some(ctx.now.monotonic_ms + left_ms);
                 ctx.emit(Event::MachineInterruptionNotice { machine: machine.clone(), seconds_left });
             }
             Some(_) => {}
-            None => m.lifecycle.preempted_at = None,
+            None => m.lifecycle.preemption_at_ms = None,
         }
     }
 
@@ -187,16 +187,16 @@
     ) -> FindingEffects {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return FindingEffects::default() };
         let reply_carried_out = source == HeartbeatSource::Agent && std::mem::take(&mut m.agent.reply_may_start_tasks);
-        let commands_under_way = !m.call.is_idle() || m.agent.reply_may_start_tasks;
-        let evidence = Evidence { agent_epoch: heartbeat.agent_epoch, token_is_current, commands_under_way };
+        let commands_in_flight = !m.call.is_idle() || m.agent.reply_may_start_tasks;
+        let evidence = HeartbeatEvidence { agent_epoch: heartbeat.agent_epoch, token_is_current, commands_in_flight };
         let reconciliation = reconcile(&m.placements, &heartbeat.tasks, evidence);
         let disk_gb = disk_gb(ctx, m);
         let effects = apply_findings(m, &mut self.jobs, &reconciliation.findings, disk_gb, ctx.now.monotonic_ms);
         m.agent.unexpected_tasks = reconciliation.unexpected;
         if reconciliation.start_acknowledged {
-            m.agent.command_acknowledged();
+            m.agent.record_acknowledged_command();
         } else if effects.start_lost && reply_carried_out {
-            m.agent.command_unacknowledged();
+            m.agent.record_unacknowledged_command();
         }
         if effects.start_lost {
             self.fleet.calls.call_soon(machine.clone());
@@ -207,7 +207,7 @@
     /// Releases what a heartbeat proves gone, and takes in what it proves ended.
     fn release_proven(&mut self, ctx: &mut Context, machine: &Id, effects: FindingEffects) {
         let now = ctx.now.monotonic_ms;
-        for placement_id in effects.of_earlier_agent.into_iter().chain(effects.absent) {
+        for placement_id in effects.earlier_agent_epoch.into_iter().chain(effects.absent) {
             self.release_unfinished(now, machine, placement_id);
         }
         for ended in effects.ended {
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -4,10 +4,10 @@
 use crate::event::Event;
 use crate::leader::Leader;
 use crate::leader::fleet::health::{
-    FailedTask, JobFailureEvidence, JobVerdict, MachineVerdict, broken_job_pause_ms, judge_job, judge_machine,
-    mates_evidence,
+    FailedTask, JobDiagnosis, JobFailureEvidence, MachineDiagnosis, broken_job_pause_ms, diagnose_job,
+    diagnose_machine, sibling_task_evidence,
 };
-use crate::leader::fleet::slow_machines::{LEAST_OVERRUNS, LEAST_RUN_TIMES, RunningTask, is_slow};
+use crate::leader::fleet::slow_machines::{MIN_OVERRUNNING_TASKS, MIN_RUN_TIMES, RunningTask, is_slow};
 use crate::model::{Id, Placement};
 
 impl Leader {
@@ -21,7 +21,7 @@
     }
 
     /// Counts a failure at the job, and judges it.
-    fn judge_failed_job(&mut self, ctx: &Context, machine: &Id, job: &Id, ran_ms: u64) -> Option<JobVerdict> {
+    fn judge_failed_job(&mut self, ctx: &Context, machine: &Id, job: &Id, ran_ms: u64) -> Option<JobDiagnosis> {
         let job = self.jobs.get_mut(job)?;
         job.failures.count += 1;
         job.failures.machines.insert(machine.clone());
@@ -31,34 +31,34 @@
             failures: job.failures.count,
         };
         let failed = FailedTask { machine, ran_ms: ran_ms + ctx.settings.heartbeat_interval_ms() / 2 };
-        Some(judge_job(evidence, mates_evidence(job, failed, &self.fleet.machines, ctx.now.monotonic_ms)))
+        Some(diagnose_job(evidence, sibling_task_evidence(job, failed, &self.fleet.machines, ctx.now.monotonic_ms)))
     }
 
     /// Holds a job back that fails often. If it is broken, its failures count against no machine.
-    fn hold_back_job(&mut self, ctx: &Context, id: &Id, verdict: JobVerdict) {
+    fn hold_back_job(&mut self, ctx: &Context, id: &Id, verdict: JobDiagnosis) {
         let now = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(id) else { return };
         match verdict {
-            JobVerdict::Sound | JobVerdict::Unknown => {}
-            JobVerdict::Suspect => job.scheduling.not_before = now + ctx.settings.heartbeat_interval_ms() / 4,
-            JobVerdict::Broken => {
+            JobDiagnosis::Healthy | JobDiagnosis::Unknown => {}
+            JobDiagnosis::Suspect => job.scheduling.not_before_ms = now + ctx.settings.heartbeat_interval_ms() / 4,
+            JobDiagnosis::Broken => {
                 let pause = broken_job_pause_ms(job.failures.count, ctx.tuning.quarantine_s * 1000.0);
-                job.scheduling.not_before = now + pause as u64;
+                job.scheduling.not_before_ms = now + pause as u64;
                 for machine in self.fleet.machines.values_mut() {
-                    machine.health.forgive(id);
+                    machine.health.clear_job_failures(id);
                 }
             }
         }
     }
 
     /// Counts a failure at the machine, and puts that in quarantine if it fails.
-    fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, verdict: JobVerdict) {
+    fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, verdict: JobDiagnosis) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        m.health.task_failed(ctx.now.monotonic_ms);
-        if verdict != JobVerdict::Broken {
-            m.health.blame_for(job.clone());
+        m.health.record_task_failure(ctx.now.monotonic_ms);
+        if verdict != JobDiagnosis::Broken {
+            m.health.record_job_failure(job.clone());
         }
-        if judge_machine(&m.health, verdict) == MachineVerdict::Failing {
+        if diagnose_machine(&m.health, verdict) == MachineDiagnosis::Failing {
             self.quarantine(ctx, machine);
         }
     }
@@ -66,7 +66,7 @@
     /// A machine fails its tasks: it is not used for a while, longer each time.
     pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
-        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.in_quarantine(now)) else { return };
+        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.is_quarantined(now)) else { return };
         let pause_ms = m.health.quarantine(now, ctx.tuning.quarantine_s * 1000.0);
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause_ms / 1000.0 });
     }
@@ -77,7 +77,7 @@
     pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get(machine) else { return };
-        if m.placements.len() < LEAST_OVERRUNS {
+        if m.placements.len() < MIN_OVERRUNNING_TASKS {
             return;
         }
         ctx.work.speed_examined();
@@ -95,12 +95,12 @@
     /// runs until it is stopped. What a job's tasks take is known from those that ended, else from
     /// its estimate with more doubt.
     fn running_task(&self, placement: &Placement, now: u64) -> Option<RunningTask> {
-        let since = placement.running.filter(|_| placement.stop_grace_s.is_none())?;
+        let since = placement.running_since_ms.filter(|_| placement.stop_grace_s.is_none())?;
         let job = self.jobs.get(&placement.job).filter(|job| !job.is_service())?;
-        let mean = job.tasks.run_times.mean_ms(LEAST_RUN_TIMES);
+        let mean = job.tasks.run_times.mean_ms(MIN_RUN_TIMES);
         Some(RunningTask {
             elapsed_ms: now.saturating_sub(since) as f64,
-            usual_ms: mean.unwrap_or_else(|| self.scheduler.estimated_run_s(job) * 1500.0),
+            typical_run_ms: mean.unwrap_or_else(|| self.scheduler.estimated_run_s(job) * 1500.0),
         })
     }
 }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -240,8 +240,8 @@
 
     /// An event for operators: how much there is to do, and what holds it up.
     fn emit_status(&mut self, ctx: &mut Context) {
-        debug_assert!(self.fleet.machines.consistent(), "machines by free CPUs");
-        let waiting: u32 = self.jobs.values().filter(|job| !job.cancelled).map(Job::waiting).sum();
+        debug_assert!(self.fleet.machines.is_consistent(), "machines by free CPUs");
+        let waiting: u32 = self.jobs.values().filter(|job| !job.cancelled).map(Job::waiting_task_count).sum();
         let machines = self.fleet.machines.values();
         let used = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
         let store = self.store.take_figures();
--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -39,7 +39,7 @@
             placement_id: placement.placement_id,
             attempt: placement.attempt,
             agent_epoch: placement.agent_epoch,
-            planned: placement.stage == PlacementState::Planned,
+            planned: placement.state == PlacementState::Planned,
         };
         let (task, need) = (placement.task, placement.need);
         let Some(m) = self.fleet.machines.add_placement(machine, placement) else { return };
@@ -71,7 +71,7 @@
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&placement.job) {
-            job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.stage.is_running());
+            job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.state.is_running());
             let ownership = Ownership::from_owned(m.owned);
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &placement.need, ownership);
         }
@@ -99,7 +99,7 @@
     pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         let Some(placement) = m.placement_mut(placement_id) else { return };
-        if placement.sent {
+        if placement.start_sent {
             placement.stop_grace_s = Some(0.0);
             self.fleet.calls.call_soon(machine.clone());
         } else {
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -117,7 +117,7 @@
         let mut machine = self.new_machine(ctx, id, &record.machine_type, zone, record.spot, record.owned);
         machine.agent.endpoint = record.endpoint;
         machine.agent.epoch = record.agent_epoch;
-        machine.rented_at = record.rented_at_ms;
+        machine.rented_at_ms = record.rented_at_ms;
         machine.images = record.images.iter().filter_map(|place| images.get(*place as usize).copied()).collect();
         machine.record.block = Some(block);
         machine.record.committed = true;
@@ -142,7 +142,7 @@
             self.fleet.machines.insert(unknown);
         }
         if let Some(machine) = self.fleet.machines.get_mut(&machine) {
-            machine.images.add_known(image, image_gb);
+            machine.images.add_if_absent(image, image_gb);
         }
         let placement = Placement {
             job: id,
@@ -152,10 +152,10 @@
             placement_id: self.next_placement_id(),
             need,
             image,
-            stage: PlacementState::Committed,
-            sent: true,
-            since: ctx.now.monotonic_ms,
-            running: None,
+            state: PlacementState::Committed,
+            start_sent: true,
+            planned_at_ms: ctx.now.monotonic_ms,
+            running_since_ms: None,
             stop_grace_s: None,
         };
         self.add_placement(&machine, placement);
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -56,7 +56,7 @@
             let mut machine = self.new_machine(ctx, &id, &record.machine_type, &record.zone, record.spot, record.owned);
             machine.agent.endpoint = record.endpoint;
             machine.agent.epoch = record.agent_epoch;
-            machine.rented_at = record.rented_at_ms;
+            machine.rented_at_ms = record.rented_at_ms;
             self.fleet.machines.insert(machine);
             self.join_block(ctx, &id);
         }
--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -119,7 +119,7 @@
         let machines = self.view.machines;
         let cores = self.job.need.cores;
         match (self.search.max_candidates, self.emptiest_first) {
-            (None, _) => machines.with_cores(cores),
+            (None, _) => machines.with_free_cores(cores),
             (Some(_), true) => Box::new(machines.emptiest_first(cores)),
             (Some(_), false) => Box::new(machines.fullest_first(cores)),
         }
@@ -140,7 +140,7 @@
         let failed_on = &self.job.failures.machines;
         let failed_here = failed_on.len() < FAILED_MACHINES_AVOIDED && failed_on.contains(&machine.id);
         let on_probation = machine.health.quarantine_count > 0 && !machine.placements.is_empty();
-        let slow = machine.health.slow_until > self.view.now.monotonic_ms && !self.job.is_service();
+        let slow = machine.health.slow_until_ms > self.view.now.monotonic_ms && !self.job.is_service();
         failed_here || on_probation || slow
     }
 
@@ -175,6 +175,6 @@
     if machine.images.contains(job.image) {
         return ImageState::Present;
     }
-    let being_fetched = machine.placements.iter().any(|p| p.running.is_none() && p.image == job.image);
+    let being_fetched = machine.placements.iter().any(|p| p.running_since_ms.is_none() && p.image == job.image);
     if being_fetched { ImageState::Fetching } else { ImageState::Absent }
 }
--- a/crates/core/src/leader/scheduler/constraints.rs
+++ b/crates/core/src/leader/scheduler/constraints.rs
@@ -32,10 +32,10 @@
     if job.spec.single_zone && job.tasks.zones().any(|other| other != zone) {
         return 0;
     }
-    job.zone_cap().saturating_sub(tasks_in_zone(job, zone)).saturating_sub(tasks_in_zone(job, ""))
+    job.max_tasks_per_zone().saturating_sub(tasks_in_zone(job, zone)).saturating_sub(tasks_in_zone(job, ""))
 }
 
 /// How many tasks of the job are placed in this zone.
 pub(crate) fn tasks_in_zone(job: &Job, zone: &str) -> u32 {
-    job.tasks.in_zone(zone)
+    job.tasks.placements_in_zone(zone)
 }
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -22,7 +22,7 @@
     pub(crate) fn add_dependencies(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         // A started job was released once; a cancelled one never will be.
-        if job.cancelled || job.tasks.started() {
+        if job.cancelled || job.tasks.has_started() {
             job.open_dependencies.clear();
             return;
         }
@@ -61,7 +61,7 @@
         for dependent in dependents {
             let Some(job) = self.jobs.get_mut(&dependent) else { continue };
             job.open_dependencies.remove(id);
-            job.scheduling.ready_at = job.scheduling.ready_at.max(end.ended_at_ms);
+            job.scheduling.ready_at_ms = job.scheduling.ready_at_ms.max(end.ended_at_ms);
             if job.cancelled || job.is_blocked() {
                 continue;
             }
--- a/crates/core/src/leader/scheduler/dependency_graph.rs
+++ b/crates/core/src/leader/scheduler/dependency_graph.rs
@@ -112,7 +112,8 @@
             let priority = job.scheduling.priority;
             for dependency in job.open_dependencies.clone() {
                 if let Some(job) = jobs.get_mut(&dependency) {
-                    job.scheduling.inherited_deadline = job.scheduling.inherited_deadline.into_iter().chain(due).min();
+                    job.scheduling.inherited_deadline_ms =
+                        job.scheduling.inherited_deadline_ms.into_iter().chain(due).min();
                     job.scheduling.priority = job.scheduling.priority.max(priority);
                 }
                 if let Some(unvisited) = unvisited_dependents.get_mut(&dependency) {
@@ -139,7 +140,7 @@
 
 /// The job has its own deadline and priority only.
 pub(super) fn clear_inherited(job: &mut Job) {
-    job.scheduling.inherited_deadline = None;
+    job.scheduling.inherited_deadline_ms = None;
     job.scheduling.priority = job.spec.priority;
 }
 
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -22,7 +22,7 @@
 
     /// Run time of all its waiting tasks.
     fn work_s(&self) -> f64 {
-        self.estimate_s() * f64::from(self.job.waiting())
+        self.estimate_s() * f64::from(self.job.waiting_task_count())
     }
 
     /// Time left until its deadline.
@@ -51,7 +51,7 @@
 /// The queue of each class, shortest run first.
 fn deadline_queues<'a>(view: &SchedulingView<'a>) -> BTreeMap<&'a str, Vec<QueuedJob<'a>>> {
     let mut queues: BTreeMap<&str, Vec<QueuedJob>> = BTreeMap::new();
-    let waits = |job: &&Job| !job.cancelled && job.deadline().is_some() && job.waiting() > 0;
+    let waits = |job: &&Job| !job.cancelled && job.deadline().is_some() && job.waiting_task_count() > 0;
     for job in view.jobs.values().filter(waits) {
         let queue = queues.entry(&job.spec.class).or_default();
         queue.push(QueuedJob { estimate_ms: view.estimates.run_ms(job), job });
@@ -97,11 +97,11 @@
 
 /// A class's owned slots: its tasks on owned machines and how many more fit there.
 fn owned_slots(view: &SchedulingView, class: &str, need: &Resources) -> i64 {
-    view.work.examined(view.machines.count_with_cores(need.cores));
+    view.work.examined(view.machines.count_with_free_cores(need.cores));
     let free: i64 = view
         .machines
-        .with_cores(need.cores)
-        .filter(|machine| machine.owned && machine.agent.last_heard.is_some())
+        .with_free_cores(need.cores)
+        .filter(|machine| machine.owned && machine.agent.last_heartbeat_ms.is_some())
         .map(|machine| machine.free().times(need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).owned
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -92,7 +92,7 @@
         if start_s <= self.view.settings.heartbeat_interval_s * LEAST_START_OBJECTIVE_HEARTBEATS {
             return None;
         }
-        let age_s = (self.view.now.wall_ms as f64 - job.scheduling.ready_at as f64) / 1000.0;
+        let age_s = (self.view.now.wall_ms as f64 - job.scheduling.ready_at_ms as f64) / 1000.0;
         Some(start_s + self.view.estimates.run_s(job) - age_s)
     }
 
@@ -103,7 +103,7 @@
         let mut outcome = LevelOutcome { late: Vec::new(), work_s: work_before_s };
         for TimedJob { time_left_s, job } in order {
             let estimate_s = self.view.estimates.run_s(job);
-            let work_s = estimate_s * f64::from(job.waiting()) / self.slots;
+            let work_s = estimate_s * f64::from(job.waiting_task_count()) / self.slots;
             if time_left_s < estimate_s {
                 outcome.late.push(job);
                 continue;
@@ -124,10 +124,10 @@
 
 /// A class's slots: its tasks on machines and how many more fit on all that its jobs may use.
 fn class_slots(view: &SchedulingView, class: &str, job: &Job) -> i64 {
-    view.work.examined(view.machines.count_with_cores(job.need.cores));
+    view.work.examined(view.machines.count_with_free_cores(job.need.cores));
     let free: i64 = view
         .machines
-        .with_cores(job.need.cores)
+        .with_free_cores(job.need.cores)
         .filter(|machine| machine.is_schedulable(view.now.monotonic_ms, view.settings))
         .filter(|machine| allows(job, MachineKind::of(machine)))
         .map(|machine| machine.free().times(&job.need, MAX_SLOTS_PER_MACHINE))
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -96,7 +96,7 @@
 
 /// How many tasks of the job may be placed now.
 fn tasks_to_place(view: &SchedulingView, job: &Job) -> u32 {
-    let tasks = job.waiting().min(view.team_headroom(job));
+    let tasks = job.waiting_task_count().min(view.team_headroom(job));
     let only_failed =
         job.failures.count >= FAILURES_BEFORE_SINGLE_TASK && job.tasks.done_count() == 0 && !job.is_service();
     if only_failed { tasks.min(u32::from(!job.tasks.has_placements())) } else { tasks }
@@ -115,7 +115,7 @@
 fn find_gang_machines(view: &SchedulingView, job: &Job) -> Option<Vec<Id>> {
     // The tasks share an attempt, by which they find each other; so a gang that lost a task starts anew
     // when all have ended.
-    let tasks = job.waiting();
+    let tasks = job.waiting_task_count();
     if job.tasks.has_placements() || view.team_headroom(job) < tasks {
         return None;
     }
@@ -215,7 +215,7 @@
         let placement = JobPlacement { job: id.clone(), start_before_fetch, may_preempt };
         let mut first_task = 0;
         for _ in 0..tasks {
-            let Some(task) = self.jobs.get(id).and_then(|job| job.next_free(first_task)) else { break };
+            let Some(task) = self.jobs.get(id).and_then(|job| job.next_free_task(first_task)) else { break };
             // A task placed by preemption may have taken what a zone could still have.
             let found = machines.find(|machine| self.zone_still_allows(id, machine));
             let Some(machine) = self.preempt_unless_suited(ctx, &placement, found, pass) else { break };
@@ -283,7 +283,7 @@
         let attempt = self.next_attempt();
         let mut first_task = 0;
         for machine in machines {
-            let Some(task) = self.jobs.get(id).and_then(|job| job.next_free(first_task)) else { return };
+            let Some(task) = self.jobs.get(id).and_then(|job| job.next_free_task(first_task)) else { return };
             first_task = task + 1;
             self.plan_task(ctx.now.monotonic_ms, id, task, &machine, attempt);
         }
@@ -294,7 +294,7 @@
         let placement_id = self.next_placement_id();
         let Some(agent_epoch) = self.fleet.machines.get(machine).map(|machine| machine.agent.epoch) else { return };
         let Some(job) = self.jobs.get_mut(id) else { return };
-        job.tasks.none_free_below(task);
+        job.tasks.raise_first_free_hint(task);
         let placement = Placement {
             job: id.clone(),
             task,
@@ -303,10 +303,10 @@
             placement_id,
             need: job.need,
             image: job.image,
-            stage: PlacementState::Planned,
-            sent: false,
-            since: now,
-            running: None,
+            state: PlacementState::Planned,
+            start_sent: false,
+            planned_at_ms: now,
+            running_since_ms: None,
             stop_grace_s: None,
         };
         self.add_placement(machine, placement);
--- a/crates/core/src/leader/scheduler/placement/tests.rs
+++ b/crates/core/src/leader/scheduler/placement/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn with_image(machine: &mut Machine) {
-    machine.images.add_known(0, 1.0);
+    machine.images.add_if_absent(0, 1.0);
 }
 
 fn half_full(machine: &mut Machine) {
@@ -77,9 +77,9 @@
         ("no room", |_| {}, |m| m.capacity.used = Resources::new(13.0, 0.0, 1.0)),
         ("no accelerators", |j| j.need = Resources::new(1.0, 1.0, 1.0), |_| {}),
         ("not recorded", |_| {}, |m| m.record.committed = false),
-        ("in quarantine", |_| {}, |m| m.health.quarantined_until = NOW.monotonic_ms + 1),
-        ("silent", |_| {}, |m| m.agent.last_heard = Some(NOW.monotonic_ms - 7_500)),
-        ("slow", |_| {}, |m| m.health.slow_until = NOW.monotonic_ms + 1),
+        ("in quarantine", |_| {}, |m| m.health.quarantined_until_ms = NOW.monotonic_ms + 1),
+        ("silent", |_| {}, |m| m.agent.last_heartbeat_ms = Some(NOW.monotonic_ms - 7_500)),
+        ("slow", |_| {}, |m| m.health.slow_until_ms = NOW.monotonic_ms + 1),
         ("spot", |_| {}, |m| m.spot = true),
         ("other type", |j| j.spec.machine_types = Some(vec!["big".into()]), |_| {}),
         ("other zone", |j| j.spec.zone = Some("b".into()), |_| {}),
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -95,7 +95,7 @@
     /// Whether the job may use this machine, once there is room.
     fn may_use(&self, machine: &Machine) -> bool {
         let now = self.view.now.monotonic_ms;
-        let slow = machine.health.slow_until > now && !self.job.is_service();
+        let slow = machine.health.slow_until_ms > now && !self.job.is_service();
         let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.images.contains(self.job.image);
         machine.is_schedulable(now, self.view.settings)
             && !slow
@@ -140,7 +140,7 @@
         let mut victims = Vec::new();
         for placement in machine.placements.iter().filter(|placement| placement.stop_grace_s.is_none()) {
             if self.is_preemptible(&placement.job) {
-                let run_ms = placement.running.map_or(0, |since| now.saturating_sub(since));
+                let run_ms = placement.running_since_ms.map_or(0, |since| now.saturating_sub(since));
                 victims.push(Victim { placement, run_ms });
             }
         }
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -94,13 +94,16 @@
 
 /// Whether tasks of the job may be placed now.
 pub(super) fn is_placeable(job: &Job, now: Timestamp) -> bool {
-    !job.cancelled && !job.record.stale && job.waiting() > 0 && now.monotonic_ms >= job.scheduling.not_before
+    !job.cancelled
+        && !job.record.stale
+        && job.waiting_task_count() > 0
+        && now.monotonic_ms >= job.scheduling.not_before_ms
 }
 
 fn rank(view: &SchedulingView, job: &Job) -> Rank {
     let start_within_ms = view.tuning.start_within_s * 1000.0;
     let unstarted_ms =
-        if job.tasks.started() { 0.0 } else { view.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 };
+        if job.tasks.has_started() { 0.0 } else { view.now.wall_ms.saturating_sub(job.scheduling.ready_at_ms) as f64 };
     let without_deadline = job.deadline().is_none();
     let inputs = &view.scheduler.ranks;
     Rank {
@@ -111,14 +114,14 @@
         yield_level: inputs.yield_levels.get(&job.id).copied().unwrap_or(0),
         without_deadline,
         estimate_ms: if without_deadline { 0 } else { view.estimates.run_ms(job) },
-        ready_at: job.scheduling.ready_at,
+        ready_at: job.scheduling.ready_at_ms,
     }
 }
 
 /// Jobs that fit into their team's guarantee together with its earlier unfinished jobs.
 pub(super) fn guaranteed_jobs(view: &SchedulingView) -> BTreeSet<Id> {
     let mut by_age: Vec<&Job> = view.jobs.values().filter(|job| !job.cancelled && !job.is_blocked()).collect();
-    by_age.sort_by_key(|job| (job.scheduling.ready_at, &job.id));
+    by_age.sort_by_key(|job| (job.scheduling.ready_at_ms, &job.id));
     let mut team_needs: BTreeMap<&str, Resources> = BTreeMap::new();
     let mut guaranteed = BTreeSet::new();
     for job in by_age {
@@ -139,7 +142,7 @@
     if now < last.recount_at {
         return last;
     }
-    let machines = view.machines.values().filter(|machine| !machine.spot && machine.answers(now, view.settings));
+    let machines = view.machines.values().filter(|machine| !machine.spot && machine.is_responsive(now, view.settings));
     let cores = machines.map(|machine| machine.capacity.total.cores).sum();
     view.work.examined(view.machines.len());
     OnDemandCores { recount_at: now + interval_ms, cores }
--- a/crates/core/src/leader/scheduler/queue/tests.rs
+++ b/crates/core/src/leader/scheduler/queue/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn aged(job: &mut Job, waited_s: u64) {
-    job.scheduling.ready_at = NOW.wall_ms - waited_s * 1000;
+    job.scheduling.ready_at_ms = NOW.wall_ms - waited_s * 1000;
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let cases: [(&str, ChangeJob); 5] = [
         ("cancelled", |j| j.cancelled = true),
         ("record to be read again", |j| j.record.stale = true),
-        ("held back", |j| j.scheduling.not_before = NOW.monotonic_ms + 1),
+        ("held back", |j| j.scheduling.not_before_ms = NOW.monotonic_ms + 1),
         ("all placed", |j| place_in_zone(j, "a")),
         ("blocked", |j| j.open_dependencies = ["other".into()].into()),
     ];
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -4,7 +4,7 @@
 use crate::controller::{Context, PeerLeaseReport};
 use crate::event::Event;
 use crate::leader::Leader;
-use crate::leader::fleet::lease_expiry::LeaseClock;
+use crate::leader::fleet::lease_expiry::LeaseTiming;
 use crate::leader::fleet::partitions::{PartitionCheck, PartitionFinding};
 use crate::model::CallPurpose;
 use crate::step_down::StepDown;
@@ -14,16 +14,16 @@
     /// Looks for zones that are cut off, so that nothing new goes there.
     pub(crate) fn detect_zone_partitions(&mut self, ctx: &mut Context) {
         let check = PartitionCheck {
-            now: ctx.now.monotonic_ms,
-            interval: ctx.settings.heartbeat_interval_ms(),
-            elected_at: self.elected_at,
+            now_ms: ctx.now.monotonic_ms,
+            interval_ms: ctx.settings.heartbeat_interval_ms(),
+            elected_at_ms: self.elected_at,
         };
         match check.run(&self.fleet) {
             // Without peers there is nobody who could lead instead.
-            PartitionFinding::LeaderUnheard if !ctx.peer_lease_reports.is_empty() => {
+            PartitionFinding::LeaderPartitioned if !ctx.peer_lease_reports.is_empty() => {
                 self.down = Some(StepDown::Unheard);
             }
-            PartitionFinding::LeaderUnheard | PartitionFinding::AllQuiet => {}
+            PartitionFinding::LeaderPartitioned | PartitionFinding::Inconclusive => {}
             PartitionFinding::Zones(zones) => self.set_partitioned_zones(ctx, zones),
         }
     }
@@ -47,15 +47,15 @@
 
     /// Releases what is placed on machines whose lease has surely expired.
     pub(crate) fn expire_silent_machines(&mut self, ctx: &mut Context) {
-        let clock = LeaseClock::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
-        self.fleet.count_heard_machines(clock.now, clock.lease);
+        let clock = LeaseTiming::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
+        self.fleet.update_zone_machine_counts(clock.now_ms, clock.lease_ms);
         let peers: Vec<&PeerLeaseReport> = ctx.peer_lease_reports.values().collect();
-        for id in self.fleet.expired_machines(clock, &peers) {
+        for id in self.fleet.machines_with_expired_lease(clock, &peers) {
             let Some(m) = self.fleet.machines.get(&id) else { continue };
             let placements: Vec<u64> = m.placements.iter().map(|placement| placement.placement_id).collect();
             ctx.emit(Event::MachineLeaseExpired { machine: id.clone(), tasks: placements.len() });
             for placement_id in placements {
-                self.release_unfinished(clock.now, &id, placement_id);
+                self.release_unfinished(clock.now_ms, &id, placement_id);
             }
         }
     }
--- a/crates/core/src/leader/store/blocks.rs
+++ b/crates/core/src/leader/store/blocks.rs
@@ -292,7 +292,7 @@
         owned: machine.owned,
         endpoint: machine.agent.endpoint.clone(),
         agent_epoch: machine.agent.epoch,
-        rented_at_ms: machine.rented_at,
+        rented_at_ms: machine.rented_at_ms,
         images,
     }
 }
--- a/crates/core/src/leader/store/write_queue.rs
+++ b/crates/core/src/leader/store/write_queue.rs
@@ -61,12 +61,12 @@
     /// Queues what a job has to write, its end included.
     pub(super) fn queue(&mut self, now: u64, job: &mut Job) {
         if job.has_ended() {
-            let since_ms = *job.writes.ended_at.get_or_insert(now);
+            let since_ms = *job.writes.ended_at_ms.get_or_insert(now);
             let cancelled_with_another = job.cancelled && !job.record.has_cancellation_key;
             self.job_ends.insert(JobEnd { cancelled_with_another, since_ms, job: job.id.clone() });
         } else if job.writes.urgent {
             let priority = Reverse(job.scheduling.priority);
-            self.urgent.insert(UrgentJob { priority, accepted_at_ms: job.accepted_at, job: job.id.clone() });
+            self.urgent.insert(UrgentJob { priority, accepted_at_ms: job.accepted_at_ms, job: job.id.clone() });
         }
         if !job.writes.tasks.is_empty() && !job.writes.deferred {
             job.writes.deferred = true;
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -28,14 +28,14 @@
             ExitCause::Done if !job.is_service() => self.task_done(ctx, machine, &placement),
             ExitCause::Error => {
                 self.emit_task_failed(ctx, machine, &placement, cause);
-                let ran_ms = placement.running.map_or(0, |since| ctx.now.monotonic_ms.saturating_sub(since));
+                let ran_ms = placement.running_since_ms.map_or(0, |since| ctx.now.monotonic_ms.saturating_sub(since));
                 self.task_failed(ctx, machine, &placement.job, ran_ms);
             }
             // No fault of the machine's: the job waits for a heartbeat interval.
             ExitCause::Done | ExitCause::UnknownTask | ExitCause::Unknown => {
                 self.emit_task_failed(ctx, machine, &placement, cause);
                 if let Some(job) = self.jobs.get_mut(&placement.job) {
-                    job.scheduling.not_before = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms();
+                    job.scheduling.not_before_ms = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms();
                 }
             }
             ExitCause::InsufficientResources | ExitCause::AttemptConflict => self.start_refused(ctx, machine),
@@ -55,15 +55,15 @@
         job.tasks.mark_done(placement.task);
         let failed = std::mem::take(&mut job.failures.count) > 0;
         let failed_on = if failed { job.failures.machines.clone() } else { BTreeSet::new() };
-        if let Some(since) = placement.running {
+        if let Some(since) = placement.running_since_ms {
             self.count_run_time(&placement.job, now.saturating_sub(since));
         }
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            m.health.task_succeeded(placement.since);
+            m.health.record_task_success(placement.planned_at_ms);
         }
         self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         for id in failed_on.iter().filter(|id| *id != machine) {
-            if self.fleet.machines.get(id).is_some_and(|m| m.health.is_blamed_for(&placement.job)) {
+            if self.fleet.machines.get(id).is_some_and(|m| m.health.has_job_failure(&placement.job)) {
                 self.quarantine(ctx, id);
             }
         }
--- a/crates/core/src/model/direct_call.rs
+++ b/crates/core/src/model/direct_call.rs
@@ -23,7 +23,7 @@
     /// Placements of which a `run` left with it for the first time, and with nothing since.
     pub first_starts: Vec<u64>,
     /// Something is to be sent as soon as it is over.
-    pub more_to_send: bool,
+    pub follow_up_needed: bool,
 }
 
 /// The direct call to a machine's agent.
@@ -66,14 +66,14 @@
     }
 
     /// Something is to be sent once the call under way is over.
-    pub fn send_more_afterwards(&mut self) {
+    pub fn request_follow_up_call(&mut self) {
         if let Some(call) = &mut self.in_flight {
-            call.more_to_send = true;
+            call.follow_up_needed = true;
         }
     }
 
     /// A `run` leaves by another way: it no longer counts as one that left with the call alone.
-    pub fn start_repeated(&mut self, placement_id: u64) {
+    pub fn remove_first_start(&mut self, placement_id: u64) {
         if let Some(call) = &mut self.in_flight {
             call.first_starts.retain(|id| *id != placement_id);
         }
--- a/crates/core/src/model/image_cache.rs
+++ b/crates/core/src/model/image_cache.rs
@@ -29,7 +29,7 @@
     }
 
     /// Notes an image that is held for all that is known, unless it was known to be.
-    pub fn add_known(&mut self, image: u32, size_gb: f64) {
+    pub fn add_if_absent(&mut self, image: u32, size_gb: f64) {
         if !self.contains(image) {
             self.0.push(CachedImage { image, size_gb });
         }
--- a/crates/core/src/model/image_cache/tests.rs
+++ b/crates/core/src/model/image_cache/tests.rs
@@ -27,7 +27,7 @@
 #[test]
 fn a_known_image_is_not_held_twice() {
     let mut cache: ImageCache = [CachedImage { image: 1, size_gb: 4.0 }].into_iter().collect();
-    cache.add_known(1, 4.0);
-    cache.add_known(2, 4.0);
+    cache.add_if_absent(1, 4.0);
+    cache.add_if_absent(2, 4.0);
     assert_eq!(images(&cache), [1, 2]);
 }
--- a/crates/core/src/model/machine.rs
+++ b/crates/core/src/model/machine.rs
@@ -23,7 +23,7 @@
     /// Owned: never returned for idleness.
     pub owned: bool,
     /// When it was rented (ms, time of day).
-    pub rented_at: u64,
+    pub rented_at_ms: u64,
     /// Its room, and what placements take of it.
     pub capacity: Capacity,
     /// Tasks on it, from the plan until they are proven gone.
@@ -75,7 +75,7 @@
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     /// The cloud takes it away at this time (ms, monotonic).
-    pub preempted_at: Option<u64>,
+    pub preemption_at_ms: Option<u64>,
     /// Its return is wanted or under way.
     pub scale_in_wanted: bool,
     /// The request to return it is under way.
@@ -83,9 +83,9 @@
     /// It has been seen in the cloud's list.
     pub listed: bool,
     /// When its room was last counted on for work waiting or expected.
-    pub needed_at: u64,
+    pub needed_at_ms: u64,
     /// Without placements since this time.
-    pub idle_since: u64,
+    pub idle_since_ms: u64,
 }
 
 impl Machine {
@@ -97,7 +97,7 @@
             zone: String::new(),
             spot: false,
             owned: false,
-            rented_at: now.wall_ms,
+            rented_at_ms: now.wall_ms,
             capacity: Capacity::default(),
             placements: Vec::new(),
             images: ImageCache::default(),
@@ -105,7 +105,7 @@
             agent: Agent::default(),
             call: DirectCall::default(),
             health: MachineHealth::default(),
-            lifecycle: Lifecycle { idle_since: now.monotonic_ms, ..Lifecycle::default() },
+            lifecycle: Lifecycle { idle_since_ms: now.monotonic_ms, ..Lifecycle::default() },
         }
     }
 
@@ -114,16 +114,16 @@
         self.record.committed
             && self.agent.unacknowledged_commands < MOST_UNACKNOWLEDGED_COMMANDS
             && !self.agent.partitioned
-            && self.answers(now, set)
+            && self.is_responsive(now, set)
             && !self.lifecycle.scale_in_wanted
-            && self.lifecycle.preempted_at.is_none()
-            && now >= self.health.quarantined_until
+            && self.lifecycle.preemption_at_ms.is_none()
+            && now >= self.health.quarantined_until_ms
     }
 
     /// Whether it has sent a heartbeat lately.
-    pub fn answers(&self, now: u64, set: &Settings) -> bool {
+    pub fn is_responsive(&self, now: u64, set: &Settings) -> bool {
         let patience = set.heartbeat_interval_ms() * 2 + set.heartbeat_interval_ms() / 2;
-        self.agent.last_heard.is_some_and(|heard| now.saturating_sub(heard) < patience)
+        self.agent.last_heartbeat_ms.is_some_and(|heard| now.saturating_sub(heard) < patience)
             && !self.agent.endpoint.is_empty()
     }
 
--- a/crates/core/src/model/machine/tests.rs
+++ b/crates/core/src/model/machine/tests.rs
@@ -9,7 +9,7 @@
     let mut machine = samples::machine("vm-1");
     machine.record.committed = true;
     machine.agent.endpoint = "10.0.0.1:80".into();
-    machine.agent.last_heard = Some(NOW - settings.heartbeat_interval_ms());
+    machine.agent.last_heartbeat_ms = Some(NOW - settings.heartbeat_interval_ms());
     machine
 }
 
@@ -19,13 +19,13 @@
     let cases: [(&str, Change, bool); 9] = [
         ("usable", |_| (), true),
         ("not recorded", |m| m.record.committed = false, false),
-        ("a command not acknowledged", |m| m.agent.command_unacknowledged(), false),
+        ("a command not acknowledged", |m| m.agent.record_unacknowledged_command(), false),
         ("zone cut off", |m| m.agent.partitioned = true, false),
         ("no address", |m| m.agent.endpoint.clear(), false),
-        ("silent", |m| m.agent.last_heard = Some(NOW - 150_000), false),
+        ("silent", |m| m.agent.last_heartbeat_ms = Some(NOW - 150_000), false),
         ("to be returned", |m| m.lifecycle.scale_in_wanted = true, false),
-        ("to be taken away", |m| m.lifecycle.preempted_at = Some(NOW + 1), false),
-        ("in quarantine", |m| m.health.quarantined_until = NOW + 1, false),
+        ("to be taken away", |m| m.lifecycle.preemption_at_ms = Some(NOW + 1), false),
+        ("in quarantine", |m| m.health.quarantined_until_ms = NOW + 1, false),
     ];
     for (name, change, expected) in cases {
         let mut machine = usable(&settings);
--- a/crates/core/src/model/placement.rs
+++ b/crates/core/src/model/placement.rs
@@ -43,13 +43,13 @@
     /// Number of its image.
     pub image: u32,
     /// How far it is.
-    pub stage: PlacementState,
+    pub state: PlacementState,
     /// Whether a command to start it may have left.
-    pub sent: bool,
+    pub start_sent: bool,
     /// When it was planned (ms, monotonic).
-    pub since: u64,
+    pub planned_at_ms: u64,
     /// When it was first seen running (ms, monotonic).
-    pub running: Option<u64>,
+    pub running_since_ms: Option<u64>,
     /// It is to stop, with this time to save a checkpoint.
     pub stop_grace_s: Option<f64>,
 }
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -7,7 +7,7 @@
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 
 /// An agent's epoch, which sample placements are for.
-pub(crate) const AGENT: AgentEpoch = AgentEpoch(5);
+pub(crate) const AGENT_EPOCH: AgentEpoch = AgentEpoch(5);
 
 /// An attempt of the first leader.
 pub(crate) fn attempt(number: u64) -> Attempt {
@@ -26,24 +26,24 @@
         purpose: CallPurpose::SendCommands,
         has_commands: true,
         first_starts: Vec::new(),
-        more_to_send: false,
+        follow_up_needed: false,
     });
 }
 
 /// Attempt 9 at task 3 of job `wk-1`; its start command has left unless it is only planned.
-pub(crate) fn placement(stage: PlacementState) -> Placement {
+pub(crate) fn placement(state: PlacementState) -> Placement {
     Placement {
         job: "wk-1".into(),
         task: 3,
         attempt: attempt(9),
-        agent_epoch: AGENT,
+        agent_epoch: AGENT_EPOCH,
         placement_id: 7,
         need: Resources::default(),
         image: 0,
-        stage,
-        sent: stage != PlacementState::Planned,
-        since: 0,
-        running: None,
+        state,
+        start_sent: state != PlacementState::Planned,
+        planned_at_ms: 0,
+        running_since_ms: None,
         stop_grace_s: None,
     }
 }
--- a/crates/core/src/model/task_set.rs
+++ b/crates/core/src/model/task_set.rs
@@ -23,7 +23,7 @@
     }
 
     /// Whether a task is in the set.
-    pub fn get(&self, task: u32) -> bool {
+    pub fn contains(&self, task: u32) -> bool {
         let (index, mask) = position(task);
         self.0.get(index).is_some_and(|word| word & mask != 0)
     }
@@ -53,7 +53,7 @@
     pub fn encode(&self, first: u32, len: u32) -> String {
         let end = first + len;
         let limit = (self.0.len() as u32 * WORD_BITS).max(first);
-        let bit = |task: u32| u8::from(task < end && self.get(task));
+        let bit = |task: u32| u8::from(task < end && self.contains(task));
         (first..end.min(limit))
             .step_by(CHARACTER_BITS as usize)
             .map(|task| (0..CHARACTER_BITS).map(|offset| bit(task + offset) << offset).sum::<u8>())
