--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -95,7 +95,7 @@
     /// Whether the job may use this machine once it has room.
     fn is_usable(&self, machine: &Machine) -> bool {
         let now = self.view.now.monotonic_ms;
-        let slow = machine.health.slow_until > now && !self.job.is_service();
+        let slow = machine.health.slow_until_ms > now && !self.job.is_service();
         let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.images.contains(self.job.image);
         machine.is_schedulable(now, self.view.settings)
             && !slow
@@ -141,7 +141,7 @@
         let mut victims = Vec::new();
         for placement in machine.placements.iter().filter(|placement| placement.stop_grace_s.is_none()) {
             if self.is_preemptible(&placement.job) {
-                let run_ms = placement.running.map_or(0, |since| now.saturating_sub(since));
+                let run_ms = placement.running_since_ms.map_or(0, |since| now.saturating_sub(since));
                 victims.push(Victim { placement, run_ms });
             }
         }
--- a/crates/core/src/leader/scheduler/queue/tests.rs
+++ b/crates/core/src/leader/scheduler/queue/tests.rs
@@ -10,7 +10,7 @@
 }
 
 fn set_wait(job: &mut Job, waited_s: u64) {
-    job.scheduling.ready_at = NOW.wall_ms - waited_s * 1000;
+    job.scheduling.ready_at_ms = NOW.wall_ms - waited_s * 1000;
 }
 
 #[test]
@@ -72,7 +72,7 @@
     let cases: [(&str, ChangeJob); 5] = [
         ("cancelled", |j| j.cancelled = true),
         ("stale record", |j| j.record.stale = true),
-        ("backing off", |j| j.scheduling.not_before = NOW.monotonic_ms + 1),
+        ("backing off", |j| j.scheduling.not_before_ms = NOW.monotonic_ms + 1),
         ("all placed", |j| place_in_zone(j, "a")),
         ("blocked", |j| j.open_dependencies = ["other".into()].into()),
     ];
