--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -9,15 +9,15 @@
 use crate::records::{FinalRecord, JobRecord, keys};
 use crate::store_limits::StoreLimits;
 use serde_json::{Value, json};
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::VecDeque;
 
 /// Most transactions of acceptances in flight.
 const MAX_IN_FLIGHT: u32 = 2;
 /// Most bytes of a transaction, as estimated: some room is left for what the estimate misses.
-const MAX_TRANSACTION_BYTES: usize = MAX_BODY * 7 / 8;
+const MAX_TRANSACTION_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
 /// Bytes that a write and its two conditions take besides their keys and the value, as estimated.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 /// How often a submission's key, or one of the same length, appears: two conditions and a write.
@@ -154,7 +154,7 @@
     /// Hands the submission back if the transaction is full.
     fn add(&mut self, submission: PendingSubmission, value_bytes: usize) -> Result<(), Box<PendingSubmission>> {
         let job_key = keys::job(submission.job());
-        if self.transaction.conditions.iter().any(|condition| condition.path == job_key) {
+        if self.transaction.preconditions.iter().any(|condition| condition.key == job_key) {
             self.duplicates.push(submission);
             return Ok(());
         }
@@ -169,8 +169,8 @@
             return Err(Box::new(submission));
         }
         let final_key = keys::final_record(submission.job());
-        self.transaction.conditions.push(Condition { path: job_key, version: Revision::ABSENT });
-        self.transaction.conditions.push(Condition { path: final_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: job_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: final_key, version: Revision::ABSENT });
         self.transaction.writes.push(Write::set(submission.record_key(), record));
         self.submissions.push(submission);
         Ok(())
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -12,7 +12,7 @@
 /// The reason why it never can.
 pub(super) fn check(settings: &Settings, catalog: &Catalog, submission: &Submission) -> Result<(), RefusalReason> {
     let team = settings.teams.get(&submission.team).ok_or(RefusalReason::UnknownTeam)?;
-    let need = submission.need();
+    let need = submission.task_resources();
     let fits = |machine_type: &MachineType| allows(submission, machine_type) && machine_type.resources().fits(&need);
     if !catalog.machine_types.iter().any(fits) {
         return Err(RefusalReason::NoMachineTypeFits);
--- a/crates/core/src/api/comparisons.rs
+++ b/crates/core/src/api/comparisons.rs
@@ -5,7 +5,7 @@
 use crate::api::job_query::JobQuery;
 use crate::api::known_jobs::KnownJobs;
 use crate::records::keys;
-use shaleshunt_wire::kv::{Condition, Transaction};
+use shaleshunt_wire::kv::{Precondition, Transaction};
 use std::collections::VecDeque;
 
 /// Most comparing transactions in flight.
@@ -68,7 +68,7 @@
             return None;
         }
         let mut batch = ComparisonBatch::default();
-        while batch.transaction.conditions.len() < limits.max_conditions
+        while batch.transaction.preconditions.len() < limits.max_conditions
             && let Some(WaitingQuery { query, .. }) = self.waiting.pop_front()
         {
             batch.add(query, known);
@@ -97,8 +97,8 @@
             return;
         };
         let path = keys::job(&query.job);
-        if !self.transaction.conditions.iter().any(|condition| condition.path == path) {
-            self.transaction.conditions.push(Condition { path, version });
+        if !self.transaction.preconditions.iter().any(|condition| condition.key == path) {
+            self.transaction.preconditions.push(Precondition { key: path, version });
         }
         self.queries.push(query);
     }
--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -11,7 +11,7 @@
 use crate::records::{FinalRecord, StoredJob, keys};
 use serde_json::json;
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::kv::{Condition, KeyValue, Transaction, Write};
+use shaleshunt_wire::kv::{KeyValue, Precondition, Transaction, Write};
 
 type KvResult = Result<KvReply, RequestError>;
 
@@ -115,7 +115,7 @@
         sent: BatchTime,
         progress: &dyn TaskProgress,
     ) {
-        let Some(record) = StoredJob::read(pair.v) else {
+        let Some(record) = StoredJob::read(pair.value) else {
             self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable);
             return;
         };
@@ -173,7 +173,7 @@
 
     fn handle_final_record(&mut self, ctx: &mut Context, query: JobQuery, result: KvResult) {
         match result {
-            Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
+            Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.value) {
                 Ok(FinalRecord { cancelled: true, .. }) => self.reply_final(ctx, &query, FinalState::Cancelled),
                 Ok(FinalRecord { tasks, .. }) => self.reply_final(ctx, &query, FinalState::Done { tasks }),
                 Err(_) => self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable),
@@ -222,9 +222,9 @@
 fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, revision: Revision) {
     let (job, cancellation) = (keys::job(&query.job), keys::cancellation(&query.job));
     let transaction = Transaction {
-        conditions: vec![
-            Condition { path: job.clone(), version: revision },
-            Condition { path: cancellation.clone(), version: Revision::ABSENT },
+        preconditions: vec![
+            Precondition { key: job.clone(), version: revision },
+            Precondition { key: cancellation.clone(), version: Revision::ABSENT },
         ],
         writes: vec![Write::set(job, record.into_cancelled()), Write::set(cancellation, json!(true))],
     };
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -44,7 +44,7 @@
 impl PartsRead {
     /// The request for the parts that follow those read so far.
     pub fn next_page(&self) -> KvRequest {
-        let after = self.parts.last().map(|part| part.path.clone()).unwrap_or_default();
+        let after = self.parts.last().map(|part| part.key.clone()).unwrap_or_default();
         KvRequest::Scan { prefix: self.record.parts_prefix.clone(), after }
     }
 }
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -10,8 +10,8 @@
 use crate::io::RequestId;
 use crate::records::{SplitJobRecord, keys};
 use serde_json::json;
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::{HashSet, VecDeque};
 
 /// Bytes that a part's write and condition take besides the prefix and the text, as estimated.
@@ -108,7 +108,7 @@
         let (mut bytes, mut count) = (0, 0);
         for part in self.parts.iter().skip(self.written).take(max_writes) {
             bytes += part.len() * 2 + self.prefix.len() * 2 + PART_OVERHEAD_BYTES;
-            if bytes > MAX_BODY && count > 0 {
+            if bytes > MAX_BODY_BYTES && count > 0 {
                 break;
             }
             count += 1;
@@ -119,7 +119,7 @@
     fn parts_transaction(&self, count: usize) -> Transaction {
         let mut transaction = Transaction::default();
         for (number, part) in self.parts.iter().enumerate().skip(self.written).take(count) {
-            transaction.conditions.push(Condition { path: self.part_key(number), version: Revision::ABSENT });
+            transaction.preconditions.push(Precondition { key: self.part_key(number), version: Revision::ABSENT });
             transaction.writes.push(Write::set(self.part_key(number), json!(part)));
         }
         transaction
@@ -135,11 +135,11 @@
             has_cancellation_key: false,
         };
         let conditions = vec![
-            Condition { path: keys::job(job), version: Revision::ABSENT },
-            Condition { path: keys::final_record(job), version: Revision::ABSENT },
-            Condition { path: self.part_key(0), version: self.first_part },
+            Precondition { key: keys::job(job), version: Revision::ABSENT },
+            Precondition { key: keys::final_record(job), version: Revision::ABSENT },
+            Precondition { key: self.part_key(0), version: self.first_part },
         ];
-        Transaction { conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
+        Transaction { preconditions: conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
     }
 
     fn part_key(&self, number: usize) -> String {
--- a/crates/core/src/controller/catalog.rs
+++ b/crates/core/src/controller/catalog.rs
@@ -38,7 +38,7 @@
 /// Takes in the key-value store's reply; asks the cloud if neither the store nor this process knows a catalog.
 pub(super) fn handle_kv_reply(ctx: &mut Context, result: Result<KvReply, RequestError>) {
     let stored = match result {
-        Ok(KvReply::Found(pair)) => serde_json::from_value::<Catalog>(pair.v).ok(),
+        Ok(KvReply::Found(pair)) => serde_json::from_value::<Catalog>(pair.value).ok(),
         _ => None,
     };
     match stored {
--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -25,7 +25,7 @@
 use crate::model::keys;
 use crate::settings::{Settings, Tuning};
 use records::{LeaderRecord, epoch_from_value, epoch_to_value};
-use shaleshunt_wire::kv::{Condition, KeyValue, Page, Transaction, Write};
+use shaleshunt_wire::kv::{KeyValue, Page, Precondition, Transaction, Write};
 use shaleshunt_wire::{Epoch, Revision};
 use std::collections::BTreeSet;
 
@@ -193,7 +193,7 @@
                 send(ctx, get, ElectionRequest::ReadEpoch { lease });
             }
             (ElectionRequest::ReadEpoch { lease }, KvReply::Found(pair)) => {
-                self.claim(ctx, lease, epoch_from_value(&pair.v), pair.version);
+                self.claim(ctx, lease, epoch_from_value(&pair.value), pair.version);
             }
             (ElectionRequest::ReadEpoch { lease }, KvReply::Missing) => {
                 self.claim(ctx, lease, Epoch::NONE, Revision::ABSENT);
@@ -216,10 +216,10 @@
     fn handle_leadership(&mut self, ctx: &mut Context, sent_at: u64, page: &Page) -> ElectionTransition {
         self.read_revision = page.revision;
         if let Some(pair) = find(page, keys::EPOCH) {
-            self.epoch = self.epoch.max(epoch_from_value(&pair.v));
+            self.epoch = self.epoch.max(epoch_from_value(&pair.value));
         }
         match find(page, keys::LEADER) {
-            Some(pair) => self.handle_leader_record(ctx, LeaderRecord::from_value(&pair.v)),
+            Some(pair) => self.handle_leader_record(ctx, LeaderRecord::from_value(&pair.value)),
             None => {
                 self.known_leader = None;
                 let ttl_ms = leader_lease_ms(&ctx.settings, &ctx.tuning);
@@ -229,7 +229,7 @@
         if page.truncated {
             return ElectionTransition::None;
         }
-        let cancelled = page.pairs.iter().filter_map(|pair| pair.path.strip_prefix(keys::CANCELLED));
+        let cancelled = page.pairs.iter().filter_map(|pair| pair.key.strip_prefix(keys::CANCELLED));
         ElectionTransition::CancellationsRead { sent_at, cancelled: cancelled.map(str::to_string).collect() }
     }
 
@@ -252,12 +252,12 @@
         let node = &ctx.settings.node_name;
         let leader = LeaderRecord { node: node.clone(), lease: Some(lease) };
         let transaction = Transaction {
-            conditions: vec![
-                Condition { path: keys::LEADER.into(), version: Revision::ABSENT },
-                Condition { path: keys::EPOCH.into(), version },
+            preconditions: vec![
+                Precondition { key: keys::LEADER.into(), version: Revision::ABSENT },
+                Precondition { key: keys::EPOCH.into(), version },
             ],
             writes: vec![
-                Write::Set { set: keys::LEADER.into(), v: leader.to_value(), pass: Some(lease) },
+                Write::Set { key: keys::LEADER.into(), value: leader.to_value(), lease: Some(lease) },
                 Write::set(keys::EPOCH, epoch_to_value(epoch, node)),
             ],
         };
@@ -277,7 +277,7 @@
 }
 
 fn find<'a>(page: &'a Page, key: &str) -> Option<&'a KeyValue> {
-    page.pairs.iter().find(|pair| pair.path == key)
+    page.pairs.iter().find(|pair| pair.key == key)
 }
 
 fn send(ctx: &mut Context, request: KvRequest, step: ElectionRequest) {
--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -21,7 +21,7 @@
             return;
         }
         let now = self.ctx.now_ms();
-        let echoed_at = heartbeat.echo.sent_by(self.ctx.process_id(), now);
+        let echoed_at = heartbeat.echo.acknowledged_send_ms(self.ctx.process_id(), now);
         self.peers.views_mut().record(from, now, &heartbeat);
         self.ctx.peer_lease_reports.record(from, now, heartbeat.lease_extension_age_ms, echoed_at);
         if !heartbeat.is_leader {
--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -52,7 +52,7 @@
     let machines = view.scheduling.machines.values();
     machines
         .filter(|machine| !machine.lifecycle.scale_in_wanted && allows(job, MachineKind::of(machine)))
-        .map(|machine| machine.capacity.total.times(&job.need, tasks_together))
+        .map(|machine| machine.capacity.total.fit_count(&job.need, tasks_together))
         .sum()
 }
 
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -106,7 +106,7 @@
             if !spare.free.fits(&job.need) || !allows(job, spare.offer.kind()) {
                 continue;
             }
-            let fitting = spare.free.times(&job.need, i64::from(left)) as u32;
+            let fitting = spare.free.fit_count(&job.need, i64::from(left)) as u32;
             let placed = by_zone.place(job, &spare.offer.zone, fitting);
             if placed == 0 {
                 continue;
@@ -136,7 +136,7 @@
     fn rent_machine(&mut self, job: &Job, tasks: u32, offer: &Offer) -> u32 {
         let machine_type = self.view.catalog.machine_type(&offer.machine_type);
         let mut free = machine_type.map(|machine_type| machine_type.resources()).unwrap_or_default();
-        let fitting = free.times(&job.need, i64::from(tasks)) as u32;
+        let fitting = free.fit_count(&job.need, i64::from(tasks)) as u32;
         let placed = fitting.min(zone_headroom(job, &offer.zone)).max(1);
         free.add(&job.need, -i64::from(placed));
         self.spare.push(SpareCapacity { offer: offer.clone(), free, machine: None });
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -35,7 +35,7 @@
 use crate::leader::watch::JobWatch;
 use crate::model::{Id, Job};
 use crate::step_down::{ForeignWrite, StepDown};
-use shaleshunt_peer::{JobProgress, MAX_FRAME};
+use shaleshunt_peer::{JobProgress, MAX_FRAME_BYTES};
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
@@ -294,7 +294,7 @@
                 done: job.tasks.done_count(),
                 running: job.tasks.running_count(),
             })
-            .take(MAX_FRAME / JOB_PROGRESS_BYTES)
+            .take(MAX_FRAME_BYTES / JOB_PROGRESS_BYTES)
             .collect()
     }
 }
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -149,7 +149,7 @@
     }
 
     fn handle_scan_page(&mut self, ctx: &mut Context, kind: RecordKind, page: Page) {
-        let last = page.pairs.last().map(|pair| pair.path.clone());
+        let last = page.pairs.last().map(|pair| pair.key.clone());
         if kind == RecordKind::Jobs {
             self.watch.begin_at(page.revision);
         }
@@ -166,34 +166,34 @@
 
     fn take_in_record(&mut self, ctx: &mut Context, kind: RecordKind, pair: KeyValue) {
         match kind {
-            RecordKind::Jobs => self.apply_job_record(ctx, &pair.path, pair.v, pair.version),
+            RecordKind::Jobs => self.apply_job_record(ctx, &pair.key, pair.value, pair.version),
             RecordKind::SubmissionParts => self.recovery.submission_parts.push(pair),
             RecordKind::TaskPages => self.recovery.pages.push(pair),
             RecordKind::MachineBlocks => self.recovery.blocks.push(pair),
             RecordKind::V01Outcomes => self.recovery.v0_1_outcomes.push(pair),
             RecordKind::V01Machines => self.recovery.v0_1_machines.push(pair),
             RecordKind::ScaleOuts => self.restore_scale_out(pair),
-            RecordKind::Cluster if pair.path.starts_with(keys::OWNED) => self.restore_owned_list(pair),
-            RecordKind::Cluster if pair.path == keys::CATALOG => self.restore_catalog(ctx, pair),
+            RecordKind::Cluster if pair.key.starts_with(keys::OWNED) => self.restore_owned_list(pair),
+            RecordKind::Cluster if pair.key == keys::CATALOG => self.restore_catalog(ctx, pair),
             RecordKind::Cluster => {}
         }
     }
 
     fn restore_scale_out(&mut self, pair: KeyValue) {
-        if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) {
+        if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.value) {
             self.autoscaler.scale_outs.load(request, pair.version);
         }
     }
 
     fn restore_owned_list(&mut self, pair: KeyValue) {
-        self.autoscaler.owned.load_part(serde_json::from_value(pair.v).unwrap_or_default());
-        self.store.restore_owned_list(pair.path, pair.version);
+        self.autoscaler.owned.load_part(serde_json::from_value(pair.value).unwrap_or_default());
+        self.store.restore_owned_list(pair.key, pair.version);
     }
 
     fn restore_catalog(&mut self, ctx: &mut Context, pair: KeyValue) {
         self.store.restore_catalog(pair.version);
         if ctx.catalog.is_none() {
-            ctx.catalog = serde_json::from_value(pair.v).ok();
+            ctx.catalog = serde_json::from_value(pair.value).ok();
         }
     }
 }
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -66,7 +66,7 @@
     fn restore_split_submissions(&mut self, ctx: &mut Context) {
         let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
         for part in std::mem::take(&mut self.recovery.submission_parts) {
-            let prefix = part.path.rfind('/').map(|at| part.path[..=at].to_string()).unwrap_or_default();
+            let prefix = part.key.rfind('/').map(|at| part.key[..=at].to_string()).unwrap_or_default();
             by_prefix.entry(prefix).or_default().push(part);
         }
         for mut read in std::mem::take(&mut self.recovery.split_records) {
@@ -82,8 +82,8 @@
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Some(number) = keys::machine_block_number(&pair.path) else { return };
-        let Ok(record) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
+        let Some(number) = keys::machine_block_number(&pair.key) else { return };
+        let Ok(record) = serde_json::from_value::<BlockRecord>(pair.value) else { return };
         let images: Vec<CachedImage> = record
             .images
             .iter()
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -38,20 +38,20 @@
     fn read_v0_1_outcomes(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
         let tasks = (ctx.settings.state.value_kb * TASKS_PER_KIB) as u32;
         let tasks_per_chunk = (tasks / CHUNK_UNIT * CHUNK_UNIT).max(CHUNK_UNIT);
-        let mut parts = pair.path[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
+        let mut parts = pair.key[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
         let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
         let job = parts.next().and_then(|job| self.jobs.get_mut(job));
-        if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.v.as_str()) {
+        if let (Some(chunk), Some(job), Some(text)) = (chunk, job, pair.value.as_str()) {
             let new_tasks = job.tasks.restore_done(chunk.saturating_mul(tasks_per_chunk), text);
             read_tasks.extend(new_tasks.into_iter().map(|task| ReadTask { job: job.id.clone(), task }));
         }
-        self.store.add_v0_1_key(pair.path, pair.version);
+        self.store.add_v0_1_key(pair.key, pair.version);
     }
 
     fn read_v0_1_machine(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
-        let id: Id = pair.path[keys::V01_MACHINES.len()..].into();
-        self.store.add_v0_1_key(pair.path, pair.version);
-        let Ok(record) = serde_json::from_value::<V01MachineRecord>(pair.v) else { return };
+        let id: Id = pair.key[keys::V01_MACHINES.len()..].into();
+        self.store.add_v0_1_key(pair.key, pair.version);
+        let Ok(record) = serde_json::from_value::<V01MachineRecord>(pair.value) else { return };
         if !self.fleet.machines.contains_key(&id) {
             let mut machine = self.new_machine(ctx, &id, &record.machine_type, &record.zone, record.spot, record.owned);
             machine.agent.endpoint = record.endpoint;
--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -6,7 +6,7 @@
 use shaleshunt_wire::user::Priority;
 
 /// Most placements on one machine: a heartbeat and its reply name each of them in one body.
-const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY / 128;
+const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY_BYTES / 128;
 
 /// A machine on which fewer than so many tasks of a job failed is avoided by that job; after more
 /// failures the fault is the job's own.
@@ -147,7 +147,7 @@
     fn rate(&self, machine: &'a Machine) -> Candidate<'a> {
         let suspect = machine.health.quarantine_count > 0;
         let free = machine.free();
-        let fitting = if suspect { 1 } else { free.times(&self.job.need, i64::from(self.tasks)) as u32 };
+        let fitting = if suspect { 1 } else { free.fit_count(&self.job.need, i64::from(self.tasks)) as u32 };
         let tasks_of_job =
             if keeps_apart(self.job) { machine.placements.iter().filter(|p| p.job == self.job.id).count() } else { 0 };
         Candidate {
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -118,9 +118,9 @@
             self.scheduler.dependencies.request_final_record(retry_at, id);
             return;
         };
-        match serde_json::from_value::<FinalRecord>(pair.v) {
+        match serde_json::from_value::<FinalRecord>(pair.value) {
             Ok(end) => self.dependency_ended(ctx, &id, &end),
-            Err(_) => ctx.emit(Event::RecordUnreadable { key: pair.path }),
+            Err(_) => ctx.emit(Event::RecordUnreadable { key: pair.key }),
         }
     }
 }
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -102,7 +102,7 @@
         .machines
         .with_cores(need.cores)
         .filter(|machine| machine.owned && machine.agent.last_heard.is_some())
-        .map(|machine| machine.free().times(need, MAX_SLOTS_PER_MACHINE))
+        .map(|machine| machine.free().fit_count(need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).owned
 }
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -130,7 +130,7 @@
         .with_cores(job.need.cores)
         .filter(|machine| machine.is_schedulable(view.now.monotonic_ms, view.settings))
         .filter(|machine| allows(job, MachineKind::of(machine)))
-        .map(|machine| machine.free().times(&job.need, MAX_SLOTS_PER_MACHINE))
+        .map(|machine| machine.free().fit_count(&job.need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).all
 }
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -12,7 +12,7 @@
 use crate::records::keys;
 use crate::step_down::ForeignWrite;
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::kv::{Condition, Transaction};
+use shaleshunt_wire::kv::{Precondition, Transaction};
 
 /// A transaction without an answer is tried again so many times in a heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
@@ -97,7 +97,7 @@
 pub(super) struct InFlight {
     changes: Changes,
     /// A key that it writes, and its version before.
-    marker: Condition,
+    marker: Precondition,
     copies: EarlierCopies,
     /// A request about it is under way.
     awaiting_reply: bool,
@@ -125,17 +125,17 @@
     }
 
     fn read_marker(&self) -> CommitRequest {
-        let key = self.marker.path.clone();
+        let key = self.marker.key.clone();
         CommitRequest { request: KvRequest::Get { key }, step: CommitStep::ReadMarker }
     }
 
     /// Asks whether the marker has a version while the epoch holds.
     fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
         let conditions = vec![
-            Condition { path: keys::EPOCH.into(), version: epoch_version },
-            Condition { path: self.marker.path.clone(), version },
+            Precondition { key: keys::EPOCH.into(), version: epoch_version },
+            Precondition { key: self.marker.key.clone(), version },
         ];
-        let request = KvRequest::Transaction(Transaction { conditions, writes: Vec::new() });
+        let request = KvRequest::Transaction(Transaction { preconditions: conditions, writes: Vec::new() });
         CommitRequest { request, step: CommitStep::CompareMarker(version) }
     }
 
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -244,8 +244,8 @@
     pub(super) fn restore(&mut self, pairs: Vec<KeyValue>, jobs: &mut BTreeMap<Id, Job>) -> Vec<StoredPlacement> {
         let mut last_facts: BTreeMap<Id, BTreeMap<u32, LastFact>> = BTreeMap::new();
         for pair in pairs {
-            let Some(number) = keys::task_page_number(&pair.path) else { continue };
-            let record: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
+            let Some(number) = keys::task_page_number(&pair.key) else { continue };
+            let record: PageRecord = serde_json::from_value(pair.value).unwrap_or_default();
             let total = record.facts.iter().map(TaskFact::task_count).sum();
             self.pages.insert(number, Page { version: pair.version, total, ..Page::default() });
             // What it holds is not written again: a new page follows.
--- a/crates/core/src/leader/store/pages/tests.rs
+++ b/crates/core/src/leader/store/pages/tests.rs
@@ -49,10 +49,10 @@
 /// What a new leader would read.
 fn stored(transaction: &Transaction, version: u64) -> Vec<KeyValue> {
     let value_of = |write: &Write| match write {
-        Write::Set { set, v, .. } => {
-            Some(KeyValue { path: set.clone(), v: v.clone(), version: Revision(version), pass: None })
+        Write::Set { key, value, .. } => {
+            Some(KeyValue { key: key.clone(), value: value.clone(), version: Revision(version), lease: None })
         }
-        Write::Drop { .. } => None,
+        Write::Delete { .. } => None,
     };
     transaction.writes.iter().filter_map(value_of).collect()
 }
--- a/crates/core/src/leader/store/split_submissions.rs
+++ b/crates/core/src/leader/store/split_submissions.rs
@@ -16,7 +16,7 @@
 
 impl From<KeyValue> for VersionedKey {
     fn from(pair: KeyValue) -> VersionedKey {
-        VersionedKey { key: pair.path, version: pair.version }
+        VersionedKey { key: pair.key, version: pair.version }
     }
 }
 
--- a/crates/core/src/leader/store/split_submissions/tests.rs
+++ b/crates/core/src/leader/store/split_submissions/tests.rs
@@ -41,7 +41,8 @@
 #[test]
 fn parts_of_a_job_are_known_until_it_ends() {
     let mut submissions = SplitSubmissions::default();
-    let part = KeyValue { path: "s/wk-1/n0-1-1/0000".to_string(), v: "text".into(), version: Revision(4), pass: None };
+    let part =
+        KeyValue { key: "s/wk-1/n0-1-1/0000".to_string(), value: "text".into(), version: Revision(4), lease: None };
     submissions.add("wk-1".into(), vec![part]);
     let key = "s/wk-1/n0-1-1/0000".to_string();
     assert_eq!(submissions.remove("wk-1").unwrap(), [VersionedKey { key, version: Revision(4) }]);
--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -3,8 +3,8 @@
 use crate::model::{Id, Job};
 use crate::records::keys;
 use serde_json::Value;
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::BTreeSet;
 
 /// Bytes that frame a key and its value in a request, besides the key's two mentions.
@@ -49,11 +49,11 @@
 
 impl TransactionBuilder {
     /// Most bytes, with room for what frames the values.
-    pub(super) const MAX_BYTES: usize = MAX_BODY * 7 / 8;
+    pub(super) const MAX_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
 
     /// An empty transaction.
     pub(super) fn new(limits: TransactionLimits) -> TransactionBuilder {
-        let transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
+        let transaction = Transaction { preconditions: Vec::new(), writes: Vec::new() };
         TransactionBuilder { transaction, jobs: BTreeSet::new(), bytes: 0, reserved_writes: 0, limits }
     }
 
@@ -72,7 +72,7 @@
     /// Whether a change fits in if the reserved writes are left out of account.
     pub(super) fn has_space_without_reserved(&self, space: Space) -> bool {
         self.transaction.writes.len() + space.writes <= self.limits.writes
-            && self.transaction.conditions.len() + space.conditions <= self.limits.conditions
+            && self.transaction.preconditions.len() + space.conditions <= self.limits.conditions
             && (self.fits_bytes(space.bytes) || self.transaction.writes.is_empty())
     }
 
@@ -113,13 +113,13 @@
 
     /// Requires the leader's epoch, by its key's version. It counts no bytes: the limit leaves room.
     pub(super) fn require_epoch(&mut self, version: Revision) {
-        self.transaction.conditions.push(Condition { path: keys::EPOCH.into(), version });
+        self.transaction.preconditions.push(Precondition { key: keys::EPOCH.into(), version });
     }
 
     /// Requires that a key is not there.
     pub(super) fn require_absent(&mut self, key: String) {
         self.bytes += key.len() + CONDITION_FRAME_BYTES;
-        self.transaction.conditions.push(Condition { path: key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key, version: Revision::ABSENT });
     }
 
     /// Requires that a job's record is the one that is known.
@@ -127,22 +127,22 @@
         if self.jobs.insert(job.id.clone()) {
             let path = keys::job(&job.id);
             self.bytes += path.len() + CONDITION_FRAME_BYTES;
-            self.transaction.conditions.push(Condition { path, version: job.record.version });
+            self.transaction.preconditions.push(Precondition { key: path, version: job.record.version });
         }
     }
 
     /// Sets a key to a value of so many bytes.
     pub(super) fn set(&mut self, key: String, version: Revision, value: Value, bytes: usize) {
         self.bytes += bytes + key.len() * 2 + WRITE_FRAME_BYTES;
-        self.transaction.conditions.push(Condition { path: key.clone(), version });
+        self.transaction.preconditions.push(Precondition { key: key.clone(), version });
         self.transaction.writes.push(Write::set(key, value));
     }
 
     /// Removes a key.
     pub(super) fn drop_key(&mut self, key: String, version: Revision) {
         self.bytes += key.len() * 2 + WRITE_FRAME_BYTES;
-        self.transaction.conditions.push(Condition { path: key.clone(), version });
-        self.transaction.writes.push(Write::drop_key(key));
+        self.transaction.preconditions.push(Precondition { key: key.clone(), version });
+        self.transaction.writes.push(Write::delete(key));
     }
 
     /// Removes a job's record, whose version may be required already.
@@ -151,29 +151,29 @@
         if self.jobs.insert(job.id.clone()) {
             self.drop_key(key, job.record.version);
         } else {
-            self.transaction.writes.push(Write::drop_key(key));
+            self.transaction.writes.push(Write::delete(key));
         }
     }
 
     /// The version that a key is required to have; absent for one that is not among the conditions.
     pub(super) fn required_version(&self, key: &str) -> Revision {
-        let condition = self.transaction.conditions.iter().find(|condition| condition.path == key);
+        let condition = self.transaction.preconditions.iter().find(|condition| condition.key == key);
         condition.map_or(Revision::ABSENT, |condition| condition.version)
     }
 
     /// A key that only the leader writes and that shows whether this was carried out, with its
     /// version before. None while there are no writes.
-    pub(super) fn marker(&self) -> Option<Condition> {
+    pub(super) fn marker(&self) -> Option<Precondition> {
         let set = self.transaction.writes.iter().find_map(|write| match write {
-            Write::Set { set, .. } if !set.starts_with(keys::JOBS) => Some(set),
+            Write::Set { key, .. } if !key.starts_with(keys::JOBS) => Some(key),
             _ => None,
         });
         let dropped = self.transaction.writes.iter().find_map(|write| match write {
-            Write::Drop { drop } => Some(drop),
+            Write::Delete { key } => Some(key),
             Write::Set { .. } => None,
         });
         let key = set.or(dropped)?;
-        Some(Condition { path: key.clone(), version: self.required_version(key) })
+        Some(Precondition { key: key.clone(), version: self.required_version(key) })
     }
 }
 
--- a/crates/core/src/leader/store/unreferenced/tests.rs
+++ b/crates/core/src/leader/store/unreferenced/tests.rs
@@ -15,7 +15,7 @@
 fn dropped(builder: &TransactionBuilder) -> Vec<&str> {
     fn key(write: &Write) -> Option<&str> {
         match write {
-            Write::Drop { drop } => Some(drop.as_str()),
+            Write::Delete { key } => Some(key.as_str()),
             Write::Set { .. } => None,
         }
     }
@@ -32,7 +32,7 @@
     let removed = unreferenced.collect_submission_parts(&mut builder, &jobs);
     assert_eq!(removed, [parts("wk-2"), parts("wk-1")]);
     assert_eq!(dropped(&builder), ["s/wk-2/n0-1-1/0000", "s/wk-1/n0-1-1/0000"]);
-    let required: Vec<&str> = builder.transaction().conditions.iter().map(|c| c.path.as_str()).collect();
+    let required: Vec<&str> = builder.transaction().preconditions.iter().map(|c| c.key.as_str()).collect();
     assert!(required.contains(&"j/wk-2"), "its record may still come");
     assert!(!required.contains(&"j/wk-1"), "a known job has other parts");
 }
--- a/crates/core/src/leader/store/write_counts.rs
+++ b/crates/core/src/leader/store/write_counts.rs
@@ -19,8 +19,8 @@
         self.transactions += 1;
         for write in &transaction.writes {
             let key = match write {
-                Write::Set { set, .. } => set,
-                Write::Drop { drop } => drop,
+                Write::Set { key, .. } => key,
+                Write::Delete { key } => key,
             };
             *self.of_prefix(key.get(..2)) += 1;
         }
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -102,10 +102,10 @@
     fn apply_changes(&mut self, ctx: &mut Context, news: WatchReply) {
         for change in news.changes {
             match change {
-                Change { set: Some(path), v: Some(value), version, .. } => {
+                Change { set_key: Some(path), value: Some(value), version, .. } => {
                     self.apply_job_record(ctx, &path, value, version);
                 }
-                Change { drop: Some(path), version, .. } => {
+                Change { deleted_key: Some(path), version, .. } => {
                     let id = keys::job_of(&path);
                     self.store.job_record_removed(id, version);
                     if self.jobs.get(id).is_some_and(|job| job.record.version < version) {
@@ -218,7 +218,7 @@
             Ok(KvReply::Found(pair)) => {
                 // A job that has ended meanwhile never comes back.
                 if self.jobs.contains_key(&id) {
-                    self.apply_job_record(ctx, &pair.path, pair.v, pair.version);
+                    self.apply_job_record(ctx, &pair.key, pair.value, pair.version);
                 }
             }
             Ok(KvReply::Missing) => self.apply_job_removal(ctx, &id),
--- a/crates/core/src/leader/watch/split_jobs.rs
+++ b/crates/core/src/leader/watch/split_jobs.rs
@@ -27,7 +27,7 @@
     /// Reads the next parts of a job that has come.
     pub(crate) fn read_parts(&mut self, ctx: &mut Context, read: SplitJobRead) {
         self.store.begin_submission_read(&read);
-        let after = read.parts.last().map(|part| part.path.clone()).unwrap_or_default();
+        let after = read.parts.last().map(|part| part.key.clone()).unwrap_or_default();
         let prefix = read.record.parts_prefix.clone();
         let wait = self.wait(LeaderRequest::Parts(Box::new(read)));
         ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
--- a/crates/core/src/model/job.rs
+++ b/crates/core/src/model/job.rs
@@ -93,7 +93,7 @@
         let dependencies = std::mem::take(&mut rec.submission.dependencies);
         Job {
             id: rec.submission.id.as_str().into(),
-            need: rec.submission.need(),
+            need: rec.submission.task_resources(),
             image: 0,
             accepted_at: rec.accepted_at_ms,
             cancelled: rec.cancelled,
--- a/crates/core/src/records/job.rs
+++ b/crates/core/src/records/job.rs
@@ -63,7 +63,7 @@
 impl SplitJobRecord {
     /// The record of the whole job, if the parts make up a submission.
     pub fn join(&self, parts: &[KeyValue]) -> Option<JobRecord> {
-        let text: String = parts.iter().filter_map(|part| part.v.as_str()).collect();
+        let text: String = parts.iter().filter_map(|part| part.value.as_str()).collect();
         Some(JobRecord {
             submission: serde_json::from_str(&text).ok()?,
             accepted_at_ms: self.accepted_at_ms,
--- a/crates/core/src/store_limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -79,7 +79,7 @@
 
     /// Most conditions in a transaction.
     pub fn conditions(&self) -> usize {
-        self.now.txn_ops * shaleshunt_wire::CONDITIONS_PER_WRITE
+        self.now.txn_ops * shaleshunt_wire::PRECONDITIONS_PER_WRITE
     }
 
     /// Writes in a second.
--- a/crates/load-test/src/cloud_server.rs
+++ b/crates/load-test/src/cloud_server.rs
@@ -7,7 +7,7 @@
 use shaleshunt_simulation::cloud::Cloud;
 use shaleshunt_wire::cloud::MachineNames;
 use shaleshunt_wire::paths;
-use shaleshunt_wire::user::Problem;
+use shaleshunt_wire::user::ErrorBody;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -46,7 +46,7 @@
     match result {
         Ok(CloudReply::Catalog(catalog)) => Reply::json(200, &catalog),
         Ok(CloudReply::ScaledOut(machines)) => Reply::json(200, &MachineNames { machines }),
-        Ok(CloudReply::NoCapacity) => Reply::json(503, &Problem { error: "no capacity".into() }),
+        Ok(CloudReply::NoCapacity) => Reply::json(503, &ErrorBody { error: "no capacity".into() }),
         Ok(CloudReply::ScaledIn) => Reply::empty_object(200),
         Ok(CloudReply::MachineList(page)) => Reply::json(200, &page),
         Err(error) => Reply::failure(&error),
--- a/crates/load-test/src/http_server.rs
+++ b/crates/load-test/src/http_server.rs
@@ -7,7 +7,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
 use shaleshunt_core::RequestError;
-use shaleshunt_wire::user::Problem;
+use shaleshunt_wire::user::ErrorBody;
 use std::convert::Infallible;
 use std::rc::Rc;
 use tokio::net::TcpListener;
@@ -55,7 +55,7 @@
 
     /// An answer to a request that makes no sense.
     pub fn malformed() -> Reply {
-        Reply::json(400, &Problem { error: "malformed".into() })
+        Reply::json(400, &ErrorBody { error: "malformed".into() })
     }
 
     /// The answer to a request that failed.
@@ -65,7 +65,7 @@
             RequestError::Rejected(_) => 400,
             _ => 503,
         };
-        Reply::json(status, &Problem { error: error.to_string() })
+        Reply::json(status, &ErrorBody { error: error.to_string() })
     }
 }
 
--- a/crates/load-test/src/store_server.rs
+++ b/crates/load-test/src/store_server.rs
@@ -131,7 +131,7 @@
         Ok(KvReply::Page(page)) => Reply::json(200, &page),
         Ok(KvReply::Committed(revision)) => Reply::json(200, &TransactionReply { failed: Vec::new(), revision }),
         Ok(KvReply::Conflict(failed)) => Reply::json(409, &TransactionReply { failed, revision: Revision::ABSENT }),
-        Ok(KvReply::LeaseGranted(pass)) => Reply::json(200, &LeaseGrant { pass }),
+        Ok(KvReply::LeaseGranted(pass)) => Reply::json(200, &LeaseGrant { lease: pass }),
         Ok(KvReply::Done) => Reply::empty_object(200),
         Ok(KvReply::Changes(news)) => Reply::json(200, &news),
         Ok(KvReply::Compacted) => Reply::empty_object(410),
--- a/crates/net/src/forwarding.rs
+++ b/crates/net/src/forwarding.rs
@@ -18,7 +18,7 @@
 /// Bytes of a frame around the body of a response, with room to spare.
 const FRAME_OVERHEAD: usize = 1024;
 /// Largest body of a response that is sent back to a peer.
-const MAX_FORWARDED_BODY: usize = shaleshunt_peer::MAX_FRAME - FRAME_OVERHEAD;
+const MAX_FORWARDED_BODY: usize = shaleshunt_peer::MAX_FRAME_BYTES - FRAME_OVERHEAD;
 
 type Responders = Rc<RefCell<HashMap<u64, oneshot::Sender<HttpResponse>>>>;
 
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -11,7 +11,7 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use shaleshunt_core::RequestError;
-use shaleshunt_wire::user::Problem;
+use shaleshunt_wire::user::ErrorBody;
 use std::time::Duration;
 
 /// A request without the service that it is for.
@@ -52,7 +52,7 @@
 
 /// The reason that a service gives for refusing a request.
 fn problem_text(body: &[u8]) -> String {
-    from_json::<Problem>(body).map_or_else(|_| "no reason given".into(), |problem| problem.error)
+    from_json::<ErrorBody>(body).map_or_else(|_| "no reason given".into(), |problem| problem.error)
 }
 
 /// A text as the value of a query parameter.
--- a/crates/net/src/protocol/kv.rs
+++ b/crates/net/src/protocol/kv.rs
@@ -62,7 +62,7 @@
             from_json::<TransactionReply>(body).map(|reply| KvReply::Conflict(reply.failed))
         }
         (KvRequest::GrantLease { .. }, OK) => {
-            from_json::<LeaseGrant>(body).map(|granted| KvReply::LeaseGranted(granted.pass))
+            from_json::<LeaseGrant>(body).map(|granted| KvReply::LeaseGranted(granted.lease))
         }
         (KvRequest::RenewLease { .. } | KvRequest::RevokeLease { .. }, OK | NO_CONTENT) => Ok(KvReply::Done),
         (KvRequest::Watch { .. }, OK) => from_json::<WatchReply>(body).map(KvReply::Changes),
--- a/crates/net/src/server/rejection.rs
+++ b/crates/net/src/server/rejection.rs
@@ -2,7 +2,7 @@
 
 use crate::http_status;
 use hyper::Method;
-use shaleshunt_wire::user::Malformed;
+use shaleshunt_wire::user::SubmissionError;
 
 /// Why a request is refused. The text is the `error` of the response's body.
 #[derive(Debug, thiserror::Error)]
@@ -20,7 +20,7 @@
     #[error("body took too long")]
     BodyTimeout,
     #[error(transparent)]
-    MalformedSubmission(#[from] Malformed),
+    MalformedSubmission(#[from] SubmissionError),
     #[error("not a report")]
     MalformedHeartbeat,
     #[error("no room for machines")]
--- a/crates/net/src/server/requests.rs
+++ b/crates/net/src/server/requests.rs
@@ -6,9 +6,9 @@
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
 use hyper::{Method, Request};
-use shaleshunt_wire::user::{Submission, valid_id};
+use shaleshunt_wire::user::{Submission, is_valid_job_id};
 use shaleshunt_wire::worker::Heartbeat;
-use shaleshunt_wire::{MAX_BODY, paths};
+use shaleshunt_wire::{MAX_BODY_BYTES, paths};
 use std::time::Duration;
 
 /// What a request is about, as its method and path tell.
@@ -72,7 +72,7 @@
         }
         Some(_) => return Err(Rejection::UnknownPath),
     };
-    if valid_id(id) { Ok(route) } else { Err(Rejection::InvalidJobId) }
+    if is_valid_job_id(id) { Ok(route) } else { Err(Rejection::InvalidJobId) }
 }
 
 fn require_method(method: &Method, allowed: Method) -> Result<(), Rejection> {
@@ -80,7 +80,7 @@
 }
 
 async fn read_body(request: Request<Incoming>, timeout: Duration) -> Result<Bytes, Rejection> {
-    let collect = Limited::new(request.into_body(), MAX_BODY).collect();
+    let collect = Limited::new(request.into_body(), MAX_BODY_BYTES).collect();
     match tokio::time::timeout(timeout, collect).await {
         Ok(Ok(body)) => Ok(body.to_bytes()),
         Ok(Err(error)) if error.is::<LengthLimitError>() => Err(Rejection::BodyTooLarge),
--- a/crates/net/src/server/responses.rs
+++ b/crates/net/src/server/responses.rs
@@ -7,7 +7,7 @@
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use shaleshunt_core::io::Answer;
-use shaleshunt_wire::user::Problem;
+use shaleshunt_wire::user::ErrorBody;
 use shaleshunt_wire::worker::Redirect;
 
 /// A response of this server; all have a JSON body.
@@ -37,7 +37,7 @@
 }
 
 fn problem(status: u16, error: String, retry_after_s: Option<u32>) -> HttpResponse {
-    let mut response = json(status, &Problem { error });
+    let mut response = json(status, &ErrorBody { error });
     if let Some(seconds) = retry_after_s {
         response.headers_mut().insert(RETRY_AFTER, seconds.into());
     }
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -4,7 +4,7 @@
 mod writer;
 
 use crate::error::FrameError;
-use crate::frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME, PeerHeartbeat, VERSION};
+use crate::frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME_BYTES, PROTOCOL_VERSION, PeerHeartbeat};
 use bytes::{Buf, BufMut, BytesMut};
 use reader::FieldReader;
 use shaleshunt_wire::{Epoch, Revision};
@@ -31,7 +31,7 @@
         // Written over once it is known.
         out.put_u32(0);
         let mut writer = FieldWriter::new(out);
-        writer.put_u8(VERSION);
+        writer.put_u8(PROTOCOL_VERSION);
         self.write_fields(&mut writer);
         let length = out.len() - start - LENGTH_BYTES;
         out[start..start + LENGTH_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
@@ -45,7 +45,7 @@
     pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         let Some((length_bytes, _)) = buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length_bytes) as usize;
-        if length > MAX_FRAME {
+        if length > MAX_FRAME_BYTES {
             return Err(FrameError::TooLong { length });
         }
         if buffer.len() < LENGTH_BYTES + length {
@@ -54,7 +54,7 @@
         buffer.advance(LENGTH_BYTES);
         let mut reader = FieldReader::new(buffer.split_to(length).freeze());
         let found = reader.u8()?;
-        if found != VERSION {
+        if found != PROTOCOL_VERSION {
             return Err(FrameError::UnsupportedVersion { found });
         }
         let frame = Frame::read_fields(&mut reader)?;
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -1,14 +1,14 @@
 //! Errors of the frame codec.
 
-use crate::frame::{MAX_FRAME, VERSION};
+use crate::frame::{MAX_FRAME_BYTES, PROTOCOL_VERSION};
 
 /// Why bytes from a peer are not a frame of this protocol.
 ///
 /// None of these can be recovered from on the same connection: where the next frame begins is unknown.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The stated length is greater than [`MAX_FRAME`].
-    #[error("frame of {length} bytes is too long: at most {MAX_FRAME} are accepted")]
+    /// The stated length is greater than [`MAX_FRAME_BYTES`].
+    #[error("frame of {length} bytes is too long: at most {MAX_FRAME_BYTES} are accepted")]
     TooLong {
         /// Length that the frame states, in bytes.
         length: usize,
@@ -28,7 +28,7 @@
         count: usize,
     },
     /// The frame is of another version of the protocol.
-    #[error("frame of version {found}: only version {VERSION} is understood")]
+    #[error("frame of version {found}: only version {PROTOCOL_VERSION} is understood")]
     UnsupportedVersion {
         /// The version that the frame states.
         found: u8,
--- a/crates/peer/src/frame.rs
+++ b/crates/peer/src/frame.rs
@@ -4,11 +4,11 @@
 use shaleshunt_wire::{Epoch, Revision};
 
 /// Version of the protocol, stated by every frame.
-pub const VERSION: u8 = 3;
+pub const PROTOCOL_VERSION: u8 = 3;
 
 /// Largest frame that is accepted, in bytes after the length: twice a page of the key-value store, since
 /// such pages are forwarded.
-pub const MAX_FRAME: usize = 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 1024 * 1024;
 
 /// One message between two controllers.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -81,7 +81,7 @@
 impl HeartbeatEcho {
     /// When this process sent the acknowledged heartbeat, if it was this process: so the sender of the
     /// acknowledgement was alive after that time.
-    pub fn sent_by(self, process_id: u64, now_ms: u64) -> Option<u64> {
+    pub fn acknowledged_send_ms(self, process_id: u64, now_ms: u64) -> Option<u64> {
         (self.process_id == process_id && self.sent_at_ms <= now_ms).then_some(self.sent_at_ms)
     }
 }
--- a/crates/peer/src/lib.rs
+++ b/crates/peer/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! A frame on the wire is `length: u32 | version: u8 | kind: u8 | payload`. Integers are big-endian,
 //! `length` counts all that follows it, and texts are a `u16` length and UTF-8. Every length is checked
-//! against what has arrived and against [`MAX_FRAME`]. A frame of another version or of an unknown kind
+//! against what has arrived and against [`MAX_FRAME_BYTES`]. A frame of another version or of an unknown kind
 //! is an error, and so are bytes left over after its last field.
 //!
 //! - [`Frame`] and the types it holds say what controllers tell each other;
@@ -16,4 +16,4 @@
 mod frame;
 
 pub use error::FrameError;
-pub use frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME, PeerHeartbeat, VERSION};
+pub use frame::{Frame, HeartbeatEcho, JobProgress, MAX_FRAME_BYTES, PROTOCOL_VERSION, PeerHeartbeat};
--- a/crates/simulation/src/agent/commands.rs
+++ b/crates/simulation/src/agent/commands.rs
@@ -41,7 +41,7 @@
         self.heartbeats.changed = true;
         let job = split_task_name(&name).and_then(|(job, number)| jobs.get(job).filter(|spec| number < spec.tasks));
         let refusal = self.refusal(&name, job);
-        let demand = job.map_or(Resources::default(), Submission::need);
+        let demand = job.map_or(Resources::default(), Submission::task_resources);
         let (image, image_gb) = job.map_or((String::new(), 0.0), |spec| (spec.image.clone(), spec.image_gb));
         let fetch_ms = if self.images.contains(&image) { 0.0 } else { image_gb / self.machine.fetch_gb_per_s * 1000.0 };
         let task = Task {
@@ -68,7 +68,7 @@
         for task in self.unfinished_tasks() {
             used.add(&task.demand, 1);
         }
-        used.add(&spec.need(), 1);
+        used.add(&spec.task_resources(), 1);
         (!self.machine.capacity.fits(&used)).then_some(ExitCause::InsufficientResources)
     }
 
--- a/crates/simulation/src/simulation/waiting_jobs.rs
+++ b/crates/simulation/src/simulation/waiting_jobs.rs
@@ -27,7 +27,7 @@
         if spec.single_zone || spec.spread_zones || spec.kind == JobKind::Gang {
             return false;
         }
-        let demand = spec.need();
+        let demand = spec.task_resources();
         self.has_open_task(spec)
             && self.dependencies_completed(spec)
             && self.is_within_limit(spec, &demand)
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -159,13 +159,18 @@
 
     fn set(&mut self, key: String, value: Value, lease: Option<u64>) {
         let revision = self.revision;
-        self.changes.push(Change { set: Some(key.clone()), drop: None, v: Some(value.clone()), version: revision });
+        self.changes.push(Change {
+            set_key: Some(key.clone()),
+            deleted_key: None,
+            value: Some(value.clone()),
+            version: revision,
+        });
         self.entries.insert(key, Entry { value, revision, lease });
     }
 
     fn delete(&mut self, key: String) {
         if self.entries.remove(&key).is_some() {
-            self.changes.push(Change { set: None, drop: Some(key), v: None, version: self.revision });
+            self.changes.push(Change { set_key: None, deleted_key: Some(key), value: None, version: self.revision });
         }
     }
 
@@ -208,7 +213,7 @@
 
 impl Entry {
     fn pair(&self, key: String) -> KeyValue {
-        KeyValue { path: key, v: self.value.clone(), version: self.revision, pass: self.lease }
+        KeyValue { key, value: self.value.clone(), version: self.revision, lease: self.lease }
     }
 }
 
@@ -217,7 +222,7 @@
     fn news(&self, changes: &[Change]) -> Vec<Change> {
         let first = changes.partition_point(|change| change.version <= self.after);
         let concerns = |change: &&Change| {
-            let key = change.set.as_ref().or(change.drop.as_ref());
+            let key = change.set_key.as_ref().or(change.deleted_key.as_ref());
             key.is_some_and(|key| key.starts_with(&self.prefix))
         };
         changes[first..].iter().filter(concerns).cloned().collect()
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -8,15 +8,17 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Value.
-    pub v: Value,
+    #[serde(rename = "v")]
+    pub value: Value,
     /// Revision of its last change.
     #[serde(rename = "stamp")]
     pub version: Revision,
     /// Lease that it is attached to.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub pass: Option<u64>,
+    #[serde(rename = "pass", default, skip_serializing_if = "Option::is_none")]
+    pub lease: Option<u64>,
 }
 
 /// A page of keys.
@@ -34,9 +36,10 @@
 
 /// A condition on a key's version; [`Revision::ABSENT`] means that it does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Condition {
+pub struct Precondition {
     /// Key.
-    pub path: String,
+    #[serde(rename = "path")]
+    pub key: String,
     /// Version.
     #[serde(rename = "stamp")]
     pub version: Revision,
@@ -49,28 +52,31 @@
     /// Sets a key.
     Set {
         /// Key.
-        set: String,
+        #[serde(rename = "set")]
+        key: String,
         /// Value.
-        v: Value,
+        #[serde(rename = "v")]
+        value: Value,
         /// Lease to attach it to.
-        #[serde(default, skip_serializing_if = "Option::is_none")]
-        pass: Option<u64>,
+        #[serde(rename = "pass", default, skip_serializing_if = "Option::is_none")]
+        lease: Option<u64>,
     },
     /// Removes a key.
-    Drop {
+    Delete {
         /// Key.
-        drop: String,
+        #[serde(rename = "drop")]
+        key: String,
     },
 }
 
 impl Write {
     /// A `set` without a lease.
-    pub fn set(key: impl Into<String>, v: Value) -> Write {
-        Write::Set { set: key.into(), v, pass: None }
+    pub fn set(key: impl Into<String>, value: Value) -> Write {
+        Write::Set { key: key.into(), value, lease: None }
     }
     /// A `drop`.
-    pub fn drop_key(key: impl Into<String>) -> Write {
-        Write::Drop { drop: key.into() }
+    pub fn delete(key: impl Into<String>) -> Write {
+        Write::Delete { key: key.into() }
     }
 }
 
@@ -79,7 +85,7 @@
 pub struct Transaction {
     /// What must hold.
     #[serde(rename = "if")]
-    pub conditions: Vec<Condition>,
+    pub preconditions: Vec<Precondition>,
     /// What changes.
     pub writes: Vec<Write>,
 }
@@ -108,21 +114,22 @@
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseGrant {
     /// Its number.
-    pub pass: u64,
+    #[serde(rename = "pass")]
+    pub lease: u64,
 }
 
 /// A change seen by a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was set.
-    #[serde(default)]
-    pub set: Option<String>,
+    #[serde(rename = "set", default)]
+    pub set_key: Option<String>,
     /// Key that was removed.
-    #[serde(default)]
-    pub drop: Option<String>,
+    #[serde(rename = "drop", default)]
+    pub deleted_key: Option<String>,
     /// Its value.
-    #[serde(default)]
-    pub v: Option<Value>,
+    #[serde(rename = "v", default)]
+    pub value: Option<Value>,
     /// Revision of the change.
     #[serde(rename = "stamp")]
     pub version: Revision,
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -41,7 +41,7 @@
 pub use ids::{AgentEpoch, Attempt, Epoch, FencingToken, Revision};
 
 /// Largest request body, in bytes, and longest line of a response.
-pub const MAX_BODY: usize = 64 * 1024;
+pub const MAX_BODY_BYTES: usize = 64 * 1024;
 /// Most tasks that one job may have.
 pub const MAX_TASKS: u32 = 100_000;
 /// Most machines that one scale-out request may ask for.
@@ -51,7 +51,7 @@
 /// Most machines on one page of the cloud's list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
 /// Conditions allowed in a transaction for each write allowed.
-pub const CONDITIONS_PER_WRITE: usize = 4;
+pub const PRECONDITIONS_PER_WRITE: usize = 4;
 /// Longest time that a user waits for the answer to a submission, in seconds.
 pub const SUBMIT_TIMEOUT_S: f64 = 5.0;
 /// Longest time that a user waits for the answer to a poll, in seconds.
@@ -120,7 +120,7 @@
         need.cores <= self.cores && need.accelerators <= self.accelerators && need.memory <= self.memory
     }
     /// How many times `need` fits in this room, at most `cap`.
-    pub fn times(&self, need: &Resources, cap: i64) -> i64 {
+    pub fn fit_count(&self, need: &Resources, cap: i64) -> i64 {
         let part = |have: Milli, want: Milli| if want > 0 { (have / want).max(0) } else { cap };
         part(self.cores, need.cores)
             .min(part(self.accelerators, need.accelerators))
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -106,7 +106,7 @@
 
 /// Why a submission is malformed.
 #[derive(Debug, thiserror::Error)]
-pub enum Malformed {
+pub enum SubmissionError {
     /// Not JSON, or a field is missing or mistyped.
     #[error("not a submission: {0}")]
     Json(#[from] serde_json::Error),
@@ -126,12 +126,12 @@
     /// # Errors
     ///
     /// If the body is no submission, or a field is out of its range; the error names the field.
-    pub fn parse(body: &[u8]) -> Result<Submission, Malformed> {
+    pub fn parse(body: &[u8]) -> Result<Submission, SubmissionError> {
         let mut s: Submission = serde_json::from_slice(body)?;
         let name = |n: &str| !n.is_empty() && n.len() <= LONG_NAME;
         let amount = |x: f64| x.is_finite() && (0.0..=HUGE).contains(&x);
-        let check = |ok: bool, field: &'static str| if ok { Ok(()) } else { Err(Malformed::Field(field)) };
-        check(valid_id(&s.id), "ref")?;
+        let check = |ok: bool, field: &'static str| if ok { Ok(()) } else { Err(SubmissionError::Field(field)) };
+        check(is_valid_job_id(&s.id), "ref")?;
         check(name(&s.class), "jobline")?;
         check(name(&s.team), "crew")?;
         check((1..=MAX_TASKS).contains(&s.tasks), "pieces")?;
@@ -148,7 +148,7 @@
         check(amount(s.checkpoint_interval_s), "markEveryS")?;
         check(amount(s.checkpoint_duration_s), "markTakesS")?;
         check(s.deadline_s.is_none_or(amount), "dueS")?;
-        check(s.dependencies.iter().all(|id| valid_id(id)), "awaits")?;
+        check(s.dependencies.iter().all(|id| is_valid_job_id(id)), "awaits")?;
         // Named twice counts once.
         let mut seen = std::collections::BTreeSet::new();
         s.dependencies.retain(|id| seen.insert(id.clone()));
@@ -156,13 +156,13 @@
     }
 
     /// What one task takes.
-    pub fn need(&self) -> Resources {
+    pub fn task_resources(&self) -> Resources {
         Resources::new(self.cores, self.accelerators, self.memory_gb)
     }
 }
 
 /// Whether a text has the form of a job id (and is safe inside a key of the state service).
-pub fn valid_id(id: &str) -> bool {
+pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("wk-").is_some_and(|rest| {
         !rest.is_empty() && rest.len() <= 60 && rest.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     })
@@ -201,7 +201,7 @@
 
 /// Body of an answer that is no success.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Problem {
+pub struct ErrorBody {
     /// What is wrong.
     pub error: String,
 }
