--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -39,7 +39,7 @@
         println!("warning: {warning}");
     }
     if let Some(machines) = machines {
-        for warning in capacity::too_small(&loaded.settings, machines) {
+        for warning in capacity::insufficient_settings(&loaded.settings, machines) {
             println!("warning: {warning}");
         }
     }
--- a/crates/cli/src/settings/conversion.rs
+++ b/crates/cli/src/settings/conversion.rs
@@ -2,7 +2,7 @@
 
 use super::Platform;
 use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
-use shaleshunt_core::settings::{ComputeAmount, Limits, ServiceObjective, Settings, TeamQuota};
+use shaleshunt_core::settings::{ComputeAmount, ServiceObjective, Settings, StoreQuota, TeamQuota};
 use shaleshunt_net::{NetworkConfig, PeerAddress};
 use shaleshunt_wire::to_milli;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     let parameters = &file.params;
     Settings {
         node_name: file.name.clone(),
-        location: file.zone.clone(),
+        zone: file.zone.clone(),
         peers: file.peers.iter().map(|peer| (peer.name.clone(), peer.zone.clone())).collect(),
         zones: parameters.zones.clone(),
         teams: parameters.teams.iter().map(|entry| (entry.name.clone(), team(entry))).collect(),
@@ -29,8 +29,8 @@
         lease_s: parameters.workers.lease_s,
         cancel_s: parameters.workers.cancel_s,
         kv_rps: parameters.kv.requests_per_s,
-        state: limits(&parameters.kv),
-        state_next: next_limits(&parameters.kv),
+        store_quota: limits(&parameters.kv),
+        next_store_quota: next_limits(&parameters.kv),
         cloud_rps: parameters.cloud.requests_per_s,
         machine_list_lag_s: parameters.cloud.max_list_age_s,
         mem_mb: parameters.resources.memory_mib,
@@ -81,14 +81,14 @@
 }
 
 /// The key-value store's limits today.
-fn limits(kv: &KvLimits) -> Limits {
-    Limits { value_kb: kv.value_kib, txn_ops: kv.transaction_writes, write_rps: kv.writes_per_s }
+fn limits(kv: &KvLimits) -> StoreQuota {
+    StoreQuota { value_kb: kv.value_kib, txn_ops: kv.transaction_writes, write_rps: kv.writes_per_s }
 }
 
 /// The key-value store's limits that are to come; what is not named stays as it is today.
-fn next_limits(kv: &KvLimits) -> Option<Limits> {
+fn next_limits(kv: &KvLimits) -> Option<StoreQuota> {
     let next = kv.next.as_ref()?;
-    Some(Limits {
+    Some(StoreQuota {
         value_kb: next.value_kib.unwrap_or(kv.value_kib),
         txn_ops: next.transaction_writes.unwrap_or(kv.transaction_writes),
         write_rps: next.writes_per_s.unwrap_or(kv.writes_per_s),
--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -111,12 +111,12 @@
         if self.in_flight >= MAX_IN_FLIGHT || self.waiting.is_empty() {
             return None;
         }
-        let most = self.batch_limit.clamp(1, limits.ops().max(1));
+        let most = self.batch_limit.clamp(1, limits.max_writes().max(1));
         let mut batch = AcceptanceBatch::default();
         while batch.submissions.len() < most
             && let Some(submission) = self.waiting.pop_front()
         {
-            if let Err(left_over) = batch.add(submission, limits.value_bytes()) {
+            if let Err(left_over) = batch.add(submission, limits.max_value_bytes()) {
                 self.waiting.push_front(*left_over);
                 break;
             }
@@ -134,7 +134,7 @@
 
     /// A transaction was committed: larger ones may follow.
     pub fn grow_batches(&mut self, limits: &StoreLimits) {
-        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.ops().max(2));
+        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.max_writes().max(2));
     }
 
     /// A transaction was not carried out because of its size or the store's load: its submissions
--- a/crates/core/src/api/acceptance/tests.rs
+++ b/crates/core/src/api/acceptance/tests.rs
@@ -1,9 +1,12 @@
 use super::*;
 use crate::api::tests::pending;
-use crate::settings::{Limits, Settings};
+use crate::settings::{Settings, StoreQuota};
 
 fn limits(value_kb: f64, txn_ops: usize) -> StoreLimits {
-    StoreLimits::new(&Settings { state: Limits { value_kb, txn_ops, write_rps: 100.0 }, ..Settings::default() })
+    StoreLimits::new(&Settings {
+        store_quota: StoreQuota { value_kb, txn_ops, write_rps: 100.0 },
+        ..Settings::default()
+    })
 }
 
 /// A queue that takes as many submissions into a batch as the store allows.
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -19,7 +19,7 @@
     }
     let mut total = Resources::default();
     total.add(&need, least_concurrent_tasks(submission));
-    if !team.allows(&total) {
+    if !team.within_limit(&total) {
         return Err(RefusalReason::OverTeamLimit);
     }
     Ok(())
--- a/crates/core/src/api/answers.rs
+++ b/crates/core/src/api/answers.rs
@@ -75,17 +75,17 @@
 
 /// The request cannot be served now: the user shall repeat it.
 pub(super) fn unavailable(reason: UnavailableReason) -> Answer {
-    Answer::Problem { status: STATUS_UNAVAILABLE, error: reason.message(), retry_after: Some(RETRY_AFTER_S) }
+    Answer::Error { status: STATUS_UNAVAILABLE, error: reason.message(), retry_after: Some(RETRY_AFTER_S) }
 }
 
 /// The submission is refused.
 pub(super) fn refused(reason: RefusalReason) -> Answer {
-    Answer::Problem { status: STATUS_UNPROCESSABLE, error: reason.message(), retry_after: None }
+    Answer::Error { status: STATUS_UNPROCESSABLE, error: reason.message(), retry_after: None }
 }
 
 /// No job of this name was ever accepted.
 pub(super) fn no_such_job() -> Answer {
-    Answer::Problem { status: STATUS_NOT_FOUND, error: "no such job", retry_after: None }
+    Answer::Error { status: STATUS_NOT_FOUND, error: "no such job", retry_after: None }
 }
 
 /// The job exists.
--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -63,7 +63,7 @@
             Ok(KvReply::Conflict(failed)) => self.handle_changed_records(ctx, batch, &failed),
             other => {
                 if let Err(RequestError::Rejected(_)) = other {
-                    ctx.limits.too_large();
+                    ctx.limits.reduce_sizes();
                 }
                 for query in batch {
                     self.reply_unavailable(ctx, &query, UnavailableReason::StoreUnavailable);
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -62,7 +62,7 @@
         SplitSubmission {
             submission,
             prefix,
-            parts: split_text(&text, ctx.limits.value_bytes()),
+            parts: split_text(&text, ctx.limits.max_value_bytes()),
             written: 0,
             first_part: Revision::ABSENT,
             in_flight: InFlight::Record,
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -111,7 +111,7 @@
         if ctx.now_ms() >= self.retry_writes_at_ms
             && let Some(mut split) = self.split_submissions.pop()
         {
-            let transaction = split.next_transaction(ctx.limits.ops());
+            let transaction = split.next_transaction(ctx.limits.max_writes());
             requests::send(ctx, KvRequest::Transaction(transaction), ApiRequest::WriteSplitSubmission(split));
         }
     }
@@ -151,7 +151,7 @@
                 self.delay_writes(ctx);
                 self.split_submissions.push(split);
             }
-            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
+            Err(RequestError::Rejected(_)) if ctx.limits.reduce_sizes() => {
                 let smaller = SplitSubmission::new(ctx, split.into_submission());
                 self.split_submissions.push(Box::new(smaller));
             }
@@ -178,7 +178,7 @@
                 self.delay_writes(ctx);
                 self.acceptances.retry_in_smaller_batches(batch);
             }
-            Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
+            Err(RequestError::Rejected(_)) if ctx.limits.reduce_sizes() => {
                 self.acceptances.retry_in_smaller_batches(batch);
             }
             // The outcome is unknown. When the user repeats the submission, it finds the record if the
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use crate::api::acceptance::PendingSubmission;
 use crate::io::{Answer, Effect, KvReply, KvRequest, RequestError, Timestamp};
-use crate::settings::{Limits, TeamQuota, Tuning};
+use crate::settings::{StoreQuota, TeamQuota, Tuning};
 use serde_json::{Value, json};
 use shaleshunt_wire::cloud::{Catalog, MachineType};
 use shaleshunt_wire::kv::KeyValue;
@@ -90,7 +90,7 @@
             cancel_s: 20.0,
             kv_rps: 100.0,
             mem_mb: 100.0,
-            state: Limits { value_kb: 64.0, txn_ops: 100, write_rps: 100.0 },
+            store_quota: StoreQuota { value_kb: 64.0, txn_ops: 100, write_rps: 100.0 },
             ..Settings::default()
         };
         let now = Timestamp { monotonic_ms: 10_000, wall_ms: 1_700_000_000_000 };
@@ -141,7 +141,7 @@
 fn statuses(answers: &[(u64, Answer)]) -> Vec<(u64, u16, Option<JobStatus>)> {
     let status = |answer: &Answer| match answer {
         Answer::Job(code, view) => (*code, Some(view.status)),
-        Answer::Problem { status, .. } => (*status, None),
+        Answer::Error { status, .. } => (*status, None),
         other => panic!("{other:?}"),
     };
     answers.iter().map(|(id, answer)| (*id, status(answer).0, status(answer).1)).collect()
--- a/crates/core/src/capacity.rs
+++ b/crates/core/src/capacity.rs
@@ -20,26 +20,26 @@
 
 /// A setting that grants less than a fleet needs.
 #[derive(Debug, Clone, PartialEq)]
-pub struct TooSmall {
+pub struct InsufficientSetting {
     /// The setting's path in the settings file.
-    pub field: &'static str,
+    pub setting: &'static str,
     /// What it grants, in the setting's unit.
     pub value: f64,
     /// The least value that is enough.
-    pub least: f64,
+    pub required: f64,
     /// The number of machines that it is compared for.
     pub machines: u32,
 }
 
-impl fmt::Display for TooSmall {
+impl fmt::Display for InsufficientSetting {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let TooSmall { field, value, least, machines } = self;
-        write!(f, "{field}: {value} is little for {machines} machines, which need {least:.3} at least")
+        let InsufficientSetting { setting, value, required, machines } = self;
+        write!(f, "{setting}: {value} is little for {machines} machines, which need {required:.3} at least")
     }
 }
 
 /// Which settings grant less than so many machines need.
-pub fn too_small(settings: &Settings, machines: u32) -> Vec<TooSmall> {
+pub fn insufficient_settings(settings: &Settings, machines: u32) -> Vec<InsufficientSetting> {
     let fleet = f64::from(machines);
     let heartbeats_per_s = fleet / settings.heartbeat_interval_s;
     let requirements = [
@@ -47,13 +47,13 @@
         ("params.resources.mem_mb", settings.mem_mb, BASE_MIB + fleet * MIB_PER_MACHINE),
         ("params.resources.fd_limit", settings.sockets as f64, BASE_SOCKETS + fleet * SOCKETS_PER_MACHINE),
     ];
-    let small = requirements.into_iter().filter(|(_, value, least)| value < least);
-    small.map(|(field, value, least)| TooSmall { field, value, least, machines }).collect()
+    let small = requirements.into_iter().filter(|(_, value, required)| value < required);
+    small.map(|(setting, value, required)| InsufficientSetting { setting, value, required, machines }).collect()
 }
 
 /// The most machines that the teams' limits allow, of the smallest type in the catalog; `None` if a team has no
 /// limit or no type is known.
-pub fn most_machines(settings: &Settings, catalog: &Catalog) -> Option<u32> {
+pub fn max_machines(settings: &Settings, catalog: &Catalog) -> Option<u32> {
     let smallest = catalog
         .machine_types
         .iter()
--- a/crates/core/src/controller/context.rs
+++ b/crates/core/src/controller/context.rs
@@ -186,8 +186,8 @@
     /// those, and the leader's rate stays.
     pub fn write_refused(&mut self) {
         let interval = self.settings.heartbeat_interval_ms();
-        if !self.submissions_waiting() && self.limits.refused(self.now.monotonic_ms, interval) {
-            self.emit(Event::WriteRateReduced { writes_per_s: self.limits.rate() });
+        if !self.submissions_waiting() && self.limits.record_throttling(self.now.monotonic_ms, interval) {
+            self.emit(Event::WriteRateReduced { writes_per_s: self.limits.write_rate() });
         }
     }
 
--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -265,8 +265,8 @@
     }
 
     fn watch(&self, ctx: &mut Context) {
-        let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCH_FRACTION;
-        let watch = KvRequest::Watch { prefix: LEADERSHIP_PREFIX.into(), after: self.read_revision, hold_ms };
+        let max_wait_ms = ctx.settings.heartbeat_interval_ms() / WATCH_FRACTION;
+        let watch = KvRequest::Watch { prefix: LEADERSHIP_PREFIX.into(), after: self.read_revision, max_wait_ms };
         send(ctx, watch, ElectionRequest::WatchLeadership);
     }
 
--- a/crates/core/src/controller/election/tests.rs
+++ b/crates/core/src/controller/election/tests.rs
@@ -76,7 +76,7 @@
     let cancelled = BTreeSet::from(["job-1".to_string()]);
     assert_eq!(transition, ElectionTransition::CancellationsRead { sent_at: SENT_AT, cancelled });
     assert_eq!((election.epoch(), election.known_leader()), (Epoch(7), Some("b")));
-    let watch = KvRequest::Watch { prefix: "l/".into(), after: Revision(90), hold_ms: 1250 };
+    let watch = KvRequest::Watch { prefix: "l/".into(), after: Revision(90), max_wait_ms: 1250 };
     assert!(matches!(&requests[..], [(request, Some(ElectionRequest::WatchLeadership))] if *request == watch));
 }
 
--- a/crates/core/src/controller/kv_availability.rs
+++ b/crates/core/src/controller/kv_availability.rs
@@ -51,7 +51,10 @@
         | RequestError::LocalOverload
         | RequestError::OutcomeUnknown
         | RequestError::Unavailable => false,
-        RequestError::Throttled | RequestError::Rejected(_) | RequestError::TooLong | RequestError::Malformed => true,
+        RequestError::Throttled
+        | RequestError::Rejected(_)
+        | RequestError::ResponseTooLong
+        | RequestError::MalformedResponse => true,
     }
 }
 
--- a/crates/core/src/controller/kv_availability/tests.rs
+++ b/crates/core/src/controller/kv_availability/tests.rs
@@ -29,8 +29,8 @@
         (RequestError::Unavailable, true),
         (RequestError::Throttled, false),
         (RequestError::Rejected("what".into()), false),
-        (RequestError::TooLong, false),
-        (RequestError::Malformed, false),
+        (RequestError::ResponseTooLong, false),
+        (RequestError::MalformedResponse, false),
     ];
     for (error, unavailable) in cases {
         let mut kv = KvAvailability::new(1000);
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -44,8 +44,8 @@
 use crate::io::{Answer, Batch, Command, Effect, RequestId, Timestamp};
 use crate::leader::Leader;
 use crate::settings::{Settings, Tuning};
-use crate::step_down::StepDown;
-use crate::work_counters::Work;
+use crate::step_down::StepDownReason;
+use crate::work_counters::WorkCounts;
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
 use peers::Peers;
@@ -124,8 +124,8 @@
     }
 
     /// The work done so far.
-    pub fn work(&self) -> Work {
-        self.ctx.work.done()
+    pub fn work(&self) -> WorkCounts {
+        self.ctx.work.counts()
     }
 
     /// Whether this process leads and has completed its failover.
@@ -135,11 +135,8 @@
 
     fn handle_health_check(&mut self, id: RequestId) {
         let healthy = self.ctx.catalog.is_some() && !self.is_cut_off_alone();
-        let not_ready = Answer::Problem {
-            status: SERVICE_UNAVAILABLE,
-            error: "not ready",
-            retry_after: Some(HEALTH_CHECK_RETRY_S),
-        };
+        let not_ready =
+            Answer::Error { status: SERVICE_UNAVAILABLE, error: "not ready", retry_after: Some(HEALTH_CHECK_RETRY_S) };
         self.ctx.answer(id, if healthy { Answer::Healthy } else { not_ready });
     }
 
@@ -157,7 +154,7 @@
         // hold it here while its lease expires.
         let token_epoch = heartbeat.token.epoch();
         if self.leader.as_ref().is_some_and(|leader| token_epoch > leader.epoch) {
-            self.step_down(StepDown::NewerToken);
+            self.step_down(StepDownReason::NewerFencingToken);
         }
         match &mut self.leader {
             Some(leader) if leader.active => leader.heartbeat(&mut self.ctx, id, heartbeat),
@@ -205,10 +202,10 @@
         self.peers.expedite_heartbeat(self.ctx.now_ms());
     }
 
-    fn step_down(&mut self, reason: StepDown) {
+    fn step_down(&mut self, reason: StepDownReason) {
         let Some(leader) = self.leader.take() else { return };
         let reachability = match reason {
-            StepDown::Unheard => Reachability::Unreachable,
+            StepDownReason::NoHeartbeats => Reachability::Unreachable,
             _ => Reachability::Reachable,
         };
         self.ctx.emit(Event::LeaderSteppedDown { epoch: leader.epoch, reason });
@@ -222,7 +219,7 @@
             self.election.run_due(&mut self.ctx);
         }
         self.catalog_reader.run_due(&mut self.ctx);
-        self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
+        self.ctx.limits.recover_rate(now, self.ctx.settings.heartbeat_interval_ms());
         let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
         self.api.run_due(&mut self.ctx, &progress);
         let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.pending_submissions());
@@ -243,5 +240,5 @@
 }
 
 fn unavailable(error: &'static str) -> Answer {
-    Answer::Problem { status: SERVICE_UNAVAILABLE, error, retry_after: None }
+    Answer::Error { status: SERVICE_UNAVAILABLE, error, retry_after: None }
 }
--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -2,7 +2,7 @@
 //! tells the others.
 
 use super::Controller;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_peer::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 
@@ -32,7 +32,7 @@
         }
         if heartbeat.epoch > self.election.epoch() {
             if self.leader.as_ref().is_some_and(|leader| leader.epoch < heartbeat.epoch) {
-                self.step_down(StepDown::NewerLeader);
+                self.step_down(StepDownReason::NewerLeader);
             }
             self.election.follow(heartbeat.epoch, heartbeat.leader);
         }
--- a/crates/core/src/controller/zone_leases.rs
+++ b/crates/core/src/controller/zone_leases.rs
@@ -87,7 +87,7 @@
         let leader_silent = now.saturating_sub(self.leader.heard_at) > silence_ms;
         let leader_is_newest = self.leader.epoch > Epoch::NONE && self.leader.epoch == epoch;
         let token_is_current = heartbeat.token.epoch() == self.leader.epoch;
-        let in_own_zone = heartbeat.zone == settings.location;
+        let in_own_zone = heartbeat.zone == settings.zone;
         let sure_at = self.leader.surely_led_at.min(self.cancellations_known_at);
         let term_ms = settings.lease_renewal_window_ms().min((ctx.tuning.zone_lease_term_s * 1000.0) as u64);
         let within_term = sure_at > 0 && now < sure_at + term_ms;
--- a/crates/core/src/controller/zone_leases/tests.rs
+++ b/crates/core/src/controller/zone_leases/tests.rs
@@ -9,13 +9,8 @@
 const EPOCH: Epoch = Epoch(3);
 
 fn context(now: u64) -> Context {
-    let settings = Settings {
-        location: "z1".into(),
-        heartbeat_interval_s: 3.0,
-        lease_s: 9.0,
-        cancel_s: 20.0,
-        ..Settings::default()
-    };
+    let settings =
+        Settings { zone: "z1".into(), heartbeat_interval_s: 3.0, lease_s: 9.0, cancel_s: 20.0, ..Settings::default() };
     Context::new(settings, Tuning::default(), Timestamp { monotonic_ms: now, wall_ms: 0 }, 1)
 }
 
--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -7,12 +7,12 @@
 mod severity;
 mod value;
 
-pub use crate::step_down::{ForeignWrite, StepDown};
-pub use figures::LeaderFigures;
+pub use crate::step_down::{ForeignWrite, StepDownReason};
+pub use figures::LeaderStatus;
 pub use severity::Severity;
 pub use value::EventValue;
 
-use crate::capacity::TooSmall;
+use crate::capacity::InsufficientSetting;
 use crate::model::Id;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::ExitCause;
@@ -40,10 +40,10 @@
         /// The epoch that it led.
         epoch: Epoch,
         /// Why.
-        reason: StepDown,
+        reason: StepDownReason,
     },
     /// The leader's figures, once a reporting interval.
-    LeaderStatus(Box<LeaderFigures>),
+    LeaderStatus(Box<LeaderStatus>),
     /// The state service fails only this node: its requests are relayed through a peer.
     StateServiceRelayStarted {
         /// The peer.
@@ -166,7 +166,7 @@
         machines: usize,
     },
     /// A setting grants less than the cluster needs.
-    SettingTooSmall(TooSmall),
+    SettingTooSmall(InsufficientSetting),
     /// Scale out: the provider granted machines, perhaps fewer than requested.
     ScaleOutGranted {
         /// Name of the request; it makes a repeated request idempotent.
--- a/crates/core/src/event/fields.rs
+++ b/crates/core/src/event/fields.rs
@@ -1,7 +1,7 @@
 //! The fields of each event, by name.
 
-use super::{Event, EventValue, StepDown};
-use crate::capacity::TooSmall;
+use super::{Event, EventValue, StepDownReason};
+use crate::capacity::InsufficientSetting;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::ExitCause;
 
@@ -72,15 +72,15 @@
     vec![field("task", task), field("machine", machine), field("cause", format!("{cause:?}"))]
 }
 
-fn step_down_fields(epoch: Epoch, reason: &StepDown) -> Vec<Field<'_>> {
+fn step_down_fields(epoch: Epoch, reason: &StepDownReason) -> Vec<Field<'_>> {
     vec![field("epoch", epoch), field("reason", reason.name()), field("detail", reason.to_string())]
 }
 
-fn shortage_fields(shortage: &TooSmall) -> Vec<Field<'_>> {
+fn shortage_fields(shortage: &InsufficientSetting) -> Vec<Field<'_>> {
     vec![
-        field("setting", shortage.field),
+        field("setting", shortage.setting),
         field("value", shortage.value),
-        field("least", shortage.least),
+        field("least", shortage.required),
         field("machines", shortage.machines),
     ]
 }
--- a/crates/core/src/event/figures.rs
+++ b/crates/core/src/event/figures.rs
@@ -4,7 +4,7 @@
 
 /// Figures of a leader: how much there is to do, and what holds it up.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct LeaderFigures {
+pub struct LeaderStatus {
     /// Unfinished jobs.
     pub jobs: usize,
     /// Tasks that wait for a place.
@@ -37,7 +37,7 @@
     pub transaction_in_flight: bool,
 }
 
-impl LeaderFigures {
+impl LeaderStatus {
     /// The figures, by name.
     pub(super) fn fields(&self) -> Vec<(&'static str, EventValue<'static>)> {
         vec![
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -49,8 +49,9 @@
     let (job, machine) = (id("wk-000412"), id("m-17"));
     let (zone, request) = ("zhubei".to_string(), "h-7-1".to_string());
     let foreign = ForeignWrite { key: "f/wk-1".into(), expected: Revision(0), found: Some(Revision(7)) };
-    let small = TooSmall { field: "params.resources.core_share", value: 0.5, least: 0.64, machines: 4000 };
-    let figures = LeaderFigures {
+    let small =
+        InsufficientSetting { setting: "params.resources.core_share", value: 0.5, required: 0.64, machines: 4000 };
+    let figures = LeaderStatus {
         jobs: 1,
         tasks_waiting: 2,
         machines_usable: 3,
@@ -75,7 +76,7 @@
             "event=leader_state_loaded epoch=7 jobs=408 machines=85",
         ),
         (
-            Event::LeaderSteppedDown { epoch: Epoch(7), reason: StepDown::ForeignWrite(foreign) },
+            Event::LeaderSteppedDown { epoch: Epoch(7), reason: StepDownReason::ForeignWrite(foreign) },
             Info,
             "event=leader_stepped_down epoch=7 reason=foreign_write detail=\"somebody else writes the leader's keys: \
              f/wk-1 expected at version 0, found at 7\"",
@@ -241,15 +242,15 @@
 fn each_reason_to_step_down_has_a_name_of_its_own() {
     let foreign = ForeignWrite { key: "f/wk-1".into(), expected: Revision(0), found: None };
     let reasons = [
-        (StepDown::NewerEpoch, "newer_epoch"),
-        (StepDown::NewerLeader, "newer_leader"),
-        (StepDown::NewerToken, "newer_fencing_token"),
-        (StepDown::LeaseEnded, "lease_expired"),
-        (StepDown::ChangesMissed, "changes_missed"),
-        (StepDown::Unreadable, "records_unreadable"),
-        (StepDown::TransactionRejected, "transaction_rejected"),
-        (StepDown::ForeignWrite(foreign), "foreign_write"),
-        (StepDown::Unheard, "no_heartbeats"),
+        (StepDownReason::NewerEpoch, "newer_epoch"),
+        (StepDownReason::NewerLeader, "newer_leader"),
+        (StepDownReason::NewerFencingToken, "newer_fencing_token"),
+        (StepDownReason::LeaseExpired, "lease_expired"),
+        (StepDownReason::ChangesMissed, "changes_missed"),
+        (StepDownReason::RecordsUnreadable, "records_unreadable"),
+        (StepDownReason::TransactionRejected, "transaction_rejected"),
+        (StepDownReason::ForeignWrite(foreign), "foreign_write"),
+        (StepDownReason::NoHeartbeats, "no_heartbeats"),
     ];
     for (reason, name) in reasons {
         assert_eq!(reason.name(), name);
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -57,7 +57,8 @@
         /// Only changes after this revision.
         after: Revision,
         /// Longest wait for a change, in milliseconds.
-        hold_ms: u64,
+        #[serde(rename = "hold_ms")]
+        max_wait_ms: u64,
     },
 }
 
@@ -107,10 +108,10 @@
     Rejected(String),
     /// The reply is longer than the limit.
     #[error("answer too long")]
-    TooLong,
+    ResponseTooLong,
     /// The reply cannot be decoded.
     #[error("senseless answer")]
-    Malformed,
+    MalformedResponse,
 }
 
 /// A request to the cloud.
@@ -189,7 +190,7 @@
     /// A job's state, with HTTP status 200 or 201.
     Job(u16, shaleshunt_wire::user::JobView),
     /// An error response.
-    Problem {
+    Error {
         /// HTTP status.
         status: u16,
         /// The error's text.
--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -79,10 +79,10 @@
     let mut wait_s = tuning.scale_out_wait_s;
     let Some(objective) = view.scheduling.settings.objectives.get(&job.spec.class) else { return wait_s };
     // A machine must be up well within what the objective leaves.
-    if let Some(start_s) = objective.start() {
+    if let Some(start_s) = objective.shortest_start_s() {
         wait_s = wait_s.min(start_s * tuning.objective_share - boot_s);
     }
-    if let Some(finish_s) = objective.finish() {
+    if let Some(finish_s) = objective.shortest_finish_s() {
         let start_by_s = finish_s - view.scheduling.estimates.run_s(job);
         wait_s = wait_s.min(start_by_s * tuning.objective_share - boot_s);
     }
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -137,7 +137,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
-        self.store.record_owned_machines(&owned, ctx.limits.value_bytes());
+        self.store.record_owned_machines(&owned, ctx.limits.max_value_bytes());
         self.autoscaler.owned.determine(owned);
     }
 
@@ -183,8 +183,8 @@
         if std::mem::replace(&mut self.autoscaler.capacity_checked, true) {
             return;
         }
-        let most = capacity::most_machines(&ctx.settings, catalog).unwrap_or(0);
-        for warning in capacity::too_small(&ctx.settings, most.max(owned as u32)) {
+        let most = capacity::max_machines(&ctx.settings, catalog).unwrap_or(0);
+        for warning in capacity::insufficient_settings(&ctx.settings, most.max(owned as u32)) {
             ctx.emit(Event::SettingTooSmall(warning));
         }
     }
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -33,8 +33,8 @@
 /// the cheapest offers are rented.
 pub(super) fn plan_scale_out(view: &ScaleOutView) -> ScaleOutPlan {
     let demand = demand(view);
-    view.scheduling.work.round();
-    view.scheduling.work.spaces_examined(view.scheduling.machines.len());
+    view.scheduling.work.count_autoscaler_run();
+    view.scheduling.work.count_autoscaler_machines_examined(view.scheduling.machines.len());
     let mut planner = Planner::new(view, &demand);
     for job in demand {
         planner.cover(job);
@@ -99,7 +99,7 @@
             self.first_usable += 1;
         }
         for spare in &mut self.spare[self.first_usable..] {
-            self.view.scheduling.work.spaces_examined(1);
+            self.view.scheduling.work.count_autoscaler_machines_examined(1);
             if left == 0 {
                 break;
             }
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -11,7 +11,7 @@
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::{Id, PlacementState};
 use crate::records::FinalRecord;
-use crate::step_down::{ForeignWrite, StepDown};
+use crate::step_down::{ForeignWrite, StepDownReason};
 use shaleshunt_wire::Revision;
 
 fn store_context(ctx: &Context, epoch_version: Revision) -> StoreContext<'_> {
@@ -61,7 +61,7 @@
     ) {
         if *step == CommitStep::Send {
             match &result {
-                Ok(KvReply::Committed(_)) => ctx.limits.carried_out(),
+                Ok(KvReply::Committed(_)) => ctx.limits.record_commit(),
                 Err(RequestError::Throttled) => ctx.write_refused(),
                 _ => {}
             }
@@ -78,19 +78,19 @@
             CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
             CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
             CommitOutcome::TooLarge(reason) => self.handle_too_large(ctx, reason),
-            CommitOutcome::EpochOver => self.down = Some(StepDown::NewerEpoch),
+            CommitOutcome::EpochOver => self.down = Some(StepDownReason::NewerEpoch),
         }
     }
 
     /// The limits have fallen, so they are taken to be lower; the leader steps down if they can't be.
     fn handle_too_large(&mut self, ctx: &mut Context, reason: String) {
         ctx.emit(Event::TransactionRejected { reason });
-        if ctx.limits.too_large() {
+        if ctx.limits.reduce_sizes() {
             let outcome = self.store.limits_lowered();
             self.handle_commit_outcome(ctx, outcome);
         } else {
             self.store.discard_in_flight();
-            self.down = Some(StepDown::TransactionRejected);
+            self.down = Some(StepDownReason::TransactionRejected);
         }
     }
 
@@ -108,7 +108,7 @@
             Ok(KvReply::Missing) => Some(Revision::ABSENT),
             _ => None,
         };
-        self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
+        self.down = Some(StepDownReason::ForeignWrite(ForeignWrite { found, ..write }));
     }
 
     /// A transaction was carried out.
@@ -224,7 +224,7 @@
     /// Puts a machine into a block of its zone.
     pub(crate) fn join_block(&mut self, ctx: &Context, id: &Id) {
         if let Some(machine) = self.fleet.machines.get_mut(id) {
-            self.store.join_block(machine, ctx.limits.block_machines());
+            self.store.join_block(machine, ctx.limits.machines_per_block());
         }
     }
 }
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::leader::fleet::interruption::stop_before_interruption;
 use crate::leader::fleet::reconciliation::{Evidence, reconcile};
 use crate::model::{HeartbeatOrder, Id, Machine};
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
 use shaleshunt_wire::{FencingToken, Resources};
 
@@ -44,7 +44,7 @@
         // A cancellation missed for too long could not be carried out in time if leases were renewed.
         if !self.may_renew_leases(ctx) {
             let error = "no news from the state service";
-            ctx.answer(id, Answer::Problem { status: 503, error, retry_after: None });
+            ctx.answer(id, Answer::Error { status: 503, error, retry_after: None });
             return;
         }
         let machine: Id = heartbeat.machine.as_str().into();
@@ -171,7 +171,7 @@
             self.scheduler.request_pass();
         }
         if seen.epoch() > self.epoch {
-            self.down = Some(StepDown::NewerToken);
+            self.down = Some(StepDownReason::NewerFencingToken);
         }
         true
     }
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -80,7 +80,7 @@
         if m.placements.len() < LEAST_OVERRUNS {
             return;
         }
-        ctx.work.speed_examined();
+        ctx.work.count_overrun_check();
         let running = m.placements.iter().filter_map(|placement| self.running_task(placement, now));
         if !is_slow(running, ctx.settings.heartbeat_interval_s * 100.0) {
             return;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -25,7 +25,7 @@
 pub(crate) mod watch;
 
 use crate::controller::{Context, PendingRequest};
-use crate::event::{Event, LeaderFigures};
+use crate::event::{Event, LeaderStatus};
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::autoscaler::Autoscaler;
 use crate::leader::fleet::Fleet;
@@ -34,7 +34,7 @@
 use crate::leader::store::{CommitStep, SplitJobRead, Store};
 use crate::leader::watch::JobWatch;
 use crate::model::{Id, Job};
-use crate::step_down::{ForeignWrite, StepDown};
+use crate::step_down::{ForeignWrite, StepDownReason};
 use shaleshunt_peer::{JobProgress, MAX_FRAME_BYTES};
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
@@ -92,7 +92,7 @@
     /// Everything has been read.
     pub(crate) active: bool,
     /// Why leadership is over.
-    pub(crate) down: Option<StepDown>,
+    pub(crate) down: Option<StepDownReason>,
     pub(crate) elected_at: u64,
     renew_at: u64,
     is_renewal_in_flight: bool,
@@ -126,7 +126,7 @@
             last_placement_id: 0,
             jobs: BTreeMap::new(),
             next_status_at: now,
-            store: Store::new(now, ctx.limits.rate() * ctx.tuning.write_share),
+            store: Store::new(now, ctx.limits.write_rate() * ctx.tuning.write_share),
             scheduler: Scheduler::new(now),
             fleet: Fleet::new(now),
             autoscaler: Autoscaler::new(now),
@@ -172,7 +172,7 @@
     fn handle_lease_renewal(&mut self, ctx: &Context, result: Result<KvReply, RequestError>) {
         self.is_renewal_in_flight = false;
         match result {
-            Ok(KvReply::Missing) => self.down = Some(StepDown::LeaseEnded),
+            Ok(KvReply::Missing) => self.down = Some(StepDownReason::LeaseExpired),
             Ok(_) => {}
             Err(_) => {
                 self.renew_at =
@@ -245,7 +245,7 @@
         let machines = self.fleet.machines.values();
         let used = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
         let store = self.store.take_figures();
-        ctx.emit(Event::LeaderStatus(Box::new(LeaderFigures {
+        ctx.emit(Event::LeaderStatus(Box::new(LeaderStatus {
             jobs: self.jobs.len(),
             tasks_waiting: waiting,
             machines_usable: used,
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -12,7 +12,7 @@
 use crate::leader::store::SplitJobRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::kv::{KeyValue, Page};
 
@@ -139,7 +139,7 @@
     ) {
         match result {
             Ok(KvReply::Page(page)) => self.handle_scan_page(ctx, position.kind, page),
-            Ok(_) => self.down = Some(StepDown::Unreadable),
+            Ok(_) => self.down = Some(StepDownReason::RecordsUnreadable),
             Err(_) => {
                 self.recovery.scans_in_flight -= 1;
                 let at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -36,7 +36,7 @@
     }
 
     fn read_v0_1_outcomes(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
-        let tasks = (ctx.settings.state.value_kb * TASKS_PER_KIB) as u32;
+        let tasks = (ctx.settings.store_quota.value_kb * TASKS_PER_KIB) as u32;
         let tasks_per_chunk = (tasks / CHUNK_UNIT * CHUNK_UNIT).max(CHUNK_UNIT);
         let mut parts = pair.key[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
         let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -91,7 +91,7 @@
             candidates.push(filter.rate(machine));
         }
     }
-    view.work.examined(examined);
+    view.work.count_machines_examined(examined);
     candidates
 }
 
--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -97,7 +97,7 @@
 
 /// A class's owned slots: its tasks on owned machines and how many more fit there.
 fn owned_slots(view: &SchedulingView, class: &str, need: &Resources) -> i64 {
-    view.work.examined(view.machines.count_with_cores(need.cores));
+    view.work.count_machines_examined(view.machines.count_with_cores(need.cores));
     let free: i64 = view
         .machines
         .with_cores(need.cores)
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -124,7 +124,7 @@
 
 /// A class's slots: its tasks on machines and how many more fit on all that its jobs may use.
 fn class_slots(view: &SchedulingView, class: &str, job: &Job) -> i64 {
-    view.work.examined(view.machines.count_with_cores(job.need.cores));
+    view.work.count_machines_examined(view.machines.count_with_cores(job.need.cores));
     let free: i64 = view
         .machines
         .with_cores(job.need.cores)
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -86,11 +86,11 @@
     /// How many candidates a job may choose from: any number until the pass has examined as many machines
     /// as it may, then a sample, so that a pass ends in time however large fleet and queue are.
     fn max_candidates(&self, view: &SchedulingView, tasks: u32) -> Option<usize> {
-        let examined = view.work.done().machines_examined - self.examined_at_start;
-        if (examined as f64) < view.tuning.pass_machines {
+        let examined = view.work.counts().machines_examined - self.examined_at_start;
+        if (examined as f64) < view.tuning.machines_per_pass {
             return None;
         }
-        Some((view.tuning.sample as usize).max(tasks as usize))
+        Some((view.tuning.machine_sample_size as usize).max(tasks as usize))
     }
 }
 
@@ -154,9 +154,9 @@
 
     /// One pass over the queue: places what can be placed.
     pub(crate) fn schedule(&mut self, ctx: &mut Context) {
-        ctx.work.pass();
+        ctx.work.count_scheduling_pass();
         let mut pass = Pass {
-            examined_at_start: ctx.work.done().machines_examined,
+            examined_at_start: ctx.work.counts().machines_examined,
             unplaceable: Vec::new(),
             preemption_searches_left: PREEMPTION_SEARCHES,
         };
--- a/crates/core/src/leader/scheduler/pass/tests.rs
+++ b/crates/core/src/leader/scheduler/pass/tests.rs
@@ -42,10 +42,10 @@
 #[test]
 fn a_pass_that_examined_many_machines_goes_on_with_samples() {
     let mut fixture = Fixture::new();
-    (fixture.tuning.pass_machines, fixture.tuning.sample) = (100.0, 64.0);
+    (fixture.tuning.machines_per_pass, fixture.tuning.machine_sample_size) = (100.0, 64.0);
     let pass = Pass { examined_at_start: 0, unplaceable: Vec::new(), preemption_searches_left: 1 };
     assert_eq!(pass.max_candidates(&fixture.view(), 5), None);
-    fixture.work.examined(100);
+    fixture.work.count_machines_examined(100);
     assert_eq!(pass.max_candidates(&fixture.view(), 5), Some(64));
     assert_eq!(pass.max_candidates(&fixture.view(), 500), Some(500));
 }
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -59,7 +59,7 @@
     let behind_start = sample_start.map_or(Bound::Unbounded, Bound::Excluded);
     let machines = view.machines.range::<Id, _>((behind_start, Bound::Unbounded)).chain(view.machines.iter());
     for (id, machine) in machines.take(view.machines.len()) {
-        if sampled >= view.tuning.sample as u32 {
+        if sampled >= view.tuning.machine_sample_size as u32 {
             break;
         }
         last_examined = Some(id.clone());
@@ -185,7 +185,7 @@
 
 fn exceeds_guarantee(view: &SchedulingView, team: &str) -> bool {
     let used = view.scheduler.usage.of_team(team);
-    view.settings.teams.get(team).is_some_and(|quota| !quota.guarantees(&used))
+    view.settings.teams.get(team).is_some_and(|quota| !quota.within_guarantee(&used))
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/scheduler/preemption/tests.rs
+++ b/crates/core/src/leader/scheduler/preemption/tests.rs
@@ -146,7 +146,7 @@
 #[test]
 fn each_search_examines_another_sample() {
     let mut fixture = Fixture::new();
-    fixture.tuning.sample = 2.0;
+    fixture.tuning.machine_sample_size = 2.0;
     let victim = fixture.add_job("victim", |j| j.need = Resources::new(16.0, 0.0, 1.0));
     for number in 0..3 {
         let machine = fixture.add_machine(&format!("machine-{number}"), |_| {});
--- a/crates/core/src/leader/scheduler/queue.rs
+++ b/crates/core/src/leader/scheduler/queue.rs
@@ -125,7 +125,7 @@
         let Some(quota) = view.settings.teams.get(&job.spec.team) else { continue };
         let needed = team_needs.entry(&job.spec.team).or_default();
         needed.add(&job.need, i64::from(job.spec.tasks));
-        if quota.guarantees(needed) {
+        if quota.within_guarantee(needed) {
             guaranteed.insert(job.id.clone());
         }
     }
@@ -141,7 +141,7 @@
     }
     let machines = view.machines.values().filter(|machine| !machine.spot && machine.answers(now, view.settings));
     let cores = machines.map(|machine| machine.capacity.total.cores).sum();
-    view.work.examined(view.machines.len());
+    view.work.count_machines_examined(view.machines.len());
     OnDemandCores { recount_at: now + interval_ms, cores }
 }
 
--- a/crates/core/src/leader/scheduler/view.rs
+++ b/crates/core/src/leader/scheduler/view.rs
@@ -39,7 +39,7 @@
     /// Whether the objective of the job's class is to start sooner than its image can be fetched.
     pub(crate) fn must_start_before_fetch(&self, job: &Job) -> bool {
         let objective = self.settings.objectives.get(&job.spec.class);
-        let start_s = objective.and_then(|objective| objective.start());
+        let start_s = objective.and_then(|objective| objective.shortest_start_s());
         start_s.is_some_and(|start_s| start_s < self.estimates.image_fetch_s(job))
     }
 }
--- a/crates/core/src/leader/silent_machines.rs
+++ b/crates/core/src/leader/silent_machines.rs
@@ -7,7 +7,7 @@
 use crate::leader::fleet::lease_expiry::LeaseClock;
 use crate::leader::fleet::partitions::{PartitionCheck, PartitionFinding};
 use crate::model::CallPurpose;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use std::collections::BTreeSet;
 
 impl Leader {
@@ -21,7 +21,7 @@
         match check.run(&self.fleet) {
             // Without peers there is nobody who could lead instead.
             PartitionFinding::LeaderUnheard if !ctx.peer_lease_reports.is_empty() => {
-                self.down = Some(StepDown::Unheard);
+                self.down = Some(StepDownReason::NoHeartbeats);
             }
             PartitionFinding::LeaderUnheard | PartitionFinding::AllQuiet => {}
             PartitionFinding::Zones(zones) => self.set_partitioned_zones(ctx, zones),
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -35,7 +35,7 @@
         self.collect_placements(ctx, sources.jobs, changes);
         self.collect_job_ends(ctx, sources.jobs, changes, max_writes);
         changes.owned_list = self.owned_list.collect(&mut changes.builder);
-        changes.catalog = self.catalog.collect(ctx.catalog, ctx.limits.value_bytes(), &mut changes.builder);
+        changes.catalog = self.catalog.collect(ctx.catalog, ctx.limits.max_value_bytes(), &mut changes.builder);
         self.collect_outcomes(ctx, sources.jobs, changes);
         self.pages.collect_drafts(&mut changes.builder, &mut changes.pages);
         // The rest takes what others leave.
@@ -53,8 +53,8 @@
         }
         let max_writes = changes.builder.limits().writes;
         let limits = BlockLimits {
-            machines: ctx.limits.block_machines(),
-            value_bytes: ctx.limits.value_bytes(),
+            machines: ctx.limits.machines_per_block(),
+            value_bytes: ctx.limits.max_value_bytes(),
             writes: if self.queue.has_urgent_work() { max_writes.div_ceil(BLOCK_PART) } else { max_writes },
         };
         let mut members = BlockMembers { machines: sources.machines, images: sources.images };
@@ -124,7 +124,7 @@
     /// Puts facts of a job into the transaction; false if not all fit.
     fn collect_facts(&self, ctx: &StoreContext, jobs: &BTreeMap<Id, Job>, changes: &mut Changes, id: &Id) -> bool {
         let Some(job) = jobs.get(id) else { return true };
-        self.pages.collect_facts(&mut changes.builder, &mut changes.pages, job, ctx.limits.page_bytes())
+        self.pages.collect_facts(&mut changes.builder, &mut changes.pages, job, ctx.limits.max_page_bytes())
     }
 
     /// Whether half of the budget stays free for what is urgent.
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -208,7 +208,7 @@
             (false, true) => WriteDemand::LeaderOnly,
             (false, false) => WriteDemand::Idle,
         };
-        ctx.limits.rate() * leader_share(demand, ctx.tuning.write_share)
+        ctx.limits.write_rate() * leader_share(demand, ctx.tuning.write_share)
     }
 
     fn begin_transaction(
@@ -217,11 +217,11 @@
         sources: &mut RecordSources,
         rate: f64,
     ) -> Option<CommitRequest> {
-        let writes = ctx.limits.ops().min(self.budget.whole_writes());
+        let writes = ctx.limits.max_writes().min(self.budget.whole_writes());
         if writes == 0 {
             return None;
         }
-        let mut changes = Changes::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
+        let mut changes = Changes::new(TransactionLimits { writes, conditions: ctx.limits.max_preconditions() });
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
@@ -371,8 +371,8 @@
 
 /// Time from one transaction to the next.
 fn commit_gap_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
-    let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
-    let has_small_pages = ctx.limits.page_bytes() < ctx.settings.state.value_bytes() / 2;
+    let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.transaction_request_share).max(1.0);
+    let has_small_pages = ctx.limits.max_page_bytes() < ctx.settings.store_quota.max_value_bytes() / 2;
     let scarce_gap = gap * if has_small_pages { SCARCE_GAP_SMALL_PAGES } else { SCARCE_GAP };
     if is_budget_scarce { scarce_gap as u64 } else { gap as u64 }
 }
--- a/crates/core/src/leader/store/commit/tests.rs
+++ b/crates/core/src/leader/store/commit/tests.rs
@@ -29,8 +29,8 @@
         (Unanswered, rejected(), too_large()),
         (UnansweredThenRejected, rejected(), AfterReply::SettleLater),
         (Answered, Err(RequestError::OutcomeUnknown), AfterReply::SettleLater),
-        (Answered, Err(RequestError::TooLong), AfterReply::SettleLater),
-        (Answered, Err(RequestError::Malformed), AfterReply::SettleLater),
+        (Answered, Err(RequestError::ResponseTooLong), AfterReply::SettleLater),
+        (Answered, Err(RequestError::MalformedResponse), AfterReply::SettleLater),
         (Answered, Ok(KvReply::Done), AfterReply::SettleLater),
     ];
     for (copies, result, expected) in cases {
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -11,7 +11,7 @@
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::{Id, Job};
 use crate::records::{JobRecord, StoredJob, keys};
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use serde_json::Value;
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::{Change, WatchReply};
@@ -78,9 +78,9 @@
     pub(crate) fn watch_jobs(&mut self, ctx: &mut Context) {
         self.watch.retry_at = None;
         let after = self.watch.revision.unwrap_or(Revision::ABSENT);
-        let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
+        let max_wait_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
         let wait = self.wait(LeaderRequest::Watch);
-        ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
+        ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, max_wait_ms }, wait);
     }
 
     /// A watch that was sent at a time was answered, or not.
@@ -91,7 +91,7 @@
                 self.apply_changes(ctx, news);
                 self.watch_jobs(ctx);
             }
-            Ok(KvReply::Compacted) => self.down = Some(StepDown::ChangesMissed),
+            Ok(KvReply::Compacted) => self.down = Some(StepDownReason::ChangesMissed),
             _ => {
                 let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
                 self.watch.retry_at = Some(ctx.now.monotonic_ms + pause_ms);
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -27,7 +27,7 @@
 
 impl TeamQuota {
     /// Whether `used` is within the limit.
-    pub fn allows(&self, used: &Resources) -> bool {
+    pub fn within_limit(&self, used: &Resources) -> bool {
         let within = |limit: i64, used: i64| limit == 0 || used <= limit;
         within(self.limit.cores, used.cores) && within(self.limit.accelerators, used.accelerators)
     }
@@ -40,7 +40,7 @@
     }
 
     /// Whether `used` is within the guarantee.
-    pub fn guarantees(&self, used: &Resources) -> bool {
+    pub fn within_guarantee(&self, used: &Resources) -> bool {
         used.cores <= self.guarantee.cores && used.accelerators <= self.guarantee.accelerators
     }
 }
@@ -66,12 +66,12 @@
 
 impl ServiceObjective {
     /// The shortest of the times within which tasks start, in seconds; `None` without such an objective.
-    pub fn start(&self) -> Option<f64> {
+    pub fn shortest_start_s(&self) -> Option<f64> {
         self.start_s.iter().copied().reduce(f64::min)
     }
 
     /// The shortest of the times within which jobs complete, in seconds; `None` without such an objective.
-    pub fn finish(&self) -> Option<f64> {
+    pub fn shortest_finish_s(&self) -> Option<f64> {
         self.finish_s.iter().copied().reduce(f64::min)
     }
 }
@@ -82,7 +82,7 @@
 
 /// Limits of the key-value store.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Limits {
+pub struct StoreQuota {
     /// Largest value, in KiB.
     pub value_kb: f64,
     /// Most writes in a transaction.
@@ -91,9 +91,9 @@
     pub write_rps: f64,
 }
 
-impl Limits {
+impl StoreQuota {
     /// Largest value in bytes, less a margin for what the store adds.
-    pub fn value_bytes(&self) -> usize {
+    pub fn max_value_bytes(&self) -> usize {
         (self.value_kb * BYTES_PER_KIB * VALUE_FILL) as usize
     }
 }
@@ -104,7 +104,7 @@
     /// Name of this node.
     pub node_name: String,
     /// Zone of this node.
-    pub location: String,
+    pub zone: String,
     /// Names and zones of the other nodes.
     pub peers: Vec<(String, String)>,
     /// All zones.
@@ -122,9 +122,9 @@
     /// Key-value store: most requests in a second.
     pub kv_rps: f64,
     /// Key-value store: its present limits.
-    pub state: Limits,
+    pub store_quota: StoreQuota,
     /// Key-value store: limits that come into force at a time that is not announced.
-    pub state_next: Option<Limits>,
+    pub next_store_quota: Option<StoreQuota>,
     /// Cloud: most requests in a second.
     pub cloud_rps: f64,
     /// Cloud: how far its list of machines lags behind, in seconds.
--- a/crates/core/src/settings/tuning.rs
+++ b/crates/core/src/settings/tuning.rs
@@ -151,9 +151,9 @@
     /// three quarters one task of it goes before everything. In seconds.
     start_within_s = "queue.start-within-s": 240.0, 1.0, 86400.0;
     /// Machines examined, as a sample, when less urgent tasks are to be preempted.
-    sample = "queue.machine-sample": 64.0, 1.0, 100000.0;
+    machine_sample_size = "queue.machine-sample": 64.0, 1.0, 100000.0;
     /// Machines examined for free capacity in one pass over the queue before each further job gets a sample only.
-    pass_machines = "queue.machines-per-pass": 40000.0, 1.0, 10000000.0;
+    machines_per_pass = "queue.machines-per-pass": 40000.0, 1.0, 10000000.0;
     /// Passes over the queue in a heartbeat interval, at most.
     passes_per_heartbeat = "queue.passes-per-heartbeat": 80.0, 1.0, 1000.0;
     /// Longest time for which a controller renews leases of its zone's machines without the leader. In seconds.
@@ -163,7 +163,7 @@
     /// Share of the key-value store's write rate that the leader uses.
     write_share = "store.write-share": 0.7, 0.1, 1.0;
     /// Share of the key-value store's request rate that the leader's transactions use.
-    request_share = "store.request-share": 0.2, 0.01, 1.0;
+    transaction_request_share = "store.request-share": 0.2, 0.01, 1.0;
     /// A rented machine that is silent for this many heartbeat intervals is returned.
     missed_heartbeats = "machine.missed-heartbeats": 3.0, 2.0, 100.0;
     /// A machine in quarantine is tried again after this time, doubled each time. In seconds.
--- a/crates/core/src/step_down.rs
+++ b/crates/core/src/step_down.rs
@@ -16,56 +16,56 @@
 
 /// The reason for which a leader steps down.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum StepDown {
+pub enum StepDownReason {
     /// The epoch key has changed.
     NewerEpoch,
     /// A peer leads a newer epoch.
     NewerLeader,
     /// An agent has seen a fencing token of a newer epoch.
-    NewerToken,
+    NewerFencingToken,
     /// The leader's lease at the key-value store has expired.
-    LeaseEnded,
+    LeaseExpired,
     /// The key-value store no longer keeps all changes since the last answered watch.
     ChangesMissed,
     /// The records could not be read during the failover.
-    Unreadable,
+    RecordsUnreadable,
     /// The key-value store rejects a transaction that cannot be made smaller.
     TransactionRejected,
     /// Keys that only the leader writes were written by somebody else.
     ForeignWrite(ForeignWrite),
     /// No machine sends heartbeats to this leader.
-    Unheard,
+    NoHeartbeats,
 }
 
-impl StepDown {
+impl StepDownReason {
     /// A short name for searches and counts, which stays the same between versions.
     pub fn name(&self) -> &'static str {
         match self {
-            StepDown::NewerEpoch => "newer_epoch",
-            StepDown::NewerLeader => "newer_leader",
-            StepDown::NewerToken => "newer_fencing_token",
-            StepDown::LeaseEnded => "lease_expired",
-            StepDown::ChangesMissed => "changes_missed",
-            StepDown::Unreadable => "records_unreadable",
-            StepDown::TransactionRejected => "transaction_rejected",
-            StepDown::ForeignWrite(_) => "foreign_write",
-            StepDown::Unheard => "no_heartbeats",
+            StepDownReason::NewerEpoch => "newer_epoch",
+            StepDownReason::NewerLeader => "newer_leader",
+            StepDownReason::NewerFencingToken => "newer_fencing_token",
+            StepDownReason::LeaseExpired => "lease_expired",
+            StepDownReason::ChangesMissed => "changes_missed",
+            StepDownReason::RecordsUnreadable => "records_unreadable",
+            StepDownReason::TransactionRejected => "transaction_rejected",
+            StepDownReason::ForeignWrite(_) => "foreign_write",
+            StepDownReason::NoHeartbeats => "no_heartbeats",
         }
     }
 }
 
-impl fmt::Display for StepDown {
+impl fmt::Display for StepDownReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            StepDown::NewerEpoch => write!(f, "a newer epoch has begun"),
-            StepDown::NewerLeader => write!(f, "a peer leads a newer epoch"),
-            StepDown::NewerToken => write!(f, "a worker has seen a newer token"),
-            StepDown::LeaseEnded => write!(f, "the lease has run out"),
-            StepDown::ChangesMissed => write!(f, "changes were missed"),
-            StepDown::Unreadable => write!(f, "could not read everything"),
-            StepDown::TransactionRejected => write!(f, "a transaction was rejected"),
-            StepDown::Unheard => write!(f, "no machine is heard"),
-            StepDown::ForeignWrite(ForeignWrite { key, expected, found }) => {
+            StepDownReason::NewerEpoch => write!(f, "a newer epoch has begun"),
+            StepDownReason::NewerLeader => write!(f, "a peer leads a newer epoch"),
+            StepDownReason::NewerFencingToken => write!(f, "a worker has seen a newer token"),
+            StepDownReason::LeaseExpired => write!(f, "the lease has run out"),
+            StepDownReason::ChangesMissed => write!(f, "changes were missed"),
+            StepDownReason::RecordsUnreadable => write!(f, "could not read everything"),
+            StepDownReason::TransactionRejected => write!(f, "a transaction was rejected"),
+            StepDownReason::NoHeartbeats => write!(f, "no machine is heard"),
+            StepDownReason::ForeignWrite(ForeignWrite { key, expected, found }) => {
                 write!(f, "somebody else writes the leader's keys: {key} expected at version {expected}, ")?;
                 match found {
                     Some(Revision::ABSENT) => write!(f, "not there"),
--- a/crates/core/src/store_limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -6,7 +6,7 @@
 //!
 //! What always holds: sizes never grow; the rate stays between a floor and the ceiling last known to be granted.
 
-use crate::settings::{Limits, Settings};
+use crate::settings::{Settings, StoreQuota};
 
 /// A value never shrinks below this, in KiB: a job's record takes about half of it.
 const MIN_VALUE_KB: f64 = 1.0;
@@ -36,7 +36,7 @@
 /// Limits in force, as far as this process knows.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreLimits {
-    now: Limits,
+    now: StoreQuota,
     /// Half of the present largest value, in bytes: a page is written again and again until it is full.
     half_value: usize,
     /// A lower rate that was announced and is not in force yet.
@@ -54,14 +54,14 @@
 impl StoreLimits {
     /// The limits that the settings name.
     pub fn new(settings: &Settings) -> StoreLimits {
-        let (today, next) = (&settings.state, settings.state_next.as_ref());
-        let now = Limits {
+        let (today, next) = (&settings.store_quota, settings.next_store_quota.as_ref());
+        let now = StoreQuota {
             value_kb: next.map_or(today.value_kb, |n| n.value_kb.min(today.value_kb)),
             txn_ops: next.map_or(today.txn_ops, |n| n.txn_ops.min(today.txn_ops)),
             write_rps: today.write_rps,
         };
         StoreLimits {
-            half_value: today.value_bytes() / 2,
+            half_value: today.max_value_bytes() / 2,
             announced_rate: next.map(|n| n.write_rps).filter(|r| *r < today.write_rps),
             ceiling: now.write_rps,
             floor: now.write_rps * MIN_RATE_SHARE,
@@ -73,39 +73,39 @@
     }
 
     /// Most writes in a transaction.
-    pub fn ops(&self) -> usize {
+    pub fn max_writes(&self) -> usize {
         self.now.txn_ops
     }
 
     /// Most conditions in a transaction.
-    pub fn conditions(&self) -> usize {
+    pub fn max_preconditions(&self) -> usize {
         self.now.txn_ops * shaleshunt_wire::PRECONDITIONS_PER_WRITE
     }
 
     /// Writes in a second.
-    pub fn rate(&self) -> f64 {
+    pub fn write_rate(&self) -> f64 {
         self.now.write_rps
     }
 
     /// Largest value in bytes, less a margin for what the store adds.
-    pub fn value_bytes(&self) -> usize {
-        self.now.value_bytes()
+    pub fn max_value_bytes(&self) -> usize {
+        self.now.max_value_bytes()
     }
 
     /// Bytes of a page of task facts: half of a present value, so that writing the newest page again stays cheap, or
     /// all of a value that is smaller.
-    pub fn page_bytes(&self) -> usize {
-        self.half_value.min(self.value_bytes())
+    pub fn max_page_bytes(&self) -> usize {
+        self.half_value.min(self.max_value_bytes())
     }
 
     /// Machines that are kept in one block.
-    pub fn block_machines(&self) -> usize {
+    pub fn machines_per_block(&self) -> usize {
         let most = (self.half_value / HALF_VALUE_BYTES_PER_MACHINE).max(MIN_BLOCK_MACHINES);
-        (self.value_bytes() / BYTES_PER_MACHINE).clamp(1, most)
+        (self.max_value_bytes() / BYTES_PER_MACHINE).clamp(1, most)
     }
 
     /// A request was rejected as too large: later ones are made smaller. False if they cannot be.
-    pub fn too_large(&mut self) -> bool {
+    pub fn reduce_sizes(&mut self) -> bool {
         let smallest = self.now.txn_ops <= MIN_OPS && self.now.value_kb <= MIN_VALUE_KB;
         self.now.txn_ops = (self.now.txn_ops / 2).max(MIN_OPS.min(self.now.txn_ops));
         self.now.value_kb = (self.now.value_kb / 2.0).max(MIN_VALUE_KB.min(self.now.value_kb));
@@ -113,12 +113,12 @@
     }
 
     /// A transaction was carried out.
-    pub fn carried_out(&mut self) {
+    pub fn record_commit(&mut self) {
         self.throttled = self.throttled.saturating_sub(1);
     }
 
     /// The leader's writes were throttled, though it keeps to its share. True if the rate is taken to have fallen.
-    pub fn refused(&mut self, now: u64, heartbeat_interval_ms: u64) -> bool {
+    pub fn record_throttling(&mut self, now: u64, heartbeat_interval_ms: u64) -> bool {
         if self.decreased_at > 0 && now.saturating_sub(self.decreased_at) < heartbeat_interval_ms {
             return false;
         }
@@ -140,7 +140,7 @@
     }
 
     /// Raises a rate that fell unannounced again, little by little.
-    pub fn run_due(&mut self, now: u64, heartbeat_interval_ms: u64) {
+    pub fn recover_rate(&mut self, now: u64, heartbeat_interval_ms: u64) {
         if now.saturating_sub(self.increased_at) >= heartbeat_interval_ms {
             self.increased_at = now;
             self.now.write_rps = (self.now.write_rps * INCREASE).min(self.ceiling);
--- a/crates/load-test/src/site.rs
+++ b/crates/load-test/src/site.rs
@@ -4,7 +4,7 @@
 use crate::error::LoadTestError;
 use crate::fleet::{ControllerAddress, Fleet};
 use crate::{agents, cloud_server, store_server};
-use shaleshunt_core::settings::Limits;
+use shaleshunt_core::settings::StoreQuota;
 use shaleshunt_simulation::agent::{Agent, Machine};
 use shaleshunt_simulation::cloud::{Cloud, Offer};
 use shaleshunt_simulation::store::KeyValueStore;
@@ -137,8 +137,8 @@
 }
 
 /// What the key-value store takes, for itself and for the controllers' settings.
-pub fn store_limits() -> Limits {
-    Limits { value_kb: 16.0, txn_ops: 24, write_rps: 80.0 }
+pub fn store_limits() -> StoreQuota {
+    StoreQuota { value_kb: 16.0, txn_ops: 24, write_rps: 80.0 }
 }
 
 fn store() -> KeyValueStore {
--- a/crates/load-test/src/store_server.rs
+++ b/crates/load-test/src/store_server.rs
@@ -106,7 +106,7 @@
 fn watch(received: &Received) -> Option<KvRequest> {
     let number = |name| received.parameter(name).and_then(|text| text.parse().ok());
     let prefix = received.parameter("prefix")?;
-    Some(KvRequest::Watch { prefix, after: Revision(number("after")?), hold_ms: number("holdMs")? })
+    Some(KvRequest::Watch { prefix, after: Revision(number("after")?), max_wait_ms: number("holdMs")? })
 }
 
 fn get(path: &str) -> Option<KvRequest> {
--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -84,7 +84,7 @@
     /// - [`RequestError::LocalOverload`]: no permit within the timeout;
     /// - [`RequestError::NotSent`]: no connection, so the request was surely not executed;
     /// - [`RequestError::OutcomeUnknown`]: no complete response, so the request may have been executed;
-    /// - [`RequestError::TooLong`]: the response's body is larger than 8 MiB.
+    /// - [`RequestError::ResponseTooLong`]: the response's body is larger than 8 MiB.
     pub async fn send(&self, call: Call<'_>) -> Result<HttpResponse, RequestError> {
         let timeout = call.timeout;
         let acquire = self.permits.acquire(call.priority);
@@ -197,7 +197,7 @@
     let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY).collect().await;
     match body {
         Ok(body) => Ok(body.to_bytes()),
-        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::TooLong),
+        Err(error) if error.is::<LengthLimitError>() => Err(RequestError::ResponseTooLong),
         Err(_) => Err(RequestError::OutcomeUnknown),
     }
 }
--- a/crates/net/src/forwarding/tests.rs
+++ b/crates/net/src/forwarding/tests.rs
@@ -11,7 +11,7 @@
 #[test]
 fn a_peer_is_told_what_it_would_have_understood_itself() {
     let get = KvRequest::Get { key: "k".into() };
-    let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, hold_ms: 0 };
+    let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, max_wait_ms: 0 };
     let large = || Ok(HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY + 1) });
     let fits = HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY) };
     assert_eq!(response_for_peer(&get, Ok(fits.clone())), fits);
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -47,7 +47,7 @@
 }
 
 fn from_json<T: DeserializeOwned>(body: &[u8]) -> Result<T, RequestError> {
-    serde_json::from_slice(body).map_err(|_| RequestError::Malformed)
+    serde_json::from_slice(body).map_err(|_| RequestError::MalformedResponse)
 }
 
 /// The reason that a service gives for refusing a request.
--- a/crates/net/src/protocol/kv.rs
+++ b/crates/net/src/protocol/kv.rs
@@ -31,9 +31,9 @@
         KvRequest::RevokeLease { lease: pass } => {
             EncodedRequest { method: Method::DELETE, path: format!("{}/{pass}", paths::LEASES), body: Bytes::new() }
         }
-        KvRequest::Watch { prefix, after, hold_ms } => {
+        KvRequest::Watch { prefix, after, max_wait_ms } => {
             let prefix = percent_encode(prefix);
-            EncodedRequest::get(format!("{}?prefix={prefix}&after={after}&holdMs={hold_ms}", paths::WATCH))
+            EncodedRequest::get(format!("{}?prefix={prefix}&after={after}&holdMs={max_wait_ms}", paths::WATCH))
         }
     }
 }
@@ -68,7 +68,7 @@
         (KvRequest::Watch { .. }, OK) => from_json::<WatchReply>(body).map(KvReply::Changes),
         (KvRequest::Watch { .. }, GONE) => Ok(KvReply::Compacted),
         (_, NOT_FOUND) => Ok(KvReply::Missing),
-        _ => Err(RequestError::Malformed),
+        _ => Err(RequestError::MalformedResponse),
     }
 }
 
@@ -87,7 +87,7 @@
 /// Time that the store itself may hold a request before it responds.
 pub fn hold_time(request: &KvRequest) -> Duration {
     match request {
-        KvRequest::Watch { hold_ms, .. } => Duration::from_millis(*hold_ms),
+        KvRequest::Watch { max_wait_ms, .. } => Duration::from_millis(*max_wait_ms),
         _ => Duration::ZERO,
     }
 }
--- a/crates/net/src/protocol/tests.rs
+++ b/crates/net/src/protocol/tests.rs
@@ -16,7 +16,7 @@
 #[test]
 fn requests_to_the_store_are_written_as_its_protocol_says() {
     let scan = |after: &str| KvRequest::Scan { prefix: "j/".into(), after: after.into() };
-    let watch = KvRequest::Watch { prefix: "a b".into(), after: Revision(7), hold_ms: 50 };
+    let watch = KvRequest::Watch { prefix: "a b".into(), after: Revision(7), max_wait_ms: 50 };
     for (request, expected) in [
         (KvRequest::Get { key: "l/epoch".into() }, "GET /kv/l/epoch "),
         (scan(""), "GET /kv?prefix=j/&most=1000 "),
@@ -33,14 +33,14 @@
 #[test]
 fn statuses_of_the_store_tell_what_may_have_been_executed() {
     let get = KvRequest::Get { key: "k".into() };
-    let watch = KvRequest::Watch { prefix: "k".into(), after: Revision::ABSENT, hold_ms: 0 };
+    let watch = KvRequest::Watch { prefix: "k".into(), after: Revision::ABSENT, max_wait_ms: 0 };
     for (status, error) in [
         (0, RequestError::OutcomeUnknown),
         (429, RequestError::Throttled),
         (503, RequestError::Unavailable),
         (500, RequestError::OutcomeUnknown),
-        (200, RequestError::Malformed),
-        (418, RequestError::Malformed),
+        (200, RequestError::MalformedResponse),
+        (418, RequestError::MalformedResponse),
     ] {
         assert_eq!(kv::decode(&get, &response(status, "")), Err(error), "{status}");
     }
--- a/crates/net/src/server/responses.rs
+++ b/crates/net/src/server/responses.rs
@@ -17,7 +17,7 @@
 pub(super) fn answered(answer: Answer) -> HttpResponse {
     match answer {
         Answer::Job(status, view) => json(status, &view),
-        Answer::Problem { status, error, retry_after } => problem(status, error.to_string(), retry_after),
+        Answer::Error { status, error, retry_after } => problem(status, error.to_string(), retry_after),
         Answer::Heartbeat(reply) => json(http_status::OK, &reply),
         Answer::Redirect(known_leader) => json(http_status::MISDIRECTED_REQUEST, &Redirect { known_leader }),
         Answer::Healthy => with_body(http_status::OK, Bytes::from_static(b"{}")),
--- a/crates/net/src/services/kv.rs
+++ b/crates/net/src/services/kv.rs
@@ -31,7 +31,7 @@
     pub(crate) async fn execute(&self, request: &KvRequest) -> Result<KvReply, RequestError> {
         match self.send(request).await {
             // More changes than are accepted at once: to be read anew.
-            Err(RequestError::TooLong) if matches!(request, KvRequest::Watch { .. }) => Ok(KvReply::Compacted),
+            Err(RequestError::ResponseTooLong) if matches!(request, KvRequest::Watch { .. }) => Ok(KvReply::Compacted),
             Err(error) => Err(error),
             Ok(response) => protocol::kv::decode(request, &response),
         }
--- a/crates/simulation/src/simulation/controllers.rs
+++ b/crates/simulation/src/simulation/controllers.rs
@@ -102,7 +102,7 @@
         controller.started_at = now;
         let mut settings = controller.settings.clone();
         if controller.version == Version::Previous {
-            settings.state_next = None;
+            settings.next_store_quota = None;
         }
         let process_number = ((index as u64 + 1) << 32) + u64::from(controller.incarnation);
         let clock = controller.clock(now);
