--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -3,12 +3,12 @@
 //! The core only emits events, as effects in order; the process around it renders them.
 
 mod fields;
-mod figures;
+mod leader_status;
 mod severity;
 mod value;
 
 pub use crate::step_down::{ForeignWrite, StepDownReason};
-pub use figures::LeaderStatus;
+pub use leader_status::LeaderStatus;
 pub use severity::Severity;
 pub use value::EventValue;
 
