--- a/crates/core/src/leader/scheduler/offloading.rs
+++ b/crates/core/src/leader/scheduler/offloading.rs
@@ -97,12 +97,12 @@
 
 /// A class's owned slots: its tasks on owned machines and how many more fit there.
 fn owned_slots(view: &SchedulingView, class: &str, need: &Resources) -> i64 {
-    view.work.examined(view.machines.count_with_free_cores(need.cores));
+    view.work.count_machines_examined(view.machines.count_with_free_cores(need.cores));
     let free: i64 = view
         .machines
         .with_free_cores(need.cores)
         .filter(|machine| machine.owned && machine.agent.last_heartbeat_ms.is_some())
-        .map(|machine| machine.free().times(need, MAX_SLOTS_PER_MACHINE))
+        .map(|machine| machine.free().fit_count(need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).owned
 }
--- a/crates/core/src/leader/scheduler/overload.rs
+++ b/crates/core/src/leader/scheduler/overload.rs
@@ -124,13 +124,13 @@
 
 /// A class's slots: its tasks on machines and how many more fit on all that its jobs may use.
 fn class_slots(view: &SchedulingView, class: &str, job: &Job) -> i64 {
-    view.work.examined(view.machines.count_with_free_cores(job.need.cores));
+    view.work.count_machines_examined(view.machines.count_with_free_cores(job.need.cores));
     let free: i64 = view
         .machines
         .with_free_cores(job.need.cores)
         .filter(|machine| machine.is_schedulable(view.now.monotonic_ms, view.settings))
         .filter(|machine| allows(job, MachineKind::of(machine)))
-        .map(|machine| machine.free().times(&job.need, MAX_SLOTS_PER_MACHINE))
+        .map(|machine| machine.free().fit_count(&job.need, MAX_SLOTS_PER_MACHINE))
         .sum();
     free + view.scheduler.usage.of_class(class).all
 }
