--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -7,7 +7,7 @@
 
 /// Limit on placements on one machine: a heartbeat and its reply list all of them, at up to 128 bytes each, in one
 /// body.
-const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY / 128;
+const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY_BYTES / 128;
 
 /// A job avoids the machines on which its tasks failed while they are fewer than this; with more of them the job
 /// itself is at fault.
@@ -94,7 +94,7 @@
             candidates.push(filter.rate(machine));
         }
     }
-    view.work.examined(examined);
+    view.work.count_machines_examined(examined);
     candidates
 }
 
@@ -150,7 +150,7 @@
     fn rate(&self, machine: &'a Machine) -> Candidate<'a> {
         let suspect = machine.health.quarantine_count > 0;
         let free = machine.free();
-        let fitting = if suspect { 1 } else { free.times(&self.job.need, i64::from(self.tasks)) as u32 };
+        let fitting = if suspect { 1 } else { free.fit_count(&self.job.need, i64::from(self.tasks)) as u32 };
         let tasks_of_job = if spreads_tasks(self.job) {
             machine.placements.iter().filter(|p| p.job == self.job.id).count()
         } else {
--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -88,11 +88,11 @@
     /// machines; after that each job gets a sample, which bounds the duration of a pass for any size of fleet and
     /// queue.
     fn max_candidates(&self, view: &SchedulingView, tasks: u32) -> Option<usize> {
-        let examined = view.work.done().machines_examined - self.examined_at_start;
-        if (examined as f64) < view.tuning.pass_machines {
+        let examined = view.work.counts().machines_examined - self.examined_at_start;
+        if (examined as f64) < view.tuning.machines_per_pass {
             return None;
         }
-        Some((view.tuning.sample as usize).max(tasks as usize))
+        Some((view.tuning.machine_sample_size as usize).max(tasks as usize))
     }
 }
 
@@ -156,9 +156,9 @@
 
     /// Runs one scheduling pass over the queue.
     pub(crate) fn schedule(&mut self, ctx: &mut Context) {
-        ctx.work.pass();
+        ctx.work.count_scheduling_pass();
         let mut pass = Pass {
-            examined_at_start: ctx.work.done().machines_examined,
+            examined_at_start: ctx.work.counts().machines_examined,
             unplaceable: Vec::new(),
             preemption_searches_left: MAX_PREEMPTION_SEARCHES_PER_PASS,
         };
