--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -1,5 +1,5 @@
-//! Writing to the key-value store: what the leader hands to the store, and what follows for jobs and
-//! machines when it is stored or given up.
+//! Writes to the key-value store: sends the transactions that the store builds, and applies their outcome to jobs
+//! and machines.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -27,7 +27,7 @@
 }
 
 impl Leader {
-    /// The store, and what its records are made from.
+    /// Returns the store and the sources of its records as disjoint references.
     fn store_and_sources(&mut self) -> (&mut Store, RecordSources<'_>) {
         let sources = RecordSources {
             jobs: &mut self.jobs,
@@ -38,7 +38,7 @@
         (&mut self.store, sources)
     }
 
-    /// Sends what is due, if nothing is under way.
+    /// Sends the next transaction if one is due and none is in flight.
     pub(super) fn commit(&mut self, ctx: &mut Context) {
         let epoch_version = self.epoch_version;
         let (store, mut sources) = self.store_and_sources();
@@ -48,11 +48,11 @@
     }
 
     fn send_commit_request(&self, ctx: &mut Context, request: CommitRequest) {
-        let wait = self.pending_request(LeaderRequest::Commit(request.step));
-        ctx.send_kv(request.request, wait);
+        let pending = self.pending_request(LeaderRequest::Commit(request.step));
+        ctx.send_kv(request.request, pending);
     }
 
-    /// A request about the transaction under way was answered, or not.
+    /// Handles the reply to a request of the transaction in flight.
     pub(super) fn handle_commit_reply(
         &mut self,
         ctx: &mut Context,
@@ -76,13 +76,14 @@
             CommitOutcome::SendRequest(request) => self.send_commit_request(ctx, request),
             CommitOutcome::Committed { changes, revision } => self.apply_committed(ctx, *changes, revision),
             CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
-            CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
+            CommitOutcome::ForeignWrite(write) => self.read_foreign_write(ctx, write),
             CommitOutcome::TooLarge(reason) => self.handle_too_large(ctx, reason),
             CommitOutcome::EpochOver => self.step_down = Some(StepDownReason::NewerEpoch),
         }
     }
 
-    /// The limits have fallen, so they are taken to be lower; the leader steps down if they can't be.
+    /// Lowers the assumed limits of the store after a transaction exceeded them, and steps down if they can't be
+    /// lowered further.
     fn handle_too_large(&mut self, ctx: &mut Context, reason: String) {
         ctx.emit(Event::TransactionRejected { reason });
         if ctx.limits.reduce_sizes() {
@@ -94,14 +95,15 @@
         }
     }
 
-    /// A key that only the leader writes has changed. It steps down as soon as the log can say to what.
-    fn look_at_foreign_write(&mut self, ctx: &mut Context, write: ForeignWrite) {
+    /// Reads a key that only the leader writes and that has changed. The leader steps down on the reply, so that
+    /// the log can name the version found.
+    fn read_foreign_write(&mut self, ctx: &mut Context, write: ForeignWrite) {
         let key = write.key.clone();
-        let wait = self.pending_request(LeaderRequest::ReadForeignWrite(write));
-        ctx.send_kv(KvRequest::Get { key }, wait);
+        let pending = self.pending_request(LeaderRequest::ReadForeignWrite(write));
+        ctx.send_kv(KvRequest::Get { key }, pending);
     }
 
-    /// A key that somebody else has written was read, or not: the log says what is there.
+    /// Steps down because of a foreign write, with the version of the key if it could be read.
     pub(super) fn handle_foreign_write(&mut self, write: ForeignWrite, result: Result<KvReply, RequestError>) {
         let found = match result {
             Ok(KvReply::Found(pair)) => Some(pair.version),
@@ -111,7 +113,7 @@
         self.step_down = Some(StepDownReason::ForeignWrite(ForeignWrite { found, ..write }));
     }
 
-    /// A transaction was carried out.
+    /// Applies a committed transaction.
     fn apply_committed(&mut self, ctx: &mut Context, changes: TransactionChanges, revision: Revision) {
         let (store, mut sources) = self.store_and_sources();
         let committed = store.apply_committed(changes, revision, &mut sources);
@@ -126,7 +128,7 @@
         }
     }
 
-    /// A placement is committed: its machine is told.
+    /// Marks a placement as committed and schedules the call that starts its task.
     fn apply_placement(&mut self, planned: PlannedPlacement) {
         let PlannedPlacement { machine, placement_id } = planned;
         let Some(placement) = self.fleet.machines.get_mut(&machine).and_then(|m| m.placement_mut(placement_id)) else {
@@ -139,7 +141,7 @@
         self.fleet.calls.call_soon(machine);
     }
 
-    /// A job's end is committed: what waits for it goes on.
+    /// Removes a job whose end is committed, and releases or cancels its dependents.
     fn apply_job_end(&mut self, ctx: &mut Context, id: &Id, revision: Revision) {
         let Some(job) = self.jobs.remove(id) else { return };
         ctx.emit(if job.cancelled {
@@ -155,7 +157,7 @@
         self.dependency_ended(ctx, id, &end);
     }
 
-    /// A machine's record is stored: tasks may be placed on it.
+    /// Marks a machine's record as committed, so that tasks may be placed on the machine.
     fn apply_machine_record(&mut self, id: &Id) {
         let Some(machine) = self.fleet.machines.get_mut(id) else { return };
         if !machine.record.committed {
@@ -164,17 +166,17 @@
         }
     }
 
-    /// A transaction was given up. The jobs whose records conflicted are read again, and their
-    /// placements are given up; all else waits to be written again.
+    /// Handles an abandoned transaction. The jobs whose records conflicted are read again and their planned
+    /// placements are released; all other changes are queued again.
     fn apply_abandoned(&mut self, ctx: &mut Context, changes: TransactionChanges, conflicting: &[String]) {
         let now = ctx.now.monotonic_ms;
         let (store, mut sources) = self.store_and_sources();
         let abandoned = store.apply_abandoned(changes, conflicting, &mut sources);
         for id in &abandoned.stale_jobs {
-            self.mark_stale(ctx, id);
+            self.refresh_stale_job(ctx, id);
         }
         for planned in &abandoned.placements {
-            self.give_up_placement(now, planned, &abandoned.stale_jobs);
+            self.release_stale_placement(now, planned, &abandoned.stale_jobs);
         }
         for id in abandoned.jobs_with_entries {
             if let Some(job) = self.jobs.get_mut(&id) {
@@ -187,41 +189,41 @@
         }
     }
 
-    /// A job's record is newer than known.
-    fn mark_stale(&mut self, ctx: &mut Context, id: &Id) {
+    /// Marks a job's record as older than the stored one, and reads it again.
+    fn refresh_stale_job(&mut self, ctx: &mut Context, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.record.stale = true;
             self.refresh_job_record(ctx, id.clone());
         }
     }
 
-    /// Gives a planned placement up if its job's record is stale.
-    fn give_up_placement(&mut self, now: u64, planned: &PlannedPlacement, stale: &[Id]) {
+    /// Releases a planned placement if the record of its job is stale.
+    fn release_stale_placement(&mut self, now: u64, planned: &PlannedPlacement, stale: &[Id]) {
         let machine = self.fleet.machines.get(&planned.machine);
         let placement = machine.and_then(|machine| machine.placement(planned.placement_id));
-        let is_given_up = |stage, job| stage == PlacementState::Planned && stale.contains(job);
-        if let Some(placement) = placement.filter(|placement| is_given_up(placement.state, &placement.job)) {
+        let is_stale = |stage, job| stage == PlacementState::Planned && stale.contains(job);
+        if let Some(placement) = placement.filter(|placement| is_stale(placement.state, &placement.job)) {
             let job = placement.job.clone();
             self.release_unfinished(now, &planned.machine, planned.placement_id);
             self.queue_job_write(now, &job);
         }
     }
 
-    /// Something about a task of a job is to be written.
+    /// Queues a changed task of a job for writing.
     pub(crate) fn record_task_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.record_change(now, job, task, urgency);
         }
     }
 
-    /// Queues what a job has to write, its end included.
+    /// Queues all pending writes of a job, its end included.
     pub(crate) fn queue_job_write(&mut self, now: u64, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.queue_write(now, job);
         }
     }
 
-    /// Puts a machine into a block of its zone.
+    /// Assigns a machine to a machine block of its zone.
     pub(crate) fn assign_block(&mut self, ctx: &Context, id: &Id) {
         if let Some(machine) = self.fleet.machines.get_mut(id) {
             self.store.join_block(machine, ctx.limits.machines_per_block());
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Direct calls to machines' agents: commands that should not wait for the next heartbeat, and
-//! questions whether an agent lives and has seen the fencing token.
+//! Direct calls to agents: commands that should not wait for the next heartbeat, and probes for whether an agent
+//! is alive and has seen the fencing token.
 
 use crate::controller::Context;
 use crate::io::{DirectCommandsReply, RequestError, RequestId};
@@ -10,13 +10,13 @@
 use crate::model::{CallInFlight, CallPurpose, Id, Placement, PlacementState};
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat};
 
-/// After a failed call the next waits for this part of a heartbeat interval, and after each further
-/// one for twice as long, up to so many doublings.
-const PAUSE_PART: u64 = 3;
-const MOST_DOUBLINGS: u32 = 3;
+/// Backoff after failed calls: the first is the heartbeat interval divided by this number, and it doubles with
+/// each further failure up to a maximum number of doublings.
+const INITIAL_BACKOFFS_PER_HEARTBEAT: u64 = 3;
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Leader {
-    /// Works out the commands that a machine needs now, and notes which tasks they start.
+    /// Returns the commands that a machine needs now, and marks the placements that they start as sent.
     pub(crate) fn take_commands(&mut self, machine: &Id, channel: CommandChannel) -> MachineCommands {
         let jobs = &self.jobs;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return MachineCommands::default() };
@@ -34,7 +34,8 @@
         planned
     }
 
-    /// Makes the direct calls that are due.
+    /// Sends the direct calls that are due, and probes agents for the fencing token within the limit on concurrent
+    /// confirmations.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
         for id in self.fleet.calls.take_due(now) {
@@ -47,22 +48,23 @@
                 CallDecision::AgentUnknown => {}
             }
         }
-        // A confirmation changes nothing at the machine, so its fate need not be known; but each
-        // costs time here, and most machines send a heartbeat within an interval anyway.
-        let most = (ctx.settings.kv_rps / 4.0).max(1.0) as u32;
-        while let Some(id) = self.fleet.next_to_confirm(most) {
+        // A confirmation has no effect on the machine, so a lost reply does no harm. Each one costs processor time
+        // of the leader, though, and most machines send a heartbeat within an interval anyway.
+        let max_confirmations = (ctx.settings.kv_rps / 4.0).max(1.0) as u32;
+        while let Some(id) = self.fleet.next_to_confirm(max_confirmations) {
             self.call(ctx, &id, CallPurpose::ConfirmToken);
         }
     }
 
-    /// Calls a machine's agent with the commands that it needs now. With none it is asked only to
-    /// confirm the token, or that it lives; and not at all if nothing is to be learnt.
+    /// Calls the agent of a machine with the commands that it needs now. A call without commands only asks the
+    /// agent to confirm the fencing token or to show that it is alive; it is skipped if the reply could tell
+    /// nothing new.
     pub(crate) fn call(&mut self, ctx: &mut Context, id: &Id, purpose: CallPurpose) {
         let MachineCommands { commands, starts } = self.take_commands(id, CommandChannel::DirectCall);
         let pending = self.pending_request(LeaderRequest::DirectCommands(id.clone()));
         let Some(m) = self.fleet.machines.get_mut(id) else { return };
-        let nothing_to_learn = m.agent.token_confirmed && m.agent.unacknowledged_commands == 0;
-        if commands.is_empty() && nothing_to_learn && purpose == CallPurpose::SendCommands {
+        let is_confirmed = m.agent.token_confirmed && m.agent.unacknowledged_commands == 0;
+        if commands.is_empty() && is_confirmed && purpose == CallPurpose::SendCommands {
             return;
         }
         let has_commands = !commands.is_empty();
@@ -74,7 +76,7 @@
         }
     }
 
-    /// A direct call has been answered, or has failed.
+    /// Handles the reply to a direct call, or its failure.
     pub(crate) fn handle_direct_commands_reply(
         &mut self,
         ctx: &mut Context,
@@ -102,46 +104,49 @@
         }
     }
 
-    /// An agent has answered a direct call with a heartbeat. Returns whether it is to be called
-    /// again for what came up meanwhile.
+    /// Processes the heartbeat with which an agent answered a direct call. Returns whether the agent has to be
+    /// called again, for placements committed in the meantime.
     fn direct_call_answered(&mut self, ctx: &mut Context, machine: &Id, heartbeat: Heartbeat) -> bool {
-        // Another machine may have got the address since.
+        // Another machine may have received the address since the call was sent.
         if heartbeat.machine != **machine {
             return false;
         }
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.agent.record_acknowledged_command();
         }
-        self.take_heartbeat(ctx, machine, heartbeat, HeartbeatSource::DirectCall);
+        self.process_heartbeat(ctx, machine, heartbeat, HeartbeatSource::DirectCall);
         self.fleet.machines.get(machine).is_some_and(|m| m.placements.iter().any(is_unsent))
     }
 
-    /// A direct call has failed, so that what it held may or may not be carried out.
+    /// Handles a failed direct call, whose commands may or may not be executed.
     fn direct_call_failed(&mut self, ctx: &Context, machine: &Id, call: CallInFlight, error: RequestError) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        // For want of room here nothing is known of the machine.
+        // A failure for lack of local resources tells nothing about the machine.
         if error != RequestError::LocalOverload {
             m.agent.record_unacknowledged_command();
         }
-        let doublings = m.agent.unacknowledged_commands.saturating_sub(1).min(MOST_DOUBLINGS);
-        m.call.back_off_until(now + ctx.settings.heartbeat_interval_ms() / PAUSE_PART * u64::from(1u32 << doublings));
+        let doublings = m.agent.unacknowledged_commands.saturating_sub(1).min(MAX_BACKOFF_DOUBLINGS);
+        m.call.back_off_until(
+            now + ctx.settings.heartbeat_interval_ms() / INITIAL_BACKOFFS_PER_HEARTBEAT * u64::from(1u32 << doublings),
+        );
         if matches!(error, RequestError::NotSent | RequestError::LocalOverload) {
-            // What was in it never left; others can have it.
+            // The commands never left this process, so other machines may take the tasks.
             for placement in m.placements.iter_mut().filter(|p| call.first_starts.contains(&p.placement_id)) {
                 placement.start_sent = false;
             }
-            // The reply to its next heartbeat can carry them, if it is not the machine's doing.
+            // After a local overload the machine is not at fault, and the reply to its next heartbeat can carry
+            // the commands.
             if error == RequestError::NotSent {
                 self.release_unsent(now, machine);
             }
         } else if call.has_commands {
-            // It may be executed minutes later.
+            // The agent may still execute the commands, even minutes later.
             m.agent.raise_token();
         }
     }
 
-    /// Releases what was to go to a machine and has not left.
+    /// Releases the committed placements on a machine whose start commands have not been sent.
     fn release_unsent(&mut self, now: u64, machine: &Id) {
         let Some(m) = self.fleet.machines.get(machine) else { return };
         let unsent: Vec<u64> = m.placements.iter().filter(|p| is_unsent(p)).map(|p| p.placement_id).collect();
@@ -151,7 +156,7 @@
     }
 }
 
-/// Whether a placement is committed and its start command has not left.
+/// Whether a placement is committed and its start command has not been sent.
 fn is_unsent(placement: &Placement) -> bool {
     !placement.start_sent && placement.state == PlacementState::Committed
 }
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Machines' heartbeats: takes in what they tell, releases what they prove gone, and replies with
+//! Heartbeats of agents: processes their reports, releases placements that they prove gone, and replies with
 //! commands.
 
 use crate::controller::Context;
@@ -14,43 +14,44 @@
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
 use shaleshunt_wire::{FencingToken, Resources};
 
-/// An adopted machine counts as one that let so many commands pass unseen: however many more are
-/// added, it gets no tasks before it has heard a command.
-const ADOPTED_UNACKNOWLEDGED: u32 = u32::MAX / 2;
+/// Initial count of unacknowledged commands for an adopted machine. It is so high that the machine gets no tasks
+/// before it acknowledges a command, and leaves room for further counts.
+const ADOPTED_UNACKNOWLEDGED_COMMANDS: u32 = u32::MAX / 2;
 
-/// How a heartbeat came.
+/// Origin of a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatSource {
-    /// The agent sent it by itself. It has one under way at a time, so the reply to its last one has
-    /// been carried out or lost.
+    /// The agent sent it on its own. An agent has one heartbeat in flight at a time, so the reply to the previous
+    /// one has been carried out or lost.
     Agent,
-    /// It is the answer to a direct call, and may be older than the reply to the last heartbeat,
-    /// which may still start tasks.
+    /// The answer to a direct call. It may be older than the reply to the last heartbeat, which may still start
+    /// tasks.
     DirectCall,
 }
 
-/// What became of a heartbeat.
+/// Result of processing a heartbeat.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum HeartbeatOutcome {
-    /// It was taken in.
-    Taken,
-    /// It is older than one already taken in.
+    /// The heartbeat was processed.
+    Processed,
+    /// The heartbeat is older than one already processed.
     Outdated,
 }
 
 impl Leader {
-    /// A heartbeat from an agent: takes it in and replies with what the machine is to do.
+    /// Processes a heartbeat that an agent sent, and replies with commands for its machine.
     pub(crate) fn handle_heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
-        // A cancellation missed for too long could not be carried out in time if leases were renewed.
+        // A leader that has received no changes of jobs for too long must not renew machine leases: a cancellation
+        // that it missed could otherwise not be carried out in time.
         if !self.may_renew_leases(ctx) {
             let error = "no news from the state service";
             ctx.answer(id, Answer::Error { status: 503, error, retry_after: None });
             return;
         }
         let machine: Id = heartbeat.machine.as_str().into();
-        let outcome = self.take_heartbeat(ctx, &machine, heartbeat, HeartbeatSource::Agent);
+        let outcome = self.process_heartbeat(ctx, &machine, heartbeat, HeartbeatSource::Agent);
         let commands = match outcome {
-            HeartbeatOutcome::Taken => self.take_commands(&machine, CommandChannel::HeartbeatReply).commands,
+            HeartbeatOutcome::Processed => self.take_commands(&machine, CommandChannel::HeartbeatReply).commands,
             HeartbeatOutcome::Outdated => Vec::new(),
         };
         let mut token = FencingToken::new(self.epoch, 0);
@@ -61,8 +62,8 @@
         ctx.answer(id, Answer::Heartbeat(HeartbeatReply { token, commands }));
     }
 
-    /// Takes in a heartbeat, unless it is older than one already taken.
-    pub(crate) fn take_heartbeat(
+    /// Processes a heartbeat, unless it is older than one already processed.
+    pub(crate) fn process_heartbeat(
         &mut self,
         ctx: &mut Context,
         machine: &Id,
@@ -70,43 +71,43 @@
         source: HeartbeatSource,
     ) -> HeartbeatOutcome {
         if !self.fleet.machines.contains_key(machine) {
-            self.adopt(ctx, machine, &heartbeat);
+            self.adopt_machine(ctx, machine, &heartbeat);
         }
         let order = HeartbeatOrder { agent_epoch: heartbeat.agent_epoch, sequence: heartbeat.sequence };
         if self.fleet.machines.get(machine).is_none_or(|m| m.agent.is_outdated(order)) {
             return HeartbeatOutcome::Outdated;
         }
-        self.note_contact(ctx, machine, order);
-        self.learn_attributes(ctx, machine, &heartbeat);
-        self.note_interruption(ctx, machine, heartbeat.preemption_notice_s);
+        self.record_contact(ctx, machine, order);
+        self.update_attributes(ctx, machine, &heartbeat);
+        self.update_interruption(ctx, machine, heartbeat.preemption_notice_s);
         let token_is_current = self.check_token(machine, heartbeat.token);
         let effects = self.reconcile_heartbeat(ctx, machine, &heartbeat, source, token_is_current);
         if self.fleet.machines.get(machine).is_some_and(|m| m.record.block.is_none()) {
             self.assign_block(ctx, machine);
         }
-        self.release_proven(ctx, machine, effects);
+        self.apply_effects(ctx, machine, effects);
         self.stop_before_interruption(ctx, machine);
         self.detect_slow_machine(ctx, machine);
-        HeartbeatOutcome::Taken
+        HeartbeatOutcome::Processed
     }
 
-    /// A machine nobody expected, such as one whose scale-out was carried out late. It is adopted.
-    /// But its heartbeat may be a late copy from a machine long returned, so it gets no tasks before
-    /// it has heard us.
-    fn adopt(&mut self, ctx: &mut Context, machine: &Id, heartbeat: &Heartbeat) {
+    /// Adopts a machine without a record, such as one from a late scale-out. The heartbeat may be a delayed copy
+    /// from a machine that was returned long ago, so an adopted machine that is surely rented gets no tasks before
+    /// it acknowledges a command.
+    fn adopt_machine(&mut self, ctx: &mut Context, machine: &Id, heartbeat: &Heartbeat) {
         let owned = self.autoscaler.owned.contains(&heartbeat.machine);
-        let surely_rented = self.autoscaler.owned.is_known() && !owned;
+        let is_surely_rented = self.autoscaler.owned.is_known() && !owned;
         let mut m = self.new_machine(ctx, machine, &heartbeat.machine_type, &heartbeat.zone, heartbeat.spot, owned);
-        if surely_rented {
-            m.agent.unacknowledged_commands = ADOPTED_UNACKNOWLEDGED;
+        if is_surely_rented {
+            m.agent.unacknowledged_commands = ADOPTED_UNACKNOWLEDGED_COMMANDS;
         }
         self.fleet.machines.insert(m);
         self.fleet.calls.confirm_token(machine.clone());
         ctx.emit(Event::MachineAdopted { machine: machine.clone() });
     }
 
-    /// A machine has been heard, which lets its zone count as heard.
-    fn note_contact(&mut self, ctx: &Context, machine: &Id, order: HeartbeatOrder) {
+    /// Records that a machine, and so its zone, has been heard from.
+    fn record_contact(&mut self, ctx: &Context, machine: &Id, order: HeartbeatOrder) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         if m.agent.last_heartbeat_ms.is_none() || !m.is_responsive(now, &ctx.settings) {
@@ -116,16 +117,17 @@
         self.fleet.reachability.record_zone_heartbeat(&m.zone, now);
     }
 
-    /// Takes over what a heartbeat says of the machine itself, and its room once its type is known.
-    fn learn_attributes(&mut self, ctx: &Context, machine: &Id, heartbeat: &Heartbeat) {
+    /// Updates what is known of the machine itself from its heartbeat, and its capacity once its type is in the
+    /// catalog.
+    fn update_attributes(&mut self, ctx: &Context, machine: &Id, heartbeat: &Heartbeat) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        let mut room = m.capacity.total;
+        let mut total = m.capacity.total;
         if m.zone.is_empty() {
-            // Known so far only by a record of a placement.
+            // The machine was known only from the record of a placement.
             m.machine_type.clone_from(&heartbeat.machine_type);
             m.zone.clone_from(&heartbeat.zone);
             m.spot = heartbeat.spot;
-            room = Resources::default();
+            total = Resources::default();
             for placement in &m.placements {
                 if let Some(job) = self.jobs.get_mut(&placement.job) {
                     job.tasks.set_placement_zone(&m.zone);
@@ -135,19 +137,19 @@
         if m.agent.endpoint != heartbeat.endpoint {
             m.agent.endpoint.clone_from(&heartbeat.endpoint);
         }
-        if room == Resources::default()
+        if total == Resources::default()
             && let Some(machine_type) = ctx.catalog.as_ref().and_then(|c| c.machine_type(&m.machine_type))
         {
-            room = machine_type.resources();
+            total = machine_type.resources();
             self.scheduler.request_pass();
         }
-        if room != m.capacity.total {
-            self.fleet.machines.set_capacity(machine, room);
+        if total != m.capacity.total {
+            self.fleet.machines.set_capacity(machine, total);
         }
     }
 
-    /// Takes over whether, and in how many seconds, the cloud takes the machine away.
-    fn note_interruption(&mut self, ctx: &mut Context, machine: &Id, notice_s: Option<f64>) {
+    /// Updates whether the cloud is about to reclaim the machine, and at what time.
+    fn update_interruption(&mut self, ctx: &mut Context, machine: &Id, notice_s: Option<f64>) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         match notice_s {
             Some(seconds_left) if m.lifecycle.preemption_at_ms.is_none() => {
@@ -160,8 +162,8 @@
         }
     }
 
-    /// Compares the fencing token that a machine has seen with ours. Returns whether its heartbeat
-    /// was sent under the current one.
+    /// Compares the fencing token that a machine has seen with the current one. Returns whether the heartbeat was
+    /// sent under the current token.
     fn check_token(&mut self, machine: &Id, seen: FencingToken) -> bool {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return false };
         if seen < m.agent.token(self.epoch) {
@@ -176,7 +178,7 @@
         true
     }
 
-    /// Compares a heartbeat with the machine's placements and takes over what it shows of them.
+    /// Compares a heartbeat with the placements on the machine and applies the findings.
     fn reconcile_heartbeat(
         &mut self,
         ctx: &Context,
@@ -204,8 +206,8 @@
         effects
     }
 
-    /// Releases what a heartbeat proves gone, and takes in what it proves ended.
-    fn release_proven(&mut self, ctx: &mut Context, machine: &Id, effects: FindingEffects) {
+    /// Releases the placements that a heartbeat proves gone, and handles the tasks that it proves ended.
+    fn apply_effects(&mut self, ctx: &mut Context, machine: &Id, effects: FindingEffects) {
         let now = ctx.now.monotonic_ms;
         for placement_id in effects.earlier_agent_epoch.into_iter().chain(effects.absent) {
             self.release_unfinished(now, machine, placement_id);
@@ -215,7 +217,7 @@
         }
     }
 
-    /// Stops what cannot finish before the cloud takes the machine away.
+    /// Stops tasks that cannot finish before the cloud reclaims the machine.
     fn stop_before_interruption(&mut self, ctx: &Context, machine: &Id) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         if stop_before_interruption(m, &self.jobs, ctx.now.monotonic_ms) {
@@ -224,7 +226,7 @@
     }
 }
 
-/// How much a machine's disk holds, nothing if its type is not known.
+/// Disk size of a machine in GB; zero if its type is not in the catalog.
 fn disk_gb(ctx: &Context, machine: &Machine) -> f64 {
     let machine_type = ctx.catalog.as_ref().and_then(|catalog| catalog.machine_type(&machine.machine_type));
     machine_type.map_or(0.0, |machine_type| machine_type.local_gb)
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -1,4 +1,4 @@
-//! Tasks that fail, and machines that are left alone because of it.
+//! Failed tasks, and the backoff of jobs and the quarantine of machines because of them.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -11,17 +11,17 @@
 use crate::model::{Id, Placement};
 
 impl Leader {
-    /// A task failed after it had run for so many ms: judges its job and the machine, and holds back
-    /// the one or the other.
+    /// Handles a task that failed after running for `ran_ms`: diagnoses its job and its machine, and backs off the
+    /// job or puts the machine in quarantine.
     pub(crate) fn task_failed(&mut self, ctx: &mut Context, machine: &Id, job: &Id, ran_ms: u64) {
-        let Some(verdict) = self.judge_failed_job(ctx, machine, job, ran_ms) else { return };
-        self.hold_back_job(ctx, job, verdict);
-        self.count_failure(ctx, machine, job, verdict);
+        let Some(diagnosis) = self.diagnose_failed_job(ctx, machine, job, ran_ms) else { return };
+        self.back_off_job(ctx, job, diagnosis);
+        self.count_failure(ctx, machine, job, diagnosis);
         self.scheduler.request_pass();
     }
 
-    /// Counts a failure at the job, and judges it.
-    fn judge_failed_job(&mut self, ctx: &Context, machine: &Id, job: &Id, ran_ms: u64) -> Option<JobDiagnosis> {
+    /// Counts a failure of the job and returns the diagnosis of the job.
+    fn diagnose_failed_job(&mut self, ctx: &Context, machine: &Id, job: &Id, ran_ms: u64) -> Option<JobDiagnosis> {
         let job = self.jobs.get_mut(job)?;
         job.failures.count += 1;
         job.failures.machines.insert(machine.clone());
@@ -34,11 +34,11 @@
         Some(diagnose_job(evidence, sibling_task_evidence(job, failed, &self.fleet.machines, ctx.now.monotonic_ms)))
     }
 
-    /// Holds a job back that fails often. If it is broken, its failures count against no machine.
-    fn hold_back_job(&mut self, ctx: &Context, id: &Id, verdict: JobDiagnosis) {
+    /// Delays further tasks of a job that fails often. The failures of a broken job count against no machine.
+    fn back_off_job(&mut self, ctx: &Context, id: &Id, diagnosis: JobDiagnosis) {
         let now = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(id) else { return };
-        match verdict {
+        match diagnosis {
             JobDiagnosis::Healthy | JobDiagnosis::Unknown => {}
             JobDiagnosis::Suspect => job.scheduling.not_before_ms = now + ctx.settings.heartbeat_interval_ms() / 4,
             JobDiagnosis::Broken => {
@@ -51,19 +51,19 @@
         }
     }
 
-    /// Counts a failure at the machine, and puts that in quarantine if it fails.
-    fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, verdict: JobDiagnosis) {
+    /// Counts a failure of a task on a machine, and puts the machine in quarantine if it is diagnosed as failing.
+    fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, diagnosis: JobDiagnosis) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         m.health.record_task_failure(ctx.now.monotonic_ms);
-        if verdict != JobDiagnosis::Broken {
+        if diagnosis != JobDiagnosis::Broken {
             m.health.record_job_failure(job.clone());
         }
-        if diagnose_machine(&m.health, verdict) == MachineDiagnosis::Failing {
+        if diagnose_machine(&m.health, diagnosis) == MachineDiagnosis::Failing {
             self.quarantine(ctx, machine);
         }
     }
 
-    /// A machine fails its tasks: it is not used for a while, longer each time.
+    /// Puts a machine that fails its tasks in quarantine, for longer each time.
     pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.is_quarantined(now)) else { return };
@@ -71,9 +71,8 @@
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause_ms / 1000.0 });
     }
 
-    /// Looks with each heartbeat whether a machine is slow; then nothing but services goes there for
-    /// half a lease. What runs there stays: it has a part of its way behind it, and the machine may
-    /// be well again at any time.
+    /// Checks with each heartbeat whether a machine is slow. A slow machine gets only services for half a machine
+    /// lease. Its running tasks stay, because they have made progress and the machine may recover at any time.
     pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get(machine) else { return };
@@ -91,9 +90,9 @@
         }
     }
 
-    /// A placement as a task whose run time tells something; nothing for one that is to stop or that
-    /// runs until it is stopped. What a job's tasks take is known from those that ended, else from
-    /// its estimate with more doubt.
+    /// Returns a placement as a task whose run time can be judged; `None` for tasks that are stopping and for
+    /// services, which run until they are stopped. The usual run time comes from finished tasks of the job, else
+    /// from its estimate with a wider margin.
     fn running_task(&self, placement: &Placement, now: u64) -> Option<RunningTask> {
         let since = placement.running_since_ms.filter(|_| placement.stop_grace_s.is_none())?;
         let job = self.jobs.get(&placement.job).filter(|job| !job.is_service())?;
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -1,13 +1,13 @@
-//! The leader: composes the store, the scheduler, the fleet and the autoscaler, and acts for its epoch.
+//! The leader: combines the store, the scheduler, the fleet and the autoscaler, and acts during its epoch.
 //!
-//! `Leader` owns the unfinished jobs and what belongs to the leadership itself: the epoch, the lease, the
-//! numbers of attempts and placements. Its parts own the rest and don't call one another; what concerns
-//! several of them is done here and in the modules of this tree that are not parts: failover
-//! ([`recovery`]), users' changes ([`watch`]), `commit`, `heartbeats`, `placements` and the like.
+//! `Leader` owns the unfinished jobs and the state of the leadership itself: the epoch, the leader lease, and the
+//! counters of attempts and placements. Its components own the rest and don't call one another. Work that concerns
+//! several components is done here and in the modules of this folder that are not components: recovery
+//! ([`recovery`]), changes by users ([`watch`]), `commit`, `heartbeats`, `placements` and the like.
 //!
-//! What always holds: nothing is decided before all records have been read (`active`); a reply goes to the
-//! leader of the epoch that asked; once `down` is set, the controller ends the leadership after the batch.
-//! Only the controller calls in here.
+//! Invariants: no decision is made before all records have been read (`active`); a reply only reaches the leader
+//! of the epoch that sent the request; once `step_down` is set, the controller ends the leadership after the
+//! batch. Only the controller calls into this module.
 
 pub(crate) mod autoscaler;
 mod commit;
@@ -39,66 +39,66 @@
 use shaleshunt_wire::{Attempt, Epoch, Revision};
 use std::collections::BTreeMap;
 
-/// So many times a controller's lag goes by between two passes over the queue, up to this part of a
-/// heartbeat interval: the shorter of processor time, the longer between passes, since leases and answers
-/// come first.
-const LAGS_BETWEEN_PASSES: u64 = 4;
-const MAX_LAG_HEARTBEAT_PART: u64 = 5;
-/// The lease is renewed after this part of its life.
-const LEASE_RENEWAL_PART: f64 = 4.0;
-/// A renewal without an answer is tried again after this part of a heartbeat interval.
+/// Delay between scheduling passes under load, as a multiple of the lag of the controller, and the limit of that
+/// delay as a divisor of the heartbeat interval. The less processor time is left, the rarer the passes, since
+/// leases and replies come first.
+const PASS_DELAY_PER_LAG: u64 = 4;
+const MAX_LAG_DELAY_HEARTBEAT_DIVISOR: u64 = 5;
+/// Number of renewals within the lifetime of the leader lease.
+const RENEWALS_PER_LEASE: f64 = 4.0;
+/// Number of retries per heartbeat interval for a failed lease renewal.
 const RENEWAL_RETRIES_PER_HEARTBEAT: u64 = 12;
-/// A job's progress takes at most so many bytes of a frame, with ample room for long names.
-const JOB_PROGRESS_BYTES: usize = 256;
+/// Upper bound for the progress of one job in a frame between controllers, in bytes, with ample room for long IDs.
+const MAX_JOB_PROGRESS_BYTES: usize = 256;
 
-/// Requests of the leader, by what their replies are for.
+/// Requests of the leader, by the purpose of their replies.
 #[derive(Debug)]
 pub(crate) enum LeaderRequest {
-    /// A page of records during a failover.
+    /// Reads a page of records during recovery.
     ScanRecords(ScanPosition),
-    /// Renewal of the leader's lease.
+    /// Renews the leader lease.
     RenewLease,
-    /// Changes of the unfinished jobs.
+    /// Waits for changes of the unfinished jobs.
     WatchJobs,
-    /// The transaction under way.
+    /// Sends or checks the transaction in flight.
     Commit(CommitStep),
-    /// The version of a key that somebody else has written, for the log.
+    /// Reads the version of a key that another process wrote, for the log.
     ReadForeignWrite(ForeignWrite),
-    /// The record of a job on which a condition failed.
+    /// Reads the record of a job after its precondition failed.
     ReadJobRecord(Id),
-    /// The final record of a job that others depend on.
+    /// Reads the final record of a job that others depend on.
     ReadFinalRecord(Id),
-    /// Parts of a job's submission.
+    /// Reads the parts of a split submission.
     ReadSubmissionParts(Box<SplitSubmissionRead>),
-    /// A direct call to a machine's agent.
+    /// Calls the agent of a machine directly.
     DirectCommands(Id),
-    /// Machines from the cloud, by the request's name.
+    /// Requests machines from the cloud, under this request name.
     ScaleOut(String),
-    /// Return of machines to the cloud.
+    /// Returns machines to the cloud.
     ScaleIn(Vec<Id>),
-    /// A page of the cloud's list.
+    /// Reads a page of the cloud's machine list.
     MachineList,
-    /// The cloud's machine types.
+    /// Reads the cloud's catalog of machine types.
     Catalog,
 }
 
-/// The leader's state. Times are in ms on the steady clock.
+/// State of the leader. Times are in milliseconds on the monotonic clock.
 pub struct Leader {
     pub(crate) epoch: Epoch,
-    /// Version of the epoch's key, while the epoch is this leader's.
+    /// Version of the epoch key while the epoch belongs to this leader.
     pub(crate) epoch_version: Revision,
-    /// The lease at the key-value store.
+    /// ID of the leader lease in the key-value store.
     pub(crate) lease_id: u64,
-    /// Everything has been read.
+    /// Whether all records have been read.
     pub(crate) active: bool,
-    /// Why leadership is over.
+    /// Reason for stepping down; `None` while the leadership lasts.
     pub(crate) step_down: Option<StepDownReason>,
     pub(crate) elected_at: u64,
     renew_at: u64,
     is_renewal_in_flight: bool,
     pub(crate) last_attempt: u64,
     last_placement_id: u64,
-    /// The unfinished jobs.
+    /// Unfinished jobs by ID.
     pub(crate) jobs: BTreeMap<Id, Job>,
     next_status_at: u64,
     pub(crate) store: Store,
@@ -110,7 +110,7 @@
 }
 
 impl Leader {
-    /// A leader that has just been elected: it begins to read all records.
+    /// Creates a leader that has just been elected, and begins its recovery.
     pub(crate) fn new(ctx: &mut Context, epoch: Epoch, epoch_version: Revision, lease_id: u64) -> Leader {
         let now = ctx.now.monotonic_ms;
         let mut leader = Leader {
@@ -137,29 +137,29 @@
         leader
     }
 
-    /// A request of this leader's, whose reply is for this epoch alone.
-    pub(crate) fn pending_request(&self, wait: LeaderRequest) -> PendingRequest {
-        PendingRequest::Leader(self.epoch, wait)
+    /// Tags a request with the epoch of this leader, so that no other leader handles its reply.
+    pub(crate) fn pending_request(&self, request: LeaderRequest) -> PendingRequest {
+        PendingRequest::Leader(self.epoch, request)
     }
 
-    /// A request to the key-value store that was sent at a time was answered, or not.
+    /// Handles the reply to a request to the key-value store that was sent at `sent_at`, or its failure.
     pub(crate) fn handle_kv_reply(
         &mut self,
         ctx: &mut Context,
-        wait: LeaderRequest,
-        sent: u64,
+        request: LeaderRequest,
+        sent_at: u64,
         result: Result<KvReply, RequestError>,
     ) {
-        match wait {
+        match request {
             LeaderRequest::ScanRecords(position) => self.handle_scan_reply(ctx, position, result),
             LeaderRequest::RenewLease => self.handle_lease_renewal(ctx, result),
-            LeaderRequest::WatchJobs => self.handle_watch_reply(ctx, sent, result),
+            LeaderRequest::WatchJobs => self.handle_watch_reply(ctx, sent_at, result),
             LeaderRequest::ReadJobRecord(id) => self.handle_job_refresh_reply(ctx, id, result),
             LeaderRequest::ReadSubmissionParts(read) => self.handle_submission_parts_reply(ctx, *read, result),
             LeaderRequest::ReadFinalRecord(id) => self.handle_final_record(ctx, id, result),
             LeaderRequest::Commit(step) => self.handle_commit_reply(ctx, &step, result),
             LeaderRequest::ReadForeignWrite(write) => self.handle_foreign_write(write, result),
-            // Replies of the cloud and of agents come by other ways.
+            // Replies of the cloud and of agents are handled elsewhere.
             LeaderRequest::DirectCommands(_)
             | LeaderRequest::ScaleOut(_)
             | LeaderRequest::ScaleIn(_)
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The leader's lease was renewed, or not.
+    /// Handles the reply to a renewal of the leader lease, or its failure.
     fn handle_lease_renewal(&mut self, ctx: &Context, result: Result<KvReply, RequestError>) {
         self.is_renewal_in_flight = false;
         match result {
@@ -181,7 +181,7 @@
         }
     }
 
-    /// What is due by time or by what the batch brought.
+    /// Runs everything that is due, by time or because of events in the batch.
     pub(crate) fn run_due(&mut self, ctx: &mut Context) {
         self.renew_lease(ctx);
         self.retry_scans(ctx);
@@ -195,21 +195,21 @@
         if self.renew_at > now || self.is_renewal_in_flight {
             return;
         }
-        let life_ms = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
-        self.renew_at = now + (life_ms / LEASE_RENEWAL_PART) as u64;
+        let lease_ms = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
+        self.renew_at = now + (lease_ms / RENEWALS_PER_LEASE) as u64;
         self.is_renewal_in_flight = true;
-        let wait = self.pending_request(LeaderRequest::RenewLease);
-        ctx.send_kv(KvRequest::RenewLease { lease: self.lease_id }, wait);
+        let pending = self.pending_request(LeaderRequest::RenewLease);
+        ctx.send_kv(KvRequest::RenewLease { lease: self.lease_id }, pending);
     }
 
-    /// What is due once all records have been read.
+    /// Runs the work of a leader that has read all records.
     fn run_active(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
         if self.watch.is_retry_due(now) {
             self.watch_jobs(ctx);
         }
         if self.fleet.reachability.take_due_check(now, ctx.settings.heartbeat_interval_ms()) {
-            self.expire_silent_machines(ctx);
+            self.expire_machine_leases(ctx);
             self.probe_overdue(ctx);
         }
         if now >= self.next_status_at {
@@ -228,27 +228,27 @@
         self.send_due_commands(ctx);
     }
 
-    /// A pass over the queue.
+    /// Runs a scheduling pass and sets the earliest time of the next one.
     fn run_pass(&mut self, ctx: &mut Context) {
         self.detect_zone_partitions(ctx);
         let interval_ms = (ctx.settings.heartbeat_interval_s * 1000.0 / ctx.tuning.passes_per_heartbeat) as u64;
-        let max_lag_ms = ctx.settings.heartbeat_interval_ms() / MAX_LAG_HEARTBEAT_PART;
-        let lag_ms = (ctx.batch_lag_ms() * LAGS_BETWEEN_PASSES).min(max_lag_ms);
-        self.scheduler.delay_next_pass(ctx.now.monotonic_ms + interval_ms + lag_ms);
+        let max_lag_delay_ms = ctx.settings.heartbeat_interval_ms() / MAX_LAG_DELAY_HEARTBEAT_DIVISOR;
+        let lag_delay_ms = (ctx.batch_lag_ms() * PASS_DELAY_PER_LAG).min(max_lag_delay_ms);
+        self.scheduler.delay_next_pass(ctx.now.monotonic_ms + interval_ms + lag_delay_ms);
         self.schedule(ctx);
     }
 
-    /// An event for operators: how much there is to do, and what holds it up.
+    /// Emits the status event for operators: the amount of work, and what delays it.
     fn emit_status(&mut self, ctx: &mut Context) {
-        debug_assert!(self.fleet.machines.is_consistent(), "machines by free CPUs");
+        debug_assert!(self.fleet.machines.is_consistent(), "the index of machines by free cores is inconsistent");
         let waiting: u32 = self.jobs.values().filter(|job| !job.cancelled).map(Job::waiting_task_count).sum();
         let machines = self.fleet.machines.values();
-        let used = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
+        let usable = machines.filter(|machine| machine.is_schedulable(ctx.now.monotonic_ms, &ctx.settings)).count();
         let store = self.store.take_stats();
         ctx.emit(Event::LeaderStatus(Box::new(LeaderStatus {
             jobs: self.jobs.len(),
             tasks_waiting: waiting,
-            machines_usable: used,
+            machines_usable: usable,
             machines: self.fleet.machines.len(),
             transactions: store.written.transactions,
             writes_ends: store.written.ends,
@@ -264,27 +264,28 @@
         })));
     }
 
-    /// A new attempt number, never used before in any epoch.
+    /// Returns a new attempt number, unique over all epochs.
     pub(crate) fn next_attempt(&mut self) -> Attempt {
         self.last_attempt += 1;
         Attempt::new(self.epoch, self.last_attempt)
     }
 
-    /// A new number for a placement inside this process.
+    /// Returns a new placement ID, unique within this process.
     pub(crate) fn next_placement_id(&mut self) -> u64 {
         self.last_placement_id += 1;
         self.last_placement_id
     }
 
-    /// Done and running tasks of a job, for display.
+    /// Numbers of done and running tasks of a job, for display.
     pub(crate) fn task_counts(&self, job: &str) -> (u32, u32) {
         self.jobs.get(job).map_or((0, 0), |job| (job.tasks.done_count(), job.tasks.running_count()))
     }
 
-    /// Progress of all jobs that wait for no other, for the other controllers: one that has a record's
-    /// version from here need not look for cancelled jobs before it.
+    /// Progress of all jobs without open dependencies, for the other controllers. A controller that receives a
+    /// record's version this way need not check whether the job was cancelled before that version.
     pub(crate) fn job_progress(&self) -> Vec<JobProgress> {
-        // Of more jobs than a frame may hold, the rest is shown by the leader alone and read at each poll.
+        // Jobs beyond the size of a frame are left out: only the leader shows their progress, and other
+        // controllers read their records at each status query.
         self.jobs
             .values()
             .filter(|job| !job.cancelled && !job.is_blocked())
@@ -294,7 +295,7 @@
                 done: job.tasks.done_count(),
                 running: job.tasks.running_count(),
             })
-            .take(MAX_FRAME_BYTES / JOB_PROGRESS_BYTES)
+            .take(MAX_FRAME_BYTES / MAX_JOB_PROGRESS_BYTES)
             .collect()
     }
 }
--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -1,5 +1,5 @@
-//! Placements as they come and go: on the machine, at the job, in what classes and teams use, and in
-//! what is to be written. Here alone a placement is added or removed, so that these agree.
+//! Addition and removal of placements: on the machine, in the job, in the usage of classes and teams, and in the
+//! queue of writes. Placements are added and removed only here, which keeps these consistent.
 
 use crate::controller::Context;
 use crate::leader::Leader;
@@ -9,7 +9,7 @@
 use shaleshunt_wire::Resources;
 
 impl Leader {
-    /// A machine with what is known of it, not yet among the others.
+    /// Creates a machine from what is known of it, without adding it to the fleet.
     pub(crate) fn new_machine(
         &self,
         ctx: &Context,
@@ -31,7 +31,7 @@
         }
     }
 
-    /// Puts a placement on a machine, if that and the job are known.
+    /// Adds a placement to a machine, if both the machine and the job are known.
     pub(crate) fn add_placement(&mut self, machine: &Id, placement: Placement) {
         let Some(job) = self.jobs.get_mut(&placement.job) else { return };
         let of_task = TaskPlacement {
@@ -48,24 +48,24 @@
         self.scheduler.usage_mut().add(&job.spec.class, &job.spec.team, &need, ownership);
     }
 
-    /// Releases a placement that is proven gone, and of which the task is to be placed anew: that is
-    /// to be written. Returns the placement, if the machine has it.
+    /// Releases a placement that is proven gone and whose task is to be placed again. Queues a write of the task.
+    /// Returns the placement if the machine has it.
     pub(crate) fn release_unfinished(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.remove_placement(now, machine, placement_id)?;
         self.record_task_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
-        self.queue_write_of_cancelled(now, &placement.job);
+        self.queue_write_if_cancelled(now, &placement.job);
         Some(placement)
     }
 
-    /// Releases a placement of which the task is done. Nothing is to be written of that: the outcome
-    /// will be. Returns the placement, if the machine has it.
+    /// Releases a placement whose task is done. The task is not queued here, since its outcome will be written.
+    /// Returns the placement if the machine has it.
     pub(crate) fn release_done(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.remove_placement(now, machine, placement_id)?;
-        self.queue_write_of_cancelled(now, &placement.job);
+        self.queue_write_if_cancelled(now, &placement.job);
         Some(placement)
     }
 
-    /// Takes a placement off its machine and out of what its job, class and team use.
+    /// Removes a placement from its machine, its job and the usage of its class and team.
     fn remove_placement(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.fleet.machines.remove_placement(machine, placement_id, now)?;
         let m = self.fleet.machines.get(machine)?;
@@ -78,14 +78,15 @@
         Some(placement)
     }
 
-    /// A cancelled job ends with its last placement: whether it has is looked at with its writes.
-    fn queue_write_of_cancelled(&mut self, now: u64, job: &Id) {
+    /// Queues a cancelled job for writing: it ends with its last placement, and its end is detected when its
+    /// writes are built.
+    fn queue_write_if_cancelled(&mut self, now: u64, job: &Id) {
         if self.jobs.get(job).is_some_and(|job| job.cancelled) {
             self.queue_job_write(now, job);
         }
     }
 
-    /// Stops all tasks of a cancelled job. What never left is released at once.
+    /// Stops all tasks of a cancelled job. Placements whose start commands were never sent are released at once.
     pub(crate) fn stop_job(&mut self, ctx: &mut Context, id: &Id) {
         let Some(job) = self.jobs.get(id) else { return };
         let placements: Vec<(Id, u64)> = job.tasks.placements().map(|p| (p.machine.clone(), p.placement_id)).collect();
@@ -95,7 +96,7 @@
         self.queue_job_write(ctx.now.monotonic_ms, id);
     }
 
-    /// Stops a task at once; one whose start command never left is released.
+    /// Stops a task immediately. A placement whose start command was never sent is released.
     pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         let Some(placement) = m.placement_mut(placement_id) else { return };
--- a/crates/core/src/leader/scale_out_requests.rs
+++ b/crates/core/src/leader/scale_out_requests.rs
@@ -1,28 +1,28 @@
-//! Scale-out requests under way: recorded first, then made under the same name until they are answered,
-//! then removed when every machine granted is recorded.
+//! Scale-out requests in flight. A request is first recorded, then sent under the same name until it is answered,
+//! and its record is removed when all granted machines are recorded.
 //!
-//! A request may be carried out though its answer is lost. Its record lets another leader make it again
-//! under its name, so that no machine is rented twice or forgotten. The autoscaler adds and makes requests,
-//! the store writes and removes their records.
+//! The cloud may carry out a request although its reply is lost. The record lets another leader repeat the request
+//! under its name, so that no machine is rented twice or forgotten. The autoscaler adds and sends requests; the
+//! store writes and removes their records.
 
 use crate::model::Id;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::{Epoch, Revision};
 use std::collections::BTreeMap;
 
-/// A scale-out request under way.
+/// A scale-out request in flight.
 #[derive(Debug)]
 pub(crate) struct ScaleOut {
     request: ScaleOutRequest,
-    /// Version of its record; absent until recorded.
+    /// Version of its record; `Revision::ABSENT` until it is recorded.
     version: Revision,
-    /// A write or removal of its record is under way.
+    /// Whether a write or removal of its record is in flight.
     record_in_flight: bool,
-    /// The request to the cloud is under way.
+    /// Whether the request to the cloud is in flight.
     request_in_flight: bool,
-    /// Not made again before this time (steady clock, ms).
+    /// Earliest time of the next try (monotonic clock, ms).
     retry_at: u64,
-    /// The machines granted, once it is answered.
+    /// The granted machines, none if the request was rejected; `None` until the request is answered.
     granted: Option<Vec<Id>>,
 }
 
@@ -31,8 +31,8 @@
         ScaleOut { request, version, record_in_flight: false, request_in_flight: false, retry_at: 0, granted: None }
     }
 
-    /// What to do with its record now. A record is removed only when every machine granted is recorded
-    /// or gone, as `is_settled` tells.
+    /// Returns the change that its record needs now. The record is removed only when all granted machines are
+    /// recorded or gone, as reported by `is_settled`.
     pub(crate) fn needed_record_change(&self, is_settled: impl Fn(&Id) -> bool) -> Option<ScaleOutRecordChange<'_>> {
         match &self.granted {
             _ if self.record_in_flight => None,
@@ -42,7 +42,7 @@
         }
     }
 
-    /// A write or removal of its record is under way.
+    /// Marks a write or removal of its record as in flight.
     pub(crate) fn mark_record_change_sent(&mut self) {
         self.record_in_flight = true;
     }
@@ -52,46 +52,46 @@
     }
 }
 
-/// What is to be done with a request's record.
+/// A change to the record of a request.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum ScaleOutRecordChange<'a> {
-    /// Written for the first time.
+    /// Write the record for the first time.
     Write(&'a ScaleOutRequest),
-    /// Removed, if it still has this version.
+    /// Remove the record if it still has this version.
     Remove(Revision),
 }
 
-/// Scale-out requests under way, by name.
+/// Scale-out requests in flight, by name.
 #[derive(Debug, Default)]
 pub(crate) struct ScaleOutRequests {
     by_name: BTreeMap<String, ScaleOut>,
-    /// Requests named by this leader so far.
-    named: u64,
+    /// Number of requests named by this leader.
+    named_count: u64,
 }
 
 impl ScaleOutRequests {
-    /// A record was read: another leader's request is under way.
+    /// Restores the request of another leader from its record.
     pub(crate) fn restore(&mut self, request: ScaleOutRequest, version: Revision) {
         self.by_name.insert(request.request.clone(), ScaleOut::new(request, version));
     }
 
-    /// A name for a new request, which no other request ever has.
+    /// Returns a name for a new request that is unique over all leaders.
     pub(crate) fn next_name(&mut self, node_name: &str, epoch: Epoch) -> String {
-        self.named += 1;
-        format!("{node_name}-{epoch}-{}", self.named)
+        self.named_count += 1;
+        format!("{node_name}-{epoch}-{}", self.named_count)
     }
 
-    /// Adds a request; it is made once its record is committed.
+    /// Adds a request, which is sent once its record is committed.
     pub(crate) fn add(&mut self, request: ScaleOutRequest) {
         self.by_name.insert(request.request.clone(), ScaleOut::new(request, Revision::ABSENT));
     }
 
-    /// All requests, to see which records are to be changed.
+    /// All requests, for checking which records need a change.
     pub(crate) fn iter_mut(&mut self) -> impl Iterator<Item = (&String, &mut ScaleOut)> {
         self.by_name.iter_mut()
     }
 
-    /// A request's record was written at this revision.
+    /// Marks the record of a request as written at this revision.
     pub(crate) fn mark_recorded(&mut self, name: &str, revision: Revision) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.version = revision;
@@ -99,24 +99,24 @@
         }
     }
 
-    /// A request's record was not changed; it is tried again.
+    /// Marks the change of a record as failed, so that it is retried.
     pub(crate) fn record_change_failed(&mut self, name: &str) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.record_in_flight = false;
         }
     }
 
-    /// A request's record was removed: it is over.
+    /// Removes a request whose record was removed.
     pub(crate) fn remove(&mut self, name: &str) {
         self.by_name.remove(name);
     }
 
-    /// Requests whose machines are still to come.
+    /// Requests that have not been answered.
     pub(crate) fn unanswered(&self) -> impl Iterator<Item = &ScaleOutRequest> {
         self.by_name.values().filter(|scale_out| scale_out.granted.is_none()).map(|scale_out| &scale_out.request)
     }
 
-    /// Requests to make now; they count as made.
+    /// Returns the requests to send now, and marks them as in flight.
     pub(crate) fn take_due(&mut self, now: u64) -> Vec<ScaleOutRequest> {
         let due = self.by_name.values_mut().filter(|scale_out| scale_out.is_due(now));
         due.map(|scale_out| {
@@ -126,21 +126,21 @@
         .collect()
     }
 
-    /// A request came back, with an answer or without; returns it if it is still under way.
+    /// Marks a request as no longer in flight, after a reply or a failure. Returns the request if it still exists.
     pub(crate) fn request_finished(&mut self, name: &str) -> Option<ScaleOutRequest> {
         let scale_out = self.by_name.get_mut(name)?;
         scale_out.request_in_flight = false;
         Some(scale_out.request.clone())
     }
 
-    /// A request was answered with these machines; none if it was refused.
+    /// Marks a request as answered with these machines; none if it was rejected.
     pub(crate) fn mark_answered(&mut self, name: &str, granted: Vec<Id>) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.granted = Some(granted);
         }
     }
 
-    /// A request without a clear answer is made again, not before this time (steady clock, ms).
+    /// Delays the next try of a request without a definite answer until `retry_at` (monotonic clock, ms).
     pub(crate) fn delay_retry(&mut self, name: &str, retry_at: u64) {
         if let Some(scale_out) = self.by_name.get_mut(name) {
             scale_out.retry_at = retry_at;
--- a/crates/core/src/leader/scheduler/dependencies.rs
+++ b/crates/core/src/leader/scheduler/dependencies.rs
@@ -105,8 +105,8 @@
     pub(crate) fn read_final_records(&mut self, ctx: &mut Context) {
         for id in self.scheduler.dependencies.take_due_reads(ctx.now.monotonic_ms, &self.jobs) {
             let key = format!("{}{id}", keys::FINAL_RECORDS);
-            let wait = self.pending_request(LeaderRequest::ReadFinalRecord(id));
-            ctx.send_kv(KvRequest::Get { key }, wait);
+            let pending = self.pending_request(LeaderRequest::ReadFinalRecord(id));
+            ctx.send_kv(KvRequest::Get { key }, pending);
         }
     }
 
--- a/crates/core/src/leader/scheduler/estimates.rs
+++ b/crates/core/src/leader/scheduler/estimates.rs
@@ -13,18 +13,18 @@
 
 /// Sums of the actual and estimated run times of the finished tasks of a class, in seconds.
 #[derive(Debug, Default, Clone, Copy)]
-pub(crate) struct RuntimeStatistics {
+pub(crate) struct RunTimeStatistics {
     actual_s: f64,
     estimated_s: f64,
 }
 
 /// Run-time statistics by class.
 #[derive(Debug, Default)]
-pub(crate) struct RuntimesByClass {
-    classes: BTreeMap<String, RuntimeStatistics>,
+pub(crate) struct RunTimesByClass {
+    classes: BTreeMap<String, RunTimeStatistics>,
 }
 
-impl RuntimesByClass {
+impl RunTimesByClass {
     /// Records that a task of `class` ran for `actual_s` and was estimated to run for `estimated_s`.
     pub(crate) fn record(&mut self, class: &str, actual_s: f64, estimated_s: f64) {
         let statistics = self.classes.entry(class.to_string()).or_default();
@@ -46,7 +46,7 @@
 /// Estimates from run-time statistics and the cloud's catalog.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Estimates<'a> {
-    pub(crate) runtimes: &'a RuntimesByClass,
+    pub(crate) run_times: &'a RunTimesByClass,
     pub(crate) catalog: Option<&'a Catalog>,
     /// Interval between two heartbeats of an agent, in seconds.
     pub(crate) heartbeat_interval_s: f64,
@@ -55,7 +55,7 @@
 impl Estimates<'_> {
     /// Estimated run time of one task of the job, in seconds.
     pub(crate) fn run_s(&self, job: &Job) -> f64 {
-        self.runtimes.run_s(job)
+        self.run_times.run_s(job)
     }
 
     /// Estimated run time of one task of the job, in whole milliseconds.
--- a/crates/core/src/leader/scheduler/fixture.rs
+++ b/crates/core/src/leader/scheduler/fixture.rs
@@ -66,7 +66,7 @@
             machines: &self.machines,
             scheduler: &self.scheduler,
             estimates: Estimates {
-                runtimes: &self.scheduler.runtimes,
+                run_times: &self.scheduler.run_times,
                 catalog: Some(&self.catalog),
                 heartbeat_interval_s: self.settings.heartbeat_interval_s,
             },
--- a/crates/core/src/leader/scheduler/mod.rs
+++ b/crates/core/src/leader/scheduler/mod.rs
@@ -28,7 +28,7 @@
 
 use crate::controller::Context;
 use crate::leader::scheduler::dependency_graph::DependencyGraph;
-use crate::leader::scheduler::estimates::{Estimates, RuntimesByClass};
+use crate::leader::scheduler::estimates::{Estimates, RunTimesByClass};
 use crate::leader::scheduler::queue::RankInputs;
 use crate::leader::scheduler::usage::Usage;
 use crate::model::{Id, Job};
@@ -38,7 +38,7 @@
 pub(crate) struct Scheduler {
     dependencies: DependencyGraph,
     usage: Usage,
-    runtimes: RuntimesByClass,
+    run_times: RunTimesByClass,
     ranks: RankInputs,
     /// The machine after which the next preemption search begins its sample; `None` starts at the first machine.
     preemption_sample_start: Option<Id>,
@@ -53,7 +53,7 @@
         Scheduler {
             dependencies: DependencyGraph::default(),
             usage: Usage::default(),
-            runtimes: RuntimesByClass::default(),
+            run_times: RunTimesByClass::default(),
             ranks: RankInputs::new(),
             preemption_sample_start: None,
             pass_requested: true,
@@ -96,19 +96,19 @@
     }
 
     /// Corrects the estimates of a class by a task that ran to its end. Times are in seconds.
-    pub(crate) fn record_runtime(&mut self, class: &str, actual_s: f64, estimated_s: f64) {
-        self.runtimes.record(class, actual_s, estimated_s);
+    pub(crate) fn record_run_time(&mut self, class: &str, actual_s: f64, estimated_s: f64) {
+        self.run_times.record(class, actual_s, estimated_s);
     }
 
     /// Estimated run time of one of the job's tasks, in seconds.
     pub(crate) fn estimated_run_s(&self, job: &Job) -> f64 {
-        self.runtimes.run_s(job)
+        self.run_times.run_s(job)
     }
 
     /// Estimates from the run times recorded so far and the current catalog.
     pub(crate) fn estimates<'a>(&'a self, ctx: &'a Context) -> Estimates<'a> {
         Estimates {
-            runtimes: &self.runtimes,
+            run_times: &self.run_times,
             catalog: ctx.catalog.as_ref(),
             heartbeat_interval_s: ctx.settings.heartbeat_interval_s,
         }
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -1,4 +1,4 @@
-//! Tasks that have ended on a machine, by a heartbeat under the current fencing token.
+//! Tasks that have ended, as reported by a heartbeat under the current fencing token.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// A task has ended: releases its placement and takes in how it ended.
+    /// Releases the placement of a task that has ended, and handles the cause of its end.
     pub(crate) fn task_ended(&mut self, ctx: &mut Context, machine: &Id, placement_id: u64, cause: ExitCause) {
         let now = ctx.now.monotonic_ms;
         let released = match cause {
@@ -18,7 +18,8 @@
         };
         let Some(placement) = released else { return };
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            // Reported until it is told to forget the task, which waits for the outcome's commit.
+            // The agent reports the task until it is told to forget it, which happens only after the commit of the
+            // outcome.
             let task = format!("{}/{}", placement.job, placement.task);
             let unexpected = UnexpectedTask { task, attempt: placement.attempt, exit: Some(cause) };
             m.agent.unexpected_tasks.push(unexpected);
@@ -31,7 +32,7 @@
                 let ran_ms = placement.running_since_ms.map_or(0, |since| ctx.now.monotonic_ms.saturating_sub(since));
                 self.task_failed(ctx, machine, &placement.job, ran_ms);
             }
-            // No fault of the machine's: the job waits for a heartbeat interval.
+            // The machine is not at fault. The job waits for a heartbeat interval.
             ExitCause::Done | ExitCause::UnknownTask | ExitCause::Unknown => {
                 self.emit_task_failed(ctx, machine, &placement, cause);
                 if let Some(job) = self.jobs.get_mut(&placement.job) {
@@ -48,7 +49,8 @@
         ctx.emit(Event::TaskFailed { task, machine: machine.clone(), cause });
     }
 
-    /// A task is done. Its job does well after all: machines where it failed are at fault.
+    /// Marks a task as done. This shows that its job is healthy, so machines blamed for its earlier failures are put
+    /// in quarantine.
     fn task_done(&mut self, ctx: &mut Context, machine: &Id, placement: &Placement) {
         let now = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(&placement.job) else { return };
@@ -56,7 +58,7 @@
         let failed = std::mem::take(&mut job.failures.count) > 0;
         let failed_on = if failed { job.failures.machines.clone() } else { BTreeSet::new() };
         if let Some(since) = placement.running_since_ms {
-            self.count_run_time(&placement.job, now.saturating_sub(since));
+            self.record_run_time(&placement.job, now.saturating_sub(since));
         }
         if let Some(m) = self.fleet.machines.get_mut(machine) {
             m.health.record_task_success(placement.planned_at_ms);
@@ -69,20 +71,20 @@
         }
     }
 
-    /// Counts how long a task ran, for its job and for its class. A job without an estimate has
-    /// nothing to compare it with.
-    fn count_run_time(&mut self, id: &Id, ran_ms: u64) {
+    /// Records the run time of a task for its job and its class. A job without an estimate is skipped, because
+    /// there is nothing to compare the run time with.
+    fn record_run_time(&mut self, id: &Id, ran_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
-        let expected_s = job.spec.estimated_run_s;
-        if expected_s <= 0.0 {
+        let estimated_s = job.spec.estimated_run_s;
+        if estimated_s <= 0.0 {
             return;
         }
         job.tasks.run_times.add(ran_ms);
-        self.scheduler.record_runtime(&job.spec.class, ran_ms as f64 / 1000.0, expected_s);
+        self.scheduler.record_run_time(&job.spec.class, ran_ms as f64 / 1000.0, estimated_s);
     }
 
-    /// A machine refused a task for room that we did not know to be taken, such as by a stopped task
-    /// that is not gone yet.
+    /// Pauses a machine that refused a task for lack of room, for example because a stopped task is still running
+    /// there.
     fn start_refused(&mut self, ctx: &Context, machine: &Id) {
         let until = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 3;
         if let Some(m) = self.fleet.machines.get_mut(machine) {
--- a/crates/core/src/leader/unreachable_machines.rs
+++ b/crates/core/src/leader/unreachable_machines.rs
@@ -1,5 +1,5 @@
-//! Machines, zones and whole fleets that send no heartbeats: who is asked, what is not used, what is
-//! given up.
+//! Machines and zones without heartbeats: probes overdue machines, excludes partitioned zones from placement, and
+//! releases placements after lease expiry. A partitioned leader with peers steps down.
 
 use crate::controller::{Context, PeerLeaseReport};
 use crate::event::Event;
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Looks for zones that are cut off, so that nothing new goes there.
+    /// Detects partitioned zones, which get no new tasks.
     pub(crate) fn detect_zone_partitions(&mut self, ctx: &mut Context) {
         let check = PartitionCheck {
             now_ms: ctx.now.monotonic_ms,
@@ -19,7 +19,7 @@
             elected_at_ms: self.elected_at,
         };
         match check.run(&self.fleet) {
-            // Without peers there is nobody who could lead instead.
+            // Without peers no other controller could lead instead.
             PartitionFinding::LeaderPartitioned if !ctx.peer_lease_reports.is_empty() => {
                 self.step_down = Some(StepDownReason::NoHeartbeats);
             }
@@ -37,7 +37,7 @@
         self.scheduler.request_pass();
     }
 
-    /// Asks machines whose heartbeats are overdue whether they live.
+    /// Probes the machines whose heartbeats are overdue.
     pub(crate) fn probe_overdue(&mut self, ctx: &mut Context) {
         let interval = ctx.settings.heartbeat_interval_ms();
         for id in self.fleet.machines_to_probe(ctx.now.monotonic_ms, interval) {
@@ -45,8 +45,8 @@
         }
     }
 
-    /// Releases what is placed on machines whose lease has surely expired.
-    pub(crate) fn expire_silent_machines(&mut self, ctx: &mut Context) {
+    /// Releases the placements on machines whose lease has certainly expired.
+    pub(crate) fn expire_machine_leases(&mut self, ctx: &mut Context) {
         let clock = LeaseTiming::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
         self.fleet.update_zone_machine_counts(clock.now_ms, clock.lease_ms);
         let peers: Vec<&PeerLeaseReport> = ctx.peer_lease_reports.values().collect();
