--- a/crates/core/src/leader/store/apply.rs
+++ b/crates/core/src/leader/store/apply.rs
@@ -1,4 +1,4 @@
-//! What follows for the store when a transaction was carried out, or is given up.
+//! Applies the outcome of a transaction, committed or abandoned, to the store's bookkeeping.
 
 use super::Store;
 use super::changes::TransactionChanges;
@@ -10,29 +10,29 @@
 use crate::records::keys;
 use shaleshunt_wire::Revision;
 
-/// What is known to be stored now.
+/// Changes that a transaction is known to have committed.
 #[derive(Debug, Default)]
 pub(crate) struct CommittedChanges {
     pub placements: Vec<PlannedPlacement>,
     pub ended_jobs: Vec<Id>,
-    /// Machines whose record is stored.
+    /// Machines whose block is stored.
     pub machines: Vec<Id>,
 }
 
-/// What was given up and is to be looked at anew.
+/// Changes of an abandoned transaction that the leader has to process again.
 #[derive(Debug, Default)]
 pub(crate) struct AbandonedChanges {
-    /// Jobs whose record is newer than known.
+    /// Jobs whose stored record is newer than the leader's copy.
     pub stale_jobs: Vec<Id>,
     pub placements: Vec<PlannedPlacement>,
-    /// Jobs with entries that were not written, to be queued again; one may come several times.
+    /// Jobs with unwritten task entries, which have to be queued again. May contain duplicates.
     pub jobs_with_entries: Vec<Id>,
-    /// Jobs whose end was not written, to be queued again.
+    /// Jobs whose end was not written, which have to be queued again.
     pub ended_jobs: Vec<Id>,
 }
 
 impl Store {
-    /// A transaction was carried out.
+    /// Applies the changes of a transaction that was committed at `revision`.
     pub(crate) fn apply_committed(
         &mut self,
         changes: TransactionChanges,
@@ -43,9 +43,9 @@
         let blocks = &mut self.blocks;
         let machines = changes.blocks.into_iter().flat_map(|write| blocks.apply_committed(write, revision)).collect();
         scale_outs::apply_committed(changes.scale_outs, sources.scale_outs, revision);
-        // Without its first part a submission can't be referred to any more.
-        let rest = changes.submission_parts.into_iter().flat_map(|parts| parts.into_iter().skip(1));
-        self.unreferenced.add_keys(rest);
+        // Without its first part a submission can't be referenced any more, so the other parts can go unconditionally.
+        let other_parts = changes.submission_parts.into_iter().flat_map(|parts| parts.into_iter().skip(1));
+        self.unreferenced.add_keys(other_parts);
         self.owned_list.apply_committed(changes.owned_list, revision);
         if changes.catalog {
             self.catalog.apply_committed(revision);
@@ -53,8 +53,8 @@
         CommittedChanges { placements, ended_jobs: changes.ended_jobs, machines }
     }
 
-    /// A transaction was not carried out and never will be: what it held waits to be written again.
-    /// Records of jobs that conflicted are newer than known.
+    /// Queues the changes of a transaction that was not and can't be committed to be written again. The jobs whose
+    /// records conflicted are returned as stale.
     pub(crate) fn apply_abandoned(
         &mut self,
         changes: TransactionChanges,
@@ -64,7 +64,7 @@
         let stale_jobs: Vec<Id> = conflicting.iter().map(|key| Id::from(keys::job_id(key))).collect();
         self.blocks.apply_abandoned(&changes.blocks);
         scale_outs::apply_abandoned(&changes.scale_outs, sources.scale_outs);
-        // Parts of a job that was accepted meanwhile may be in use.
+        // A conflicting job may have been accepted in the meantime, and its record may refer to the parts.
         let unused = changes.submission_parts.into_iter().filter(|parts| !belongs_to_any(parts, &stale_jobs));
         self.unreferenced.add_submission_parts(unused);
         let builder = &changes.builder;
@@ -80,7 +80,7 @@
         AbandonedChanges { stale_jobs, placements, jobs_with_entries, ended_jobs: changes.ended_jobs }
     }
 
-    /// A job's end is stored: nothing refers to its entries and to the parts of its submission any more.
+    /// Releases the task entries and submission parts of a job whose end is stored, as nothing refers to them any more.
     pub(crate) fn job_ended(&mut self, job: &Job) {
         self.forget_job(job);
         let parts = self.submissions.remove(&job.id);
--- a/crates/core/src/leader/store/blocks.rs
+++ b/crates/core/src/leader/store/blocks.rs
@@ -1,4 +1,4 @@
-//! Blocks of machines: groups whose machines share one stored record.
+//! Machine blocks: groups of machines that share one stored record.
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::leader::fleet::images::ImageNames;
@@ -9,32 +9,32 @@
 use shaleshunt_wire::Revision;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Room to leave for the removal of a block.
-const REMOVAL_BYTES: usize = 100;
+/// Transaction bytes reserved for the removal of a block.
+const REMOVAL_SPACE_BYTES: usize = 100;
 
-/// A block of machines, as its record has or will have it.
+/// A machine block, as it is stored or will be.
 #[derive(Debug, Default)]
 struct Block {
     zone: String,
-    /// Whether its machines are owned.
+    /// Whether the block's machines are owned. Owned and rented machines are never in the same block.
     owned: bool,
     machines: BTreeSet<Id>,
-    /// Version of its record, if there is one.
+    /// Version of the block's record, or `Revision::ABSENT` if it is not stored.
     version: Revision,
-    /// When it was last written (ms, monotonic): images are noted now and then.
-    written_at: u64,
-    /// Blocks that took over some of its machines: they are stored first.
-    stored_after: BTreeSet<u32>,
+    /// Time of the last write (ms, monotonic). Cached images change all the time and are recorded at intervals.
+    written_at_ms: u64,
+    /// Blocks that took over some of this block's machines and have to be stored before it.
+    store_after: BTreeSet<u32>,
 }
 
-/// A block in a transaction; without machines if its record is removed.
+/// Write of a block's record in a transaction. `machines` is empty if the record is removed.
 #[derive(Debug)]
 pub(super) struct BlockWrite {
     number: u32,
     machines: Vec<Id>,
 }
 
-/// A block that was read during a failover.
+/// A block that a new leader read from the store.
 #[derive(Debug)]
 pub(crate) struct StoredBlock {
     pub number: u32,
@@ -44,48 +44,48 @@
     pub version: Revision,
 }
 
-/// Limits in force for blocks.
+/// Limits for writing blocks.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BlockLimits {
-    /// Most machines of a block.
+    /// Maximum number of machines in a block.
     pub machines: usize,
-    /// Most bytes of its record.
+    /// Maximum bytes of a block's record.
     pub value_bytes: usize,
-    /// Writes that a transaction may have after blocks were put into it.
+    /// Number of writes in the transaction at which no more blocks are added.
     pub writes: usize,
 }
 
-/// What a block's record is made from.
+/// Sources of the contents of block records.
 pub(super) struct BlockMembers<'a> {
     pub machines: &'a mut MachineIndex,
     pub images: &'a ImageNames,
 }
 
-/// The blocks. A machine with `record.block` set is a member of that block and of no other; until its
-/// block is stored, some other stored block holds it, or it is not recorded.
+/// All machine blocks. A machine with `record.block` set is a member of exactly that block. Until the block is stored,
+/// the machine is in the record of another block, or it is not recorded.
 #[derive(Debug, Default)]
 pub(super) struct MachineBlocks {
     blocks: BTreeMap<u32, Block>,
-    /// Blocks to be written.
+    /// Blocks that have to be written.
     dirty: BTreeSet<u32>,
-    /// Blocks from which machines went, to be written when there is room: a new leader finds those
-    /// machines silent and returns them once more.
-    thinned: BTreeSet<u32>,
-    /// The highest number that a block has had. None is used again: a late copy of the transaction
-    /// that began the first would be carried out.
-    newest: u32,
+    /// Blocks that lost machines and are written when there is budget to spare. Delay is harmless: a new leader finds
+    /// that these machines send no heartbeats and returns them again.
+    blocks_with_removals: BTreeSet<u32>,
+    /// The highest block number used so far. Numbers are not reused: a late copy of the transaction that created the
+    /// earlier block would commit.
+    max_number: u32,
 }
 
 impl MachineBlocks {
-    /// Takes in a block that an earlier leader stored.
+    /// Restores a block that an earlier leader stored.
     pub(super) fn restore(&mut self, now: u64, stored: StoredBlock) {
         let StoredBlock { number, zone, owned, machines, version } = stored;
-        let block = Block { zone, owned, machines, version, written_at: now, stored_after: BTreeSet::new() };
-        self.newest = self.newest.max(number);
+        let block = Block { zone, owned, machines, version, written_at_ms: now, store_after: BTreeSet::new() };
+        self.max_number = self.max_number.max(number);
         self.blocks.insert(number, block);
     }
 
-    /// Puts a machine that is in no block into one of its zone.
+    /// Adds a machine that is in no block to the newest suitable block of its zone with space, or to a new one.
     pub(super) fn join(&mut self, machine: &mut Machine, max_machines: usize) {
         if machine.record.block.is_some() {
             return;
@@ -94,8 +94,8 @@
             block.zone == machine.zone && block.owned == machine.owned && block.machines.len() < max_machines
         };
         let found = self.blocks.iter().rev().find(|(_, block)| has_space(block)).map(|(number, _)| *number);
-        let number = found.unwrap_or(self.newest + 1);
-        self.newest = self.newest.max(number);
+        let number = found.unwrap_or(self.max_number + 1);
+        self.max_number = self.max_number.max(number);
         let block = self.blocks.entry(number).or_default();
         block.zone.clone_from(&machine.zone);
         block.owned = machine.owned;
@@ -104,37 +104,37 @@
         self.dirty.insert(number);
     }
 
-    /// A machine is gone.
+    /// Removes a machine that no longer exists from its block.
     pub(super) fn remove_machine(&mut self, machine: &Machine) {
         let Some(number) = machine.record.block else { return };
         if let Some(block) = self.blocks.get_mut(&number) {
             block.machines.remove(&machine.id);
-            self.thinned.insert(number);
+            self.blocks_with_removals.insert(number);
         }
     }
 
-    /// What a block's record holds of a machine has changed.
+    /// Queues a machine's block to be written after recorded properties of the machine changed.
     pub(super) fn machine_changed(&mut self, machine: &Machine) {
         self.dirty.extend(machine.record.block);
     }
 
-    /// Whether blocks are to be written.
+    /// Whether any block has to be written.
     pub(super) fn has_dirty(&self) -> bool {
         !self.dirty.is_empty()
     }
 
-    /// There is room to write a block that need not be: one that was not written for so long, since
-    /// images change all the time, or else one from which machines went.
-    pub(super) fn mark_optional(&mut self, now: u64, rewrite_after_ms: u64) {
+    /// Queues one optional write if no other block has to be written: a block last written more than `rewrite_after_ms`
+    /// ago, whose recorded images are outdated, or else one that lost machines.
+    pub(super) fn queue_optional_rewrite(&mut self, now: u64, rewrite_after_ms: u64) {
         if self.has_dirty() {
             return;
         }
-        let is_old = |block: &Block| now.saturating_sub(block.written_at) > rewrite_after_ms;
+        let is_old = |block: &Block| now.saturating_sub(block.written_at_ms) > rewrite_after_ms;
         let old = self.blocks.iter().find(|(_, block)| is_old(block)).map(|(number, _)| *number);
-        self.dirty.extend(old.or_else(|| self.thinned.pop_first()));
+        self.dirty.extend(old.or_else(|| self.blocks_with_removals.pop_first()));
     }
 
-    /// Puts blocks that are to be written into a transaction.
+    /// Adds blocks that have to be written to a transaction.
     pub(super) fn collect(
         &mut self,
         now: u64,
@@ -150,14 +150,14 @@
             let Some(block) = self.blocks.get(&number) else { continue };
             if block.machines.is_empty() {
                 writes.extend(self.collect_removal(number, builder));
-            } else if !self.is_held_up(number, members.machines, limits.machines) {
+            } else if !self.must_wait(number, members.machines, limits.machines) {
                 writes.extend(self.collect_block(now, number, builder, members, limits.value_bytes));
             }
         }
         writes
     }
 
-    /// Removes the record of a block without machines.
+    /// Removes a block without machines, and its record if it is stored.
     fn collect_removal(&mut self, number: u32, builder: &mut TransactionBuilder) -> Option<BlockWrite> {
         let version = self.blocks.get(&number)?.version;
         if version == Revision::ABSENT {
@@ -165,7 +165,7 @@
             self.dirty.remove(&number);
             return None;
         }
-        if !builder.has_space_for(Space::one_write(REMOVAL_BYTES)) {
+        if !builder.has_space_for(Space::one_write(REMOVAL_SPACE_BYTES)) {
             return None;
         }
         builder.drop_key(keys::machine_block(number), version);
@@ -187,24 +187,24 @@
             return None;
         }
         builder.set(keys::machine_block(number), block.version, stored.value, stored.bytes);
-        block.written_at = now;
+        block.written_at_ms = now;
         self.dirty.remove(&number);
-        self.thinned.remove(&number);
+        self.blocks_with_removals.remove(&number);
         Some(BlockWrite { number, machines: stored.machines })
     }
 
-    /// Whether a block has to wait. One with more machines than fit into a value by now gives the rest
-    /// to other blocks; its own record shrinks only when theirs are stored, so that at any moment each
-    /// machine is in some record.
-    fn is_held_up(&mut self, number: u32, machines: &mut MachineIndex, max_machines: usize) -> bool {
+    /// Whether a block can't be written yet. A block that exceeds `max_machines`, lowered since, first moves the excess
+    /// machines to other blocks. Its own record shrinks only after theirs are stored, so that each machine is in some
+    /// record at any time.
+    fn must_wait(&mut self, number: u32, machines: &mut MachineIndex, max_machines: usize) -> bool {
         let Some(block) = self.blocks.get_mut(&number) else { return false };
         if block.machines.len() <= max_machines {
-            return !self.blocks[&number].stored_after.iter().all(|other| self.is_stored(*other));
+            return !self.blocks[&number].store_after.iter().all(|other| self.is_stored(*other));
         }
-        let rest: Vec<Id> = block.machines.iter().skip(max_machines).cloned().collect();
-        block.machines.retain(|id| !rest.contains(id));
+        let excess: Vec<Id> = block.machines.iter().skip(max_machines).cloned().collect();
+        block.machines.retain(|id| !excess.contains(id));
         let mut joined = BTreeSet::new();
-        for id in &rest {
+        for id in &excess {
             if let Some(machine) = machines.get_mut(id) {
                 machine.record.block = None;
                 self.join(machine, max_machines);
@@ -212,7 +212,7 @@
             }
         }
         if let Some(block) = self.blocks.get_mut(&number) {
-            block.stored_after.extend(joined);
+            block.store_after.extend(joined);
         }
         true
     }
@@ -222,7 +222,7 @@
         is_committed && !self.dirty.contains(&number)
     }
 
-    /// A block's record is stored or removed. Returns the machines that it holds.
+    /// Applies the committed write or removal of a block's record. Returns the machines in the record.
     pub(super) fn apply_committed(&mut self, write: BlockWrite, revision: Revision) -> Vec<Id> {
         let Some(block) = self.blocks.get_mut(&write.number) else { return write.machines };
         if write.machines.is_empty() && block.machines.is_empty() {
@@ -230,17 +230,17 @@
             return write.machines;
         }
         block.version = if write.machines.is_empty() { Revision::ABSENT } else { revision };
-        block.stored_after.clear();
+        block.store_after.clear();
         write.machines
     }
 
-    /// Nothing was stored: the blocks wait again.
+    /// Queues the blocks of an abandoned transaction again.
     pub(super) fn apply_abandoned(&mut self, writes: &[BlockWrite]) {
         self.dirty.extend(writes.iter().map(|write| write.number));
     }
 }
 
-/// A block's record as it is written.
+/// The serialized record of a block.
 struct StoredForm {
     value: Value,
     bytes: usize,
@@ -248,7 +248,8 @@
 }
 
 impl StoredForm {
-    /// Without images if it takes more than so many bytes with them: they are only a help.
+    /// Builds a block's record. Images, which are only a placement hint, are left out if they make the record larger
+    /// than `value_bytes`.
     fn new(block: &Block, members: &BlockMembers, value_bytes: usize) -> StoredForm {
         let (mut record, machines) = block_record(block, members);
         let mut value = json!(record);
@@ -263,21 +264,21 @@
     }
 }
 
-/// A block's record, and the machines in it.
+/// Builds a block's record. Returns the record and the machines in it.
 fn block_record(block: &Block, members: &BlockMembers) -> (BlockRecord, Vec<Id>) {
     let mut record = BlockRecord { zone: block.zone.clone(), ..BlockRecord::default() };
-    let mut place_of_image: BTreeMap<u32, u32> = BTreeMap::new();
+    let mut index_of_image: BTreeMap<u32, u32> = BTreeMap::new();
     let mut recorded = Vec::new();
     for id in &block.machines {
         let Some(machine) = members.machines.get(id) else { continue };
         let mut images = Vec::new();
         for cached in machine.images.iter() {
-            let place = place_of_image.entry(cached.image).or_insert_with(|| {
+            let index = index_of_image.entry(cached.image).or_insert_with(|| {
                 let name = members.images.name(cached.image).to_string();
                 record.images.push(ImageRecord { name, gb: cached.size_gb });
                 record.images.len() as u32 - 1
             });
-            images.push(*place);
+            images.push(*index);
         }
         record.machines.insert(id.to_string(), machine_record(machine, images));
         recorded.push(id.clone());
--- a/crates/core/src/leader/store/catalog.rs
+++ b/crates/core/src/leader/store/catalog.rs
@@ -1,4 +1,4 @@
-//! The recorded machine types, so that nodes know them in an outage of the cloud.
+//! The stored record of the machine types, which makes them available to controllers during an outage of the cloud.
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::records::keys;
@@ -6,18 +6,19 @@
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::cloud::Catalog;
 
-/// Bytes that a machine type takes, as a first guess.
-const MACHINE_TYPE_BYTES: usize = 300;
+/// Estimated bytes of a machine type in the record.
+const ESTIMATED_MACHINE_TYPE_BYTES: usize = 300;
 
-/// What is known of the machine types' record.
+/// Bookkeeping for the record of the machine types.
 #[derive(Debug, Default)]
 pub(super) struct CatalogRecord {
+    /// Version of the stored record. `None` if it is not stored.
     version: Option<Revision>,
     pending: bool,
 }
 
 impl CatalogRecord {
-    /// The record was read during a failover.
+    /// Restores the version of a record that an earlier leader stored.
     pub(super) fn restore(&mut self, version: Revision) {
         self.version = Some(version);
     }
@@ -31,8 +32,8 @@
         self.pending = true;
     }
 
-    /// Puts the record into a transaction if there is room. One that is too long for a value is not
-    /// written: each node asks the cloud for it. Whether it is in the transaction.
+    /// Adds the record to a transaction if there is space, and returns whether it was added. A record that exceeds a
+    /// value is not written; each controller then asks the cloud for the machine types.
     pub(super) fn collect(
         &mut self,
         catalog: Option<&Catalog>,
@@ -40,9 +41,9 @@
         builder: &mut TransactionBuilder,
     ) -> bool {
         let Some(catalog) = catalog.filter(|_| self.pending) else { return false };
-        let guess = Space::one_write(catalog.machine_types.len() * MACHINE_TYPE_BYTES);
-        // Pages being put together are left out of account here: the record is written once.
-        if !builder.has_space_without_reserved(guess) {
+        let estimate = Space::one_write(catalog.machine_types.len() * ESTIMATED_MACHINE_TYPE_BYTES);
+        // The record is written only once, so space reserved for task pages is not considered.
+        if !builder.has_space_without_reserved(estimate) {
             return false;
         }
         let value = json!(catalog);
@@ -55,7 +56,7 @@
         true
     }
 
-    /// The record is stored.
+    /// Applies the committed write of the record.
     pub(super) fn apply_committed(&mut self, revision: Revision) {
         self.version = Some(revision);
     }
--- a/crates/core/src/leader/store/changes.rs
+++ b/crates/core/src/leader/store/changes.rs
@@ -1,4 +1,4 @@
-//! Everything that one transaction changes: the transaction itself, and what its success means.
+//! The changes of one transaction: the request itself, and the bookkeeping to apply when it commits or is abandoned.
 
 use super::blocks::BlockWrite;
 use super::owned_list::OwnedListWrite;
@@ -10,26 +10,26 @@
 use crate::records::keys;
 use crate::step_down::ForeignWrite;
 
-/// What one transaction changes.
+/// All changes of one transaction.
 #[derive(Debug)]
 pub(crate) struct TransactionChanges {
     pub(super) builder: TransactionBuilder,
     pub(super) pages: PageChanges,
-    /// Jobs whose end is written.
+    /// Jobs whose end is written by the transaction.
     pub(super) ended_jobs: Vec<Id>,
     pub(super) blocks: Vec<BlockWrite>,
     pub(super) scale_outs: ScaleOutWrites,
-    /// Parts of submissions of which the first is removed.
+    /// Unreferenced submissions, by their parts. The transaction removes the first part of each.
     pub(super) submission_parts: Vec<SubmissionParts>,
-    /// Keys that are removed because what they held has been written anew.
+    /// Keys that are removed because their contents are stored elsewhere or no longer needed.
     pub(super) obsolete_keys: Vec<String>,
     pub(super) owned_list: Vec<OwnedListWrite>,
-    /// The machine types are written.
+    /// Whether the record of the machine types is written.
     pub(super) catalog: bool,
 }
 
 impl TransactionChanges {
-    /// None yet.
+    /// Creates an empty set of changes.
     pub(super) fn new(limits: TransactionLimits) -> TransactionChanges {
         TransactionChanges {
             builder: TransactionBuilder::new(limits),
@@ -44,7 +44,8 @@
         }
     }
 
-    /// The first of the keys that conflicted which is not a job's record: users change those too.
+    /// Returns the first conflicting key that only the leader writes. Job records are excluded, as users change them
+    /// too.
     pub(super) fn foreign_write(&self, conflicting: &[String]) -> Option<ForeignWrite> {
         let key = conflicting.iter().find(|key| !key.starts_with(keys::JOBS))?;
         Some(ForeignWrite { key: key.clone(), expected: self.builder.required_version(key), found: None })
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -1,4 +1,4 @@
-//! Putting a transaction together from what is due, the most urgent first.
+//! Collects the changes that are due into a transaction, the most urgent first.
 
 use super::blocks::{BlockLimits, BlockMembers};
 use super::changes::TransactionChanges;
@@ -8,17 +8,17 @@
 use crate::model::{Id, Job};
 use std::collections::BTreeMap;
 
-/// So many jobs whose entries find no room end the search for smaller ones.
+/// Number of jobs whose entries don't fit after which no further, smaller jobs are tried.
 const MAX_JOBS_WITHOUT_SPACE: usize = 4;
-/// While other work waits, blocks have this part of a transaction.
-const BLOCK_PART: usize = 4;
-/// A block is written at least once in so many leases' time.
-const BLOCK_REWRITE_LEASES: u64 = 2;
-/// Outcomes wait for this part of a heartbeat interval for placements to go along with.
-const OUTCOME_PATIENCE_PART: u64 = 4;
+/// While placements or job ends wait, machine blocks take at most one in this many of a transaction's writes.
+const BLOCK_WRITES_DIVISOR: usize = 4;
+/// Time after which a machine block is rewritten if there is budget to spare, in machine lease durations.
+const BLOCK_REWRITE_INTERVAL_LEASES: u64 = 2;
+/// Outcomes wait for placements to share a transaction with for one heartbeat interval divided by this number.
+const OUTCOME_DELAYS_PER_HEARTBEAT: u64 = 4;
 
 impl Store {
-    /// Puts what is due into a transaction. `rate` is the leader's share of writes a second.
+    /// Adds all changes that are due to a transaction. `rate` is the leader's share of writes per second.
     pub(super) fn collect_changes(
         &mut self,
         ctx: &StoreContext,
@@ -29,8 +29,8 @@
         let max_writes = changes.builder.limits().writes;
         self.collect_blocks(ctx, sources, changes, rate);
         changes.scale_outs = scale_outs::collect(&mut changes.builder, sources.scale_outs, sources.machines);
-        // Users wait for ends as for starts: each may take half of what there is, and what the other
-        // leaves.
+        // Users wait for jobs to end as they wait for tasks to start: each kind may take half of the writes, plus what
+        // the other leaves.
         self.collect_job_ends(ctx, sources.jobs, changes, max_writes.div_ceil(2));
         self.collect_placements(ctx, sources.jobs, changes);
         self.collect_job_ends(ctx, sources.jobs, changes, max_writes);
@@ -38,13 +38,13 @@
         changes.catalog = self.catalog.collect(ctx.catalog, ctx.limits.value_bytes(), &mut changes.builder);
         self.collect_outcomes(ctx, sources.jobs, changes);
         self.pages.collect_drafts(&mut changes.builder, &mut changes.pages);
-        // The rest takes what others leave.
+        // Cleanup takes the writes that are left.
         self.collect_unreferenced(ctx, sources.jobs, changes, rate);
         self.collect_obsolete_keys(changes, rate);
     }
 
-    /// Machines that came are of use only when they are recorded; those that went are taken out when
-    /// there is room. While other work waits, it has most of the room.
+    /// Adds machine blocks. New machines can't be used before they are recorded; removed machines leave their block's
+    /// record when there is budget to spare. While placements or job ends wait, these have most of the transaction.
     fn collect_blocks(
         &mut self,
         ctx: &StoreContext,
@@ -55,19 +55,19 @@
         let now = ctx.now.monotonic_ms;
         if self.budget.has_half_after(0, rate) {
             let lease_ms = (ctx.settings.lease_s * 1000.0) as u64;
-            self.blocks.mark_optional(now, lease_ms * BLOCK_REWRITE_LEASES);
+            self.blocks.queue_optional_rewrite(now, lease_ms * BLOCK_REWRITE_INTERVAL_LEASES);
         }
         let max_writes = changes.builder.limits().writes;
         let limits = BlockLimits {
             machines: ctx.limits.block_machines(),
             value_bytes: ctx.limits.value_bytes(),
-            writes: if self.queue.has_urgent_work() { max_writes.div_ceil(BLOCK_PART) } else { max_writes },
+            writes: if self.queue.has_urgent_work() { max_writes.div_ceil(BLOCK_WRITES_DIVISOR) } else { max_writes },
         };
         let mut members = BlockMembers { machines: sources.machines, images: sources.images };
         changes.blocks = self.blocks.collect(now, &mut changes.builder, &mut members, limits);
     }
 
-    /// Puts jobs' ends into the transaction while it has fewer writes than this.
+    /// Adds ends of jobs while the transaction has fewer than `max_writes` writes.
     fn collect_job_ends(
         &mut self,
         ctx: &StoreContext,
@@ -87,16 +87,16 @@
         }
     }
 
-    /// Jobs with placements to commit.
+    /// Adds the task entries of jobs with placements to commit.
     fn collect_placements(
         &mut self,
         ctx: &StoreContext,
         jobs: &mut BTreeMap<Id, Job>,
         changes: &mut TransactionChanges,
     ) {
-        let due = self.queue.first_urgent(changes.builder.limits().conditions);
+        let urgent_jobs = self.queue.first_urgent(changes.builder.limits().conditions);
         let mut jobs_without_space = 0;
-        for urgent in due {
+        for urgent in urgent_jobs {
             if jobs_without_space >= MAX_JOBS_WITHOUT_SPACE {
                 break;
             }
@@ -112,15 +112,16 @@
         }
     }
 
-    /// Outcomes go along with placements, or alone after a while.
+    /// Adds task outcomes: together with placements, or alone once they have waited long enough.
     fn collect_outcomes(&mut self, ctx: &StoreContext, jobs: &mut BTreeMap<Id, Job>, changes: &mut TransactionChanges) {
         let heartbeat_interval_ms = ctx.settings.heartbeat_interval_ms();
-        let patience_ms = if changes.pages.has_drafts() { 0 } else { heartbeat_interval_ms / OUTCOME_PATIENCE_PART };
+        let delay_ms =
+            if changes.pages.has_drafts() { 0 } else { heartbeat_interval_ms / OUTCOME_DELAYS_PER_HEARTBEAT };
         while let Some(deferred) = self.queue.first_deferred() {
-            if ctx.now.monotonic_ms.saturating_sub(deferred.since_ms) < patience_ms {
+            if ctx.now.monotonic_ms.saturating_sub(deferred.since_ms) < delay_ms {
                 break;
             }
-            // A job's placements go with all else that is to be said of it.
+            // All entries of a job go together, so a job whose placements are in the transaction is complete.
             let is_collected = changes.pages.has_entries_of(&deferred.job);
             if !is_collected && !self.collect_entries(ctx, jobs, changes, &deferred.job) {
                 break;
@@ -132,7 +133,7 @@
         }
     }
 
-    /// Puts entries of a job into the transaction; false if not all fit.
+    /// Adds the entries of a job to the transaction. Returns false if not all fit.
     fn collect_entries(
         &self,
         ctx: &StoreContext,
@@ -144,12 +145,12 @@
         self.pages.collect_entries(&mut changes.builder, &mut changes.pages, job, ctx.limits.page_bytes())
     }
 
-    /// Whether half of the budget stays free for what is urgent.
+    /// Whether half of the write budget stays free for urgent changes.
     fn has_spare_budget(&self, changes: &TransactionChanges, rate: f64) -> bool {
         self.budget.has_half_after(changes.builder.write_count(), rate)
     }
 
-    /// Removes what nothing refers to, and has what is left on an old page written anew.
+    /// Removes unreferenced records and starts the compaction of a sparse page.
     fn collect_unreferenced(
         &mut self,
         ctx: &StoreContext,
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Has the entries on a page that still count written anew.
+    /// Queues the live entries of a page to be written to a newer page.
     fn rewrite_entries(&mut self, now: u64, jobs: &mut BTreeMap<Id, Job>, compaction: &PageCompaction) {
         for id in &compaction.jobs {
             let Some(job) = jobs.get_mut(id) else { continue };
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Removes keys that hold nothing any more.
+    /// Removes keys whose contents are stored elsewhere or no longer needed.
     fn collect_obsolete_keys(&mut self, changes: &mut TransactionChanges, rate: f64) {
         if self.queue.is_empty() && !self.blocks.has_dirty() {
             self.unreferenced.release_v0_1_keys();
@@ -193,9 +194,8 @@
     }
 }
 
-/// Puts a job's end into a transaction; false if there is no room. It has ended when every placement of
-/// it has been proven gone. One whose record is stale is left out: it is queued again when the record has
-/// been read.
+/// Adds a job's end to a transaction. Returns false if there is no space. A job has ended when every placement of it
+/// has been proven gone. A job whose record is stale is skipped: it is queued again when the record has been read.
 fn collect_job_end(ctx: &StoreContext, job: &Job, changes: &mut TransactionChanges) -> bool {
     if job.record.stale || !job.has_ended() || changes.ended_jobs.contains(&job.id) {
         return true;
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -1,7 +1,8 @@
-//! Sending a transaction, and finding out what became of it.
+//! Sends transactions and resolves those with an unknown outcome.
 //!
-//! A transaction that brought no answer is settled by reading a key that it writes (its marker), and
-//! is sent again as it was while that key has not changed: whichever copy comes first counts.
+//! When a transaction gets no reply, its outcome is resolved by reading a key that it writes (its marker). While the
+//! marker is unchanged, the same transaction is sent again: all copies have the same preconditions, so at most one of
+//! them commits.
 
 use super::Store;
 use super::changes::TransactionChanges;
@@ -14,103 +15,104 @@
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::{Condition, Transaction};
 
-/// A transaction without an answer is tried again so many times in a heartbeat interval.
+/// Retries of an unanswered request, per heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
-/// With few writes in hand transactions keep so many times the usual distance: each is to be worth
-/// its page, the more so where pages are small.
-const SCARCE_GAP: f64 = 5.0;
-const SCARCE_GAP_SMALL_PAGES: f64 = 10.0;
+/// Factor on the interval between transactions while the write budget is scarce. Fewer, fuller transactions make better
+/// use of the task page that each of them writes.
+const SCARCE_INTERVAL_FACTOR: f64 = 5.0;
+/// As [`SCARCE_INTERVAL_FACTOR`], for small task pages, where good use of each page matters more.
+const SCARCE_INTERVAL_FACTOR_SMALL_PAGES: f64 = 10.0;
 
-/// Whether an earlier copy of the transaction under way may have been carried out.
+/// Whether an earlier copy of the transaction in flight may have been committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum EarlierCopies {
-    /// None: each was answered.
+    /// No earlier copy can have been committed: each was answered.
     Answered,
-    /// One brought no answer.
+    /// A copy was not answered.
     Unanswered,
-    /// One brought no answer, and a later one was rejected as too large: it is not sent again.
+    /// A copy was not answered, and a later one was rejected as too large. The transaction is not sent again.
     UnansweredThenRejected,
-    /// One brought no answer, and these keys of a later one conflicted.
+    /// A copy was not answered, and a later one conflicted on these keys.
     UnansweredThenConflict(Vec<String>),
 }
 
-/// What is to be done after the answer to a transaction.
+/// Action that follows the reply to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum AfterReply {
-    /// It was carried out at this revision.
+pub(super) enum ReplyAction {
+    /// The transaction committed at this revision.
     Apply(Revision),
-    /// The epoch is over.
+    /// The condition on the epoch failed: another leader has been elected.
     StepDown,
-    /// Nothing was changed: these keys conflicted.
+    /// The transaction had no effect because these keys conflicted.
     Abandon(Vec<String>),
-    /// It conflicted, perhaps with an earlier copy of itself: that is found out at once.
-    Settle(EarlierCopies),
-    /// It is too large for limits that have fallen.
+    /// The transaction conflicted, possibly with an earlier copy of itself: the marker is read immediately.
+    ReadMarkerNow(EarlierCopies),
+    /// The transaction exceeds the store's limits, which have been lowered. Holds the store's reason.
     TooLarge(String),
-    /// It was not carried out and is sent again after a pause.
+    /// The transaction had no effect and is sent again after a delay.
     Retry,
-    /// It may have been carried out: that is found out after a pause.
-    SettleLater,
+    /// The transaction may have been committed: the marker is read after a delay.
+    ReadMarkerLater,
 }
 
-/// What follows from the answer to a transaction.
-pub(super) fn after_reply(copies: &EarlierCopies, result: Result<KvReply, RequestError>) -> AfterReply {
+/// Chooses the action for the reply to a transaction, given the state of earlier copies.
+pub(super) fn reply_action(copies: &EarlierCopies, result: Result<KvReply, RequestError>) -> ReplyAction {
     let is_answered = *copies == EarlierCopies::Answered;
     match result {
-        Ok(KvReply::Committed(revision)) => AfterReply::Apply(revision),
-        Ok(KvReply::Conflict(failed)) if failed.iter().any(|key| key == keys::EPOCH) => AfterReply::StepDown,
-        Ok(KvReply::Conflict(failed)) if is_answered => AfterReply::Abandon(failed),
-        Ok(KvReply::Conflict(failed)) if failed.is_empty() => AfterReply::Settle(EarlierCopies::Unanswered),
-        Ok(KvReply::Conflict(failed)) => AfterReply::Settle(EarlierCopies::UnansweredThenConflict(failed)),
+        Ok(KvReply::Committed(revision)) => ReplyAction::Apply(revision),
+        Ok(KvReply::Conflict(failed)) if failed.iter().any(|key| key == keys::EPOCH) => ReplyAction::StepDown,
+        Ok(KvReply::Conflict(failed)) if is_answered => ReplyAction::Abandon(failed),
+        Ok(KvReply::Conflict(failed)) if failed.is_empty() => ReplyAction::ReadMarkerNow(EarlierCopies::Unanswered),
+        Ok(KvReply::Conflict(failed)) => ReplyAction::ReadMarkerNow(EarlierCopies::UnansweredThenConflict(failed)),
         Err(
             RequestError::NotSent | RequestError::LocalOverload | RequestError::Unavailable | RequestError::Throttled,
-        ) => AfterReply::Retry,
-        // Too large, as all else is checked before it is sent.
+        ) => ReplyAction::Retry,
+        // Everything but the size is checked before a transaction is sent, so the size is the cause of a rejection.
         Err(RequestError::Rejected(reason)) if *copies != EarlierCopies::UnansweredThenRejected => {
-            AfterReply::TooLarge(reason)
+            ReplyAction::TooLarge(reason)
         }
-        _ => AfterReply::SettleLater,
+        _ => ReplyAction::ReadMarkerLater,
     }
 }
 
-/// What is to be done with a transaction of which it is known that no copy was carried out so far.
+/// Action for a transaction of which no copy has been committed so far.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum AfterSettling {
-    /// It is sent once more.
+pub(super) enum UnchangedMarkerAction {
+    /// The same transaction is sent again.
     Resend,
-    /// It is given up for one that is smaller or without what conflicted. Both write the marker: only
-    /// one of the two can be carried out.
+    /// The transaction is abandoned. The next one is smaller or lacks the changes that conflicted. Both write the
+    /// marker under the same precondition, so at most one of the two can commit.
     Abandon(Vec<String>),
 }
 
-/// What follows when the marker has not changed.
-pub(super) fn after_unchanged_marker(copies: EarlierCopies) -> AfterSettling {
+/// Chooses the action for a transaction whose marker has not changed.
+pub(super) fn unchanged_marker_action(copies: EarlierCopies) -> UnchangedMarkerAction {
     match copies {
-        EarlierCopies::Answered | EarlierCopies::Unanswered => AfterSettling::Resend,
-        EarlierCopies::UnansweredThenRejected => AfterSettling::Abandon(Vec::new()),
-        EarlierCopies::UnansweredThenConflict(failed) => AfterSettling::Abandon(failed),
+        EarlierCopies::Answered | EarlierCopies::Unanswered => UnchangedMarkerAction::Resend,
+        EarlierCopies::UnansweredThenRejected => UnchangedMarkerAction::Abandon(Vec::new()),
+        EarlierCopies::UnansweredThenConflict(failed) => UnchangedMarkerAction::Abandon(failed),
     }
 }
 
-/// The transaction under way. Nothing else is written before it is known what became of it.
+/// The transaction in flight. Nothing else is written until its outcome is known.
 #[derive(Debug)]
 pub(super) struct InFlight {
     changes: TransactionChanges,
-    /// A key that it writes, and its version before.
+    /// A key that the transaction writes, with the version that it had before.
     marker: Condition,
     copies: EarlierCopies,
-    /// A request about it is under way.
+    /// Whether a request about the transaction is in flight.
     awaiting_reply: bool,
 }
 
 impl InFlight {
-    /// A transaction that is being sent; none if it has no writes.
+    /// Starts a transaction that is about to be sent. `None` if it has no writes.
     fn new(changes: TransactionChanges) -> Option<InFlight> {
         let marker = changes.builder.marker()?;
         Some(InFlight { changes, marker, copies: EarlierCopies::Answered, awaiting_reply: true })
     }
 
-    /// The next request about it, unless one is under way.
+    /// Returns the next request about the transaction, unless one is in flight.
     fn resume(&mut self) -> Option<CommitRequest> {
         if self.awaiting_reply {
             return None;
@@ -129,7 +131,7 @@
         CommitRequest { request: KvRequest::Get { key }, step: CommitStep::ReadMarker }
     }
 
-    /// Asks whether the marker has a version while the epoch holds.
+    /// Builds a transaction without writes that succeeds if the marker has this version and the epoch is unchanged.
     fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
         let conditions = vec![
             Condition { path: keys::EPOCH.into(), version: epoch_version },
@@ -148,51 +150,52 @@
     }
 }
 
-/// What a request about the transaction under way is for.
+/// Purpose of a request about the transaction in flight.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CommitStep {
-    /// It is carried out.
+    /// Commits the transaction.
     Send,
-    /// Its marker is read.
+    /// Reads the marker.
     ReadMarker,
-    /// Whether the marker had this version while the epoch held.
+    /// Checks that the marker has this version in the leader's own epoch.
     CompareMarker(Revision),
 }
 
-/// A request about the transaction under way. Its reply goes to [`Store::handle_reply`].
+/// A request about the transaction in flight. Its reply is passed to [`Store::handle_reply`].
 #[derive(Debug)]
 pub(crate) struct CommitRequest {
     pub request: KvRequest,
     pub step: CommitStep,
 }
 
-/// What has become of the transaction under way.
+/// Outcome of the transaction in flight, as far as it is known after a reply.
 #[derive(Debug)]
 pub(crate) enum CommitOutcome {
-    /// That is not known yet: [`Store::next_request`] goes on with it.
+    /// The outcome is unknown. [`Store::next_request`] returns the next step when it is due.
     Pending,
-    /// The next request about it.
+    /// The next request has to be sent immediately.
     SendRequest(CommitRequest),
-    /// It was carried out.
+    /// The transaction was committed.
     Committed { changes: Box<TransactionChanges>, revision: Revision },
-    /// It was not carried out and never will be; these keys conflicted.
+    /// The transaction was not and can't be committed. `conflicting` holds the keys that conflicted.
     Abandoned { changes: Box<TransactionChanges>, conflicting: Vec<String> },
-    /// A key that only the leader writes was written by somebody else. Nothing more is sent.
+    /// Another writer changed a key that only the leader writes. Nothing more is sent.
     ForeignWrite(ForeignWrite),
-    /// It is too large for limits that have fallen. [`Store::limits_lowered`] goes on with it, or
-    /// [`Store::discard_in_flight`] ends it.
+    /// The transaction exceeds the store's limits, which have been lowered. The caller continues with
+    /// [`Store::limits_lowered`] or drops the transaction with [`Store::discard_in_flight`].
     TooLarge(String),
-    /// The epoch is over.
+    /// Another leader has been elected.
     EpochOver,
 }
 
 impl Store {
-    /// What is to be sent now: the next step of the transaction under way, or what is due.
+    /// Returns the request to send now: the next step of the transaction in flight, or a new transaction with all
+    /// changes that are due.
     pub(crate) fn next_request(&mut self, ctx: &StoreContext, sources: &mut RecordSources) -> Option<CommitRequest> {
         let now = ctx.now.monotonic_ms;
         let rate = self.write_rate(ctx);
         self.budget.refill(now, rate);
-        if now < self.next_commit_at {
+        if now < self.next_commit_at_ms {
             return None;
         }
         match &mut self.in_flight {
@@ -201,7 +204,7 @@
         }
     }
 
-    /// Writes a second that are the leader's now.
+    /// The leader's current share of the store's write rate, in writes per second.
     fn write_rate(&self, ctx: &StoreContext) -> f64 {
         let demand = match (ctx.submissions_waiting, self.queue.has_urgent_work()) {
             (true, _) => WriteDemand::Submissions,
@@ -225,8 +228,8 @@
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
-        // What becomes due meanwhile shares the next one.
-        self.next_commit_at = ctx.now.monotonic_ms + commit_gap_ms(ctx, self.budget.is_scarce(rate));
+        // Changes that become due during this interval share the next transaction.
+        self.next_commit_at_ms = ctx.now.monotonic_ms + commit_interval_ms(ctx, self.budget.is_scarce(rate));
         let transaction = in_flight.changes.builder.transaction();
         self.budget.spend(transaction.writes.len());
         self.write_counts.count(transaction);
@@ -235,7 +238,7 @@
         Some(request)
     }
 
-    /// A request about the transaction under way was answered, or not.
+    /// Handles the reply to a request about the transaction in flight, or its failure.
     pub(crate) fn handle_reply(
         &mut self,
         ctx: &StoreContext,
@@ -257,26 +260,26 @@
         mut in_flight: InFlight,
         result: Result<KvReply, RequestError>,
     ) -> CommitOutcome {
-        match after_reply(&in_flight.copies, result) {
-            AfterReply::Apply(revision) => in_flight.into_committed(revision),
-            AfterReply::StepDown => CommitOutcome::EpochOver,
-            AfterReply::Abandon(conflicting) => self.abandon(in_flight, conflicting),
-            AfterReply::Settle(copies) => {
+        match reply_action(&in_flight.copies, result) {
+            ReplyAction::Apply(revision) => in_flight.into_committed(revision),
+            ReplyAction::StepDown => CommitOutcome::EpochOver,
+            ReplyAction::Abandon(conflicting) => self.abandon(in_flight, conflicting),
+            ReplyAction::ReadMarkerNow(copies) => {
                 in_flight.copies = copies;
                 let request = in_flight.read_marker();
-                self.keep(in_flight, request)
+                self.keep_and_send(in_flight, request)
             }
-            AfterReply::TooLarge(reason) => {
+            ReplyAction::TooLarge(reason) => {
                 self.in_flight = Some(in_flight);
                 CommitOutcome::TooLarge(reason)
             }
-            AfterReply::Retry => self.pause(ctx, in_flight),
-            AfterReply::SettleLater => {
-                // What conflicted or was rejected before still is to be given up.
+            ReplyAction::Retry => self.retry_later(ctx, in_flight),
+            ReplyAction::ReadMarkerLater => {
+                // An earlier conflict or rejection still leads to abandoning the transaction.
                 if in_flight.copies == EarlierCopies::Answered {
                     in_flight.copies = EarlierCopies::Unanswered;
                 }
-                self.pause(ctx, in_flight)
+                self.retry_later(ctx, in_flight)
             }
         }
     }
@@ -290,19 +293,19 @@
         let version = match result {
             Ok(KvReply::Found(pair)) => pair.version,
             Ok(KvReply::Missing) => Revision::ABSENT,
-            _ => return self.pause(ctx, in_flight),
+            _ => return self.retry_later(ctx, in_flight),
         };
         if version != in_flight.marker.version {
-            // Changed: by us, if the epoch is still ours at this version of it.
+            // This leader made the change if the epoch is unchanged while the marker has this version.
             let request = in_flight.compare_marker(ctx.epoch_version, version);
-            return self.keep(in_flight, request);
+            return self.keep_and_send(in_flight, request);
         }
-        match after_unchanged_marker(in_flight.copies.clone()) {
-            AfterSettling::Resend => {
+        match unchanged_marker_action(in_flight.copies.clone()) {
+            UnchangedMarkerAction::Resend => {
                 let request = in_flight.send();
-                self.keep(in_flight, request)
+                self.keep_and_send(in_flight, request)
             }
-            AfterSettling::Abandon(conflicting) => self.abandon(in_flight, conflicting),
+            UnchangedMarkerAction::Abandon(conflicting) => self.abandon(in_flight, conflicting),
         }
     }
 
@@ -316,16 +319,16 @@
         match result {
             Ok(KvReply::Committed(_)) => in_flight.into_committed(version),
             Ok(KvReply::Conflict(_)) => {
-                // Nothing more is sent.
+                // `awaiting_reply` keeps `next_request` from sending anything more.
                 self.in_flight = Some(InFlight { awaiting_reply: true, ..in_flight });
                 CommitOutcome::EpochOver
             }
-            _ => self.pause(ctx, in_flight),
+            _ => self.retry_later(ctx, in_flight),
         }
     }
 
-    /// The limits have been lowered after a transaction was too large: what follows is smaller. If an
-    /// earlier copy may have been carried out, that is settled first.
+    /// Continues after the limits were lowered for a transaction that was too large; the next one is smaller. If an
+    /// earlier copy may have been committed, its outcome is resolved first.
     pub(crate) fn limits_lowered(&mut self) -> CommitOutcome {
         let Some(mut in_flight) = self.in_flight.take() else { return CommitOutcome::Pending };
         if in_flight.copies == EarlierCopies::Answered {
@@ -336,45 +339,46 @@
         CommitOutcome::Pending
     }
 
-    /// The limits can't be lowered: the transaction is given up with the leadership.
+    /// Drops the transaction in flight, when the limits can't be lowered and the leader steps down.
     pub(crate) fn discard_in_flight(&mut self) {
         self.in_flight = None;
     }
 
-    /// Keeps the transaction while a request about it is under way.
-    fn keep(&mut self, mut in_flight: InFlight, request: CommitRequest) -> CommitOutcome {
+    /// Keeps the transaction in flight and returns the next request about it.
+    fn keep_and_send(&mut self, mut in_flight: InFlight, request: CommitRequest) -> CommitOutcome {
         in_flight.awaiting_reply = true;
         self.in_flight = Some(in_flight);
         CommitOutcome::SendRequest(request)
     }
 
-    /// Keeps the transaction and goes on with it after a while.
-    fn pause(&mut self, ctx: &StoreContext, in_flight: InFlight) -> CommitOutcome {
-        let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
-        self.next_commit_at = ctx.now.monotonic_ms + pause_ms;
+    /// Keeps the transaction in flight and delays its next step.
+    fn retry_later(&mut self, ctx: &StoreContext, in_flight: InFlight) -> CommitOutcome {
+        let delay_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+        self.next_commit_at_ms = ctx.now.monotonic_ms + delay_ms;
         self.in_flight = Some(in_flight);
         CommitOutcome::Pending
     }
 
-    /// No copy was or will be carried out. Conflicts on jobs' records are users' changes; any other
-    /// key is written by the leader alone: then the transaction stays under way, so that nothing more is
-    /// sent.
+    /// Ends a transaction of which no copy has been or can be committed. A conflict on a job's record is a user's
+    /// change. All other keys are written by the leader alone: a conflict on one of them leaves the transaction in
+    /// flight, so that nothing more is sent.
     fn abandon(&mut self, mut in_flight: InFlight, conflicting: Vec<String>) -> CommitOutcome {
-        let Some(write) = in_flight.changes.foreign_write(&conflicting) else {
+        let Some(foreign_write) = in_flight.changes.foreign_write(&conflicting) else {
             return in_flight.into_abandoned(conflicting);
         };
         in_flight.awaiting_reply = true;
         self.in_flight = Some(in_flight);
-        CommitOutcome::ForeignWrite(write)
+        CommitOutcome::ForeignWrite(foreign_write)
     }
 }
 
-/// Time from one transaction to the next.
-fn commit_gap_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
-    let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
+/// Minimum interval between transactions, in milliseconds.
+fn commit_interval_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
+    let interval_ms = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
     let has_small_pages = ctx.limits.page_bytes() < ctx.settings.state.value_bytes() / 2;
-    let scarce_gap = gap * if has_small_pages { SCARCE_GAP_SMALL_PAGES } else { SCARCE_GAP };
-    if is_budget_scarce { scarce_gap as u64 } else { gap as u64 }
+    let scarce_interval_ms =
+        interval_ms * if has_small_pages { SCARCE_INTERVAL_FACTOR_SMALL_PAGES } else { SCARCE_INTERVAL_FACTOR };
+    if is_budget_scarce { scarce_interval_ms as u64 } else { interval_ms as u64 }
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/store/job_ends.rs
+++ b/crates/core/src/leader/store/job_ends.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs: the record goes and a final record comes, in one transaction.
+//! Ends of jobs: the job's record is replaced by a final record in one transaction.
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::model::Job;
@@ -6,11 +6,13 @@
 use serde_json::json;
 use shaleshunt_wire::Revision;
 
-/// Room to leave for a job's end, and what its final record takes at most.
+/// Transaction bytes reserved for a job's end.
 const END_SPACE_BYTES: usize = 400;
-const FINAL_RECORD_BYTES: usize = 50;
+/// Maximum bytes of a final record.
+const MAX_FINAL_RECORD_BYTES: usize = 50;
 
-/// Puts a job's end into a transaction beside pages of so many bytes; false if there is no room.
+/// Adds a job's end to a transaction in addition to task pages of `page_bytes` bytes. Returns false if there is no
+/// space.
 pub(super) fn collect(builder: &mut TransactionBuilder, job: &Job, page_bytes: usize, now_wall_ms: u64) -> bool {
     let space = Space {
         writes: 2 + usize::from(job.record.has_cancellation_key),
@@ -22,9 +24,9 @@
     }
     builder.drop_job(job);
     let record = FinalRecord { cancelled: job.cancelled, tasks: job.spec.tasks, ended_at_ms: now_wall_ms };
-    builder.set(keys::final_record(&job.id), Revision::ABSENT, json!(record), FINAL_RECORD_BYTES);
+    builder.set(keys::final_record(&job.id), Revision::ABSENT, json!(record), MAX_FINAL_RECORD_BYTES);
     if job.record.has_cancellation_key {
-        // Written with the job's record, so of the same revision.
+        // The cancellation is written in one transaction with the job's record, so both have the same revision.
         builder.drop_key(keys::cancellation(&job.id), job.record.version);
     }
     true
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -1,23 +1,23 @@
 //! The leader's writes to the key-value store.
 //!
-//! `Store` owns what waits to be written and what is known of the stored records: their versions, the
-//! pages of task entries, the blocks of machines, the parts of submissions. It decides nothing about jobs
-//! or machines, and does not know the leader that calls it: `record_change` and `queue_write` when
-//! something about a job has changed, `join_block` and the like for machines, `next_request` once a
-//! batch, `handle_reply` with each answer. What an answer means for jobs and machines it returns.
+//! `Store` owns the pending writes and the bookkeeping for stored records: their versions, the task pages, the machine
+//! blocks and the parts of split submissions. It makes no decisions about jobs or machines and doesn't depend on the
+//! leader, which calls `record_change` and `queue_write` when a job has changed, `join_block` and similar methods for
+//! machines, `next_request` once per batch and `handle_reply` for each reply. The consequences of a reply for jobs and
+//! machines are returned to the leader.
 //!
-//! What always holds:
-//! - One transaction at a time is under way, and it holds what has become due since the last one.
-//! - Every transaction requires the epoch's version and the version of every key that it writes, and
-//!   the version of each job that it places tasks of. So copies that arrive late fail, and so does
-//!   everything that an older leader still sends.
-//! - One that brought no answer is settled (see [`commit`]) before anything else is written.
-//! - A placement counts as committed, and a job or machine as recorded, only when the transaction that
-//!   says so is known to have been carried out.
+//! Invariants:
+//! - At most one transaction is in flight. It contains the changes that became due since the previous one.
+//! - Every transaction has preconditions on the version of the epoch, on the version of every key that it writes, and
+//!   on the version of the record of each job that it places tasks of. Late copies of a transaction therefore fail, and
+//!   so does everything that an older leader still sends.
+//! - The outcome of an unanswered transaction is resolved (see [`commit`]) before anything else is written.
+//! - A placement is committed, and a job or machine recorded, only once the transaction that says so is known to have
+//!   been committed.
 //!
-//! Entries about tasks go on pages (see [`pages`]), so a transaction that places tasks of many jobs
-//! costs one write or two. Outcomes go along, or alone after a while: nothing but the machines'
-//! permission to forget them waits for that, since a new leader learns them from the next heartbeats.
+//! Task entries are stored on pages (see [`pages`]), so a transaction that places tasks of many jobs costs one write or
+//! two. Task outcomes share these transactions, or are written alone after a delay. The delay only postpones the
+//! machines' permission to forget the outcomes, since a new leader learns them from the next heartbeats.
 
 mod apply;
 mod blocks;
@@ -60,7 +60,7 @@
 use write_budget::WriteBudget;
 use write_queue::WriteQueue;
 
-/// What the leader has to write to the key-value store, and what it knows of the records there.
+/// The leader's pending writes to the key-value store, and its bookkeeping for the stored records.
 #[derive(Debug)]
 pub(crate) struct Store {
     queue: WriteQueue,
@@ -73,34 +73,34 @@
     budget: WriteBudget,
     write_counts: WriteCounts,
     in_flight: Option<InFlight>,
-    /// Nothing is sent before this time (ms, monotonic).
-    next_commit_at: u64,
+    /// Earliest time of the next request (ms, monotonic).
+    next_commit_at_ms: u64,
 }
 
-/// How much there is to write, for operators.
+/// Statistics about writes, for the leader's status event.
 #[derive(Debug)]
 pub(crate) struct StoreStats {
-    /// Writes since the last time that this was asked.
+    /// Writes since the previous statistics were taken.
     pub written: WriteCounts,
-    /// Writes that may be sent now.
+    /// Number of writes that the budget currently allows.
     pub write_budget: f64,
-    /// Jobs whose end waits to be written.
+    /// Number of jobs whose end is waiting to be written.
     pub job_ends: usize,
-    /// Jobs with placements to commit.
+    /// Number of jobs with placements to commit.
     pub urgent_jobs: usize,
-    /// Jobs with outcomes to write.
+    /// Number of jobs with task outcomes to write.
     pub deferred_jobs: usize,
-    /// Pages that are stored.
+    /// Number of stored task pages.
     pub pages: usize,
-    /// Whether a transaction is under way.
+    /// Whether a transaction is in flight.
     pub is_transaction_in_flight: bool,
 }
 
 impl Store {
-    /// That of a leader that begins at a time (ms, monotonic) with so many writes in hand.
-    pub(crate) fn new(now: u64, writes_in_hand: f64) -> Store {
+    /// Creates the store of a leader that starts at `now` (ms, monotonic) with a budget of `initial_writes` writes.
+    pub(crate) fn new(now: u64, initial_writes: f64) -> Store {
         let mut budget = WriteBudget::new(now);
-        budget.set(writes_in_hand);
+        budget.set(initial_writes);
         Store {
             queue: WriteQueue::default(),
             pages: TaskPages::default(),
@@ -112,41 +112,41 @@
             budget,
             write_counts: WriteCounts::default(),
             in_flight: None,
-            next_commit_at: now,
+            next_commit_at_ms: now,
         }
     }
 
-    /// Something about a task of a job is to be written.
+    /// Queues a change of a task to be written.
     pub(crate) fn record_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
         self.queue.record_change(now, job, task, urgency);
     }
 
-    /// Queues what a job has to write, its end included.
+    /// Queues the pending writes of a job, including its end.
     pub(crate) fn queue_write(&mut self, now: u64, job: &mut Job) {
         self.queue.queue(now, job);
     }
 
-    /// A job is over: what pages say of it counts no more.
+    /// Drops the live task entries of a job that has ended.
     pub(crate) fn forget_job(&mut self, job: &Job) {
         self.pages.forget_job(job);
     }
 
-    /// Puts a machine into a block of its zone, unless it is in one.
+    /// Adds a machine to a block of its zone, unless it is in a block already.
     pub(crate) fn join_block(&mut self, machine: &mut Machine, max_machines: usize) {
         self.blocks.join(machine, max_machines);
     }
 
-    /// A machine is gone: its block is written without it when there is room.
+    /// Removes a machine from its block, which is rewritten when there is budget to spare.
     pub(crate) fn machine_removed(&mut self, machine: &Machine) {
         self.blocks.remove_machine(machine);
     }
 
-    /// What is recorded of a machine has changed.
+    /// Queues a machine's block to be written after recorded properties of the machine changed.
     pub(crate) fn machine_changed(&mut self, machine: &Machine) {
         self.blocks.machine_changed(machine);
     }
 
-    /// Queues the list of owned machines to be written, in parts that fit into a value each.
+    /// Queues the list of owned machines to be written, in parts of at most `value_bytes` bytes.
     pub(crate) fn record_owned_machines(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
         self.owned_list.record(machines, value_bytes);
     }
@@ -166,73 +166,73 @@
         self.catalog.is_recorded()
     }
 
-    /// Parts of a job's submission are being read.
+    /// Registers that the parts of a job's submission are being read.
     pub(crate) fn begin_submission_read(&mut self, read: &SplitSubmissionRead) {
         self.submissions.begin_read(read);
     }
 
-    /// Whether an answer to a read of parts is for the record that is known last.
+    /// Whether a read of submission parts is for the latest known version of the job's record.
     pub(crate) fn is_submission_read_current(&self, read: &SplitSubmissionRead) -> bool {
         self.submissions.is_current(read)
     }
 
-    /// All parts of a job's submission have been read.
+    /// Unregisters a read after all parts of the submission have been read.
     pub(crate) fn end_submission_read(&mut self, read: &SplitSubmissionRead) {
         self.submissions.end_read(read);
     }
 
-    /// A read of parts brought no answer: it is begun anew at a time (ms, monotonic).
+    /// Schedules the restart of a failed read of submission parts at `at` (ms, monotonic).
     pub(crate) fn retry_submission_read(&mut self, at: u64, read: SplitSubmissionRead) {
         self.submissions.retry_at(at, read);
     }
 
-    /// The next read of parts whose time has come.
+    /// Returns the next read of submission parts that is due for a retry.
     pub(crate) fn next_submission_retry(&mut self, now: u64) -> Option<SplitSubmissionRead> {
         self.submissions.next_retry(now)
     }
 
-    /// A job's record was removed at a version.
+    /// Cancels reads of submission parts for a job's record that was removed at this version.
     pub(crate) fn job_record_removed(&mut self, job: &str, version: Revision) {
         self.submissions.job_removed(job, version);
     }
 
-    /// A job is known from the parts of its submission.
+    /// Stores the keys of a job's submission parts, for their removal when the job ends.
     pub(crate) fn add_submission_parts(&mut self, job: Id, parts: Vec<KeyValue>) {
         self.submissions.add(job, parts);
     }
 
-    /// Parts that no record refers to: they are removed when there is room.
+    /// Queues submission parts without a job record for removal when there is budget to spare.
     pub(crate) fn add_unreferenced_parts(&mut self, submissions: impl IntoIterator<Item = Vec<KeyValue>>) {
         let versioned = |parts: Vec<KeyValue>| parts.into_iter().map(VersionedKey::from).collect();
         self.unreferenced.add_submission_parts(submissions.into_iter().map(versioned));
     }
 
-    /// A record of version 0.1 was read: it goes when all that it holds has been written anew.
+    /// Queues a record of version 0.1 for removal once its contents have been rewritten in the current format.
     pub(crate) fn add_v0_1_key(&mut self, key: String, version: Revision) {
         self.unreferenced.add_v0_1_key(key, version);
     }
 
-    /// A block was read.
+    /// Restores a machine block that an earlier leader stored.
     pub(crate) fn restore_block(&mut self, now: u64, block: StoredBlock) {
         self.blocks.restore(now, block);
     }
 
-    /// Pages were read: takes in what they say of jobs' tasks and returns the placements among it.
+    /// Restores task pages and marks the done tasks of `jobs`. Returns the placements among the last entries.
     pub(crate) fn restore_pages(&mut self, pairs: Vec<KeyValue>, jobs: &mut BTreeMap<Id, Job>) -> Vec<StoredPlacement> {
         self.pages.restore(pairs, jobs)
     }
 
-    /// A part of the list of owned machines was read.
+    /// Restores the version of a part of the list of owned machines.
     pub(crate) fn restore_owned_list(&mut self, key: String, version: Revision) {
         self.owned_list.restore(key, version);
     }
 
-    /// The record of the machine types was read.
+    /// Restores the version of the record of the machine types.
     pub(crate) fn restore_catalog(&mut self, version: Revision) {
         self.catalog.restore(version);
     }
 
-    /// How much there is to write. Counts of writes begin anew.
+    /// Returns the current statistics and resets the write counts.
     pub(crate) fn take_stats(&mut self) -> StoreStats {
         StoreStats {
             written: std::mem::take(&mut self.write_counts),
--- a/crates/core/src/leader/store/owned_list.rs
+++ b/crates/core/src/leader/store/owned_list.rs
@@ -1,4 +1,4 @@
-//! The recorded list of owned machines.
+//! The stored list of owned machines.
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::records::keys;
@@ -6,10 +6,10 @@
 use shaleshunt_wire::Revision;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bytes that frame a name in a list: quotes and comma.
+/// Bytes around a name in a list: quotes and comma.
 const NAME_FRAME_BYTES: usize = 3;
 
-/// A part of the list in a transaction.
+/// Write of a part of the list in a transaction.
 #[derive(Debug)]
 pub(super) struct OwnedListWrite {
     key: String,
@@ -17,18 +17,18 @@
     machines: Vec<String>,
 }
 
-/// The recorded list of owned machines. More names than a value holds are in further parts; the first
-/// part is written last, since without it the others do not count.
+/// The stored list of owned machines. A list that exceeds a value is split into parts. The first part is written last:
+/// the others are ignored while it doesn't exist.
 #[derive(Debug, Default)]
 pub(super) struct OwnedList {
-    /// Versions of the keys that hold it.
+    /// Versions of the stored parts, by key.
     versions: BTreeMap<String, Revision>,
-    /// Parts to be written.
+    /// Parts to be written, by number.
     pending: BTreeMap<u32, Vec<String>>,
 }
 
 impl OwnedList {
-    /// A part was read during a failover.
+    /// Restores the version of a part that an earlier leader stored.
     pub(super) fn restore(&mut self, key: String, version: Revision) {
         self.versions.insert(key, version);
     }
@@ -38,12 +38,12 @@
         self.versions.contains_key(keys::OWNED)
     }
 
-    /// Queues a list to be written, in values of at most so many bytes.
+    /// Queues a list to be written, in parts of at most `value_bytes` bytes.
     pub(super) fn record(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
         self.pending = (0..).zip(split_into_values(machines, value_bytes)).collect();
     }
 
-    /// Puts parts into a transaction while there is room.
+    /// Adds pending parts to a transaction, the first part last, while there is space.
     pub(super) fn collect(&mut self, builder: &mut TransactionBuilder) -> Vec<OwnedListWrite> {
         let mut writes = Vec::new();
         while let Some((number, machines)) = self.pending.last_key_value() {
@@ -61,12 +61,12 @@
         writes
     }
 
-    /// Parts are stored.
+    /// Applies committed writes of parts.
     pub(super) fn apply_committed(&mut self, writes: Vec<OwnedListWrite>, revision: Revision) {
         self.versions.extend(writes.into_iter().map(|write| (write.key, revision)));
     }
 
-    /// Parts were not stored: they wait again.
+    /// Queues the parts of an abandoned transaction again.
     pub(super) fn apply_abandoned(&mut self, writes: Vec<OwnedListWrite>) {
         self.pending.extend(writes.into_iter().map(|write| (write.number, write.machines)));
     }
--- a/crates/core/src/leader/store/owned_list/tests.rs
+++ b/crates/core/src/leader/store/owned_list/tests.rs
@@ -6,7 +6,7 @@
 }
 
 #[test]
-fn parts_fit_into_values_and_hold_all_names() {
+fn parts_fit_into_a_value_each_and_contain_all_names() {
     for (count, value_bytes, parts) in [(0, 100, 1), (8, 96, 1), (9, 96, 2), (80, 96, 10)] {
         let split = split_into_values(&names(count), value_bytes);
         assert_eq!(split.len(), parts, "{count} names of 9 bytes in {value_bytes}");
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn the_first_part_is_written_last_and_what_is_given_up_waits_again() {
+fn the_first_part_is_written_last_and_abandoned_parts_are_queued_again() {
     let mut list = OwnedList::default();
     list.record(&names(20), 96);
     let mut builder = TransactionBuilder::new(TransactionLimits { writes: 2, conditions: 9 });
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -1,11 +1,14 @@
-//! Entries about tasks, on pages: where each is placed, which are done, which are free again.
+//! Task pages: a log of task states (placed, done or free again) in values of the key-value store.
 //!
-//! A page is one value of the key-value store with entries of any number of jobs, so that a
-//! transaction writes one page however many tasks it places. The newest page is written again with
-//! more until it is full. Of the entries about a task the last one counts, in the order of pages and
-//! of the entries on a page: an old placement had been proven gone when a newer one was planned, so
-//! a reader that finds both knows that only the newer can be. A page that nothing refers to any
-//! more is removed; what little is left on an old one is written anew first.
+//! A page is one value with task entries of any number of jobs, so a transaction writes one page however many tasks it
+//! places. The newest page is rewritten with further entries until it is full.
+//!
+//! The last entry of a task is the valid one, in the order of pages and of the entries on a page. An older placement
+//! had been proven gone before a newer one was planned, so a reader that finds both knows that only the newer can
+//! exist.
+//!
+//! A page without live entries is removed. A sparse old page is compacted: its few live entries are written to the
+//! newest page first.
 
 mod draft;
 
@@ -21,38 +24,39 @@
 use shaleshunt_wire::{AgentEpoch, Attempt, Revision};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most tasks of a job in one transaction.
-const MAX_TASKS: usize = 1024;
-/// Most bytes that a run of tasks takes in an entry, with room for the rest of the entry among many.
-const RUN_BYTES: usize = 20;
-/// An old page of which less than this share still counts is written anew.
-const COMPACTION_SHARE: f64 = 0.5;
-/// Room to leave for the removal of a page.
-const REMOVAL_BYTES: usize = 100;
+/// Maximum number of tasks of one job in a transaction.
+const MAX_TASKS_PER_JOB: usize = 1024;
+/// Maximum bytes of a task run in an entry, including its share of the rest of an entry with many runs.
+const MAX_TASK_RUN_BYTES: usize = 20;
+/// An old page is compacted when the fraction of its tasks that are live falls below this value.
+const COMPACTION_LIVE_FRACTION: f64 = 0.5;
+/// Transaction bytes reserved for the removal of a page.
+const REMOVAL_SPACE_BYTES: usize = 100;
 
-/// What is known of a page that is stored.
+/// Bookkeeping for a stored page.
 #[derive(Debug, Default)]
 struct Page {
     version: Revision,
-    /// Tasks of which the entry here still counts, by job, and of all jobs together.
+    /// Number of tasks whose last entry is on this page, by job.
     live_by_job: BTreeMap<Id, u32>,
+    /// Number of tasks whose last entry is on this page, of all jobs.
     live: u32,
-    /// Tasks with an entry here.
+    /// Number of tasks in all entries of this page, live or not.
     total: u32,
 }
 
-/// The stored pages, and the newest one's content. For each task of an unfinished job,
-/// `writes.page_of_task` names the page with its last entry, and that page counts it as live.
+/// The stored pages, and the contents of the newest one. For each task of an unfinished job, `writes.page_of_task`
+/// names the page with its last entry, and that page counts the task as live.
 #[derive(Debug, Default)]
 pub(super) struct TaskPages {
     pages: BTreeMap<u32, Page>,
-    /// The page that is written again until it is full; 0 before the first.
+    /// The page that is rewritten until it is full. Its number is 0 before the first page.
     newest: PageDraft,
-    /// The page that is being written anew.
+    /// The page being compacted, if any.
     compacting: Option<u32>,
 }
 
-/// An old page of which the entries that count are to be written anew.
+/// A page to compact, and the jobs with live entries on it.
 #[derive(Debug)]
 pub(super) struct PageCompaction {
     pub page: u32,
@@ -70,13 +74,12 @@
 }
 
 impl TaskPages {
-    /// How many pages are stored.
+    /// Number of stored pages.
     pub(super) fn len(&self) -> usize {
         self.pages.len()
     }
 
-    /// Puts entries of a job on the pages of a transaction, all that are pending or as many as find room;
-    /// false if not all fit.
+    /// Adds a job's pending entries to the pages of a transaction, as many as fit. Returns false if not all fit.
     pub(super) fn collect_entries(
         &self,
         builder: &mut TransactionBuilder,
@@ -84,7 +87,7 @@
         job: &Job,
         page_bytes: usize,
     ) -> bool {
-        let mut max_tasks = MAX_TASKS.min((page_bytes / RUN_BYTES).max(1));
+        let mut max_tasks = MAX_TASKS_PER_JOB.min((page_bytes / MAX_TASK_RUN_BYTES).max(1));
         loop {
             if job.writes.tasks.is_empty() {
                 return true;
@@ -98,7 +101,7 @@
                 }
                 let is_all = pending.change_of_task.len() == job.writes.tasks.len();
                 (0..pages).for_each(|_| builder.reserve_write());
-                self.draft(changes, page_bytes, &job.id, pending);
+                self.add_to_drafts(changes, page_bytes, &job.id, pending);
                 return is_all;
             }
             if pending.change_of_task.len() <= 1 {
@@ -108,14 +111,14 @@
         }
     }
 
-    /// Whether a first entry goes on the newest page: it is begun, or the entry fits. The page may be
-    /// larger than what may be written by now; then it stays as it is.
+    /// Whether a first entry goes on the newest page: the page is empty, or the entry fits. A page that exceeds a limit
+    /// lowered since is left unchanged.
     fn newest_has_space(&self, page_bytes: usize, entry: Option<&TaskEntry>) -> bool {
         let bytes = entry.map_or(0, TaskEntry::max_bytes);
         self.newest.is_empty() || self.newest.bytes() + bytes <= page_bytes
     }
 
-    /// How many more pages a transaction writes with these entries.
+    /// Number of additional pages that a transaction writes with these entries.
     fn pages_needed(&self, changes: &PageChanges, page_bytes: usize, entries: &[TaskEntry]) -> usize {
         let (mut pages, mut used) = match changes.last_draft() {
             Some(draft) => (0, draft.bytes()),
@@ -132,8 +135,8 @@
         pages
     }
 
-    /// Puts entries on the pages of a transaction.
-    fn draft(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingEntries) {
+    /// Adds entries to the page drafts of a transaction.
+    fn add_to_drafts(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingEntries) {
         if !changes.has_drafts() {
             let number = self.newest.number().max(1);
             changes.begin(if self.newest_has_space(page_bytes, pending.entries.first()) {
@@ -148,7 +151,7 @@
         changes.planned.extend(pending.planned);
     }
 
-    /// Writes the drafted pages into the transaction.
+    /// Adds the writes of all page drafts to the transaction.
     pub(super) fn collect_drafts(&self, builder: &mut TransactionBuilder, changes: &mut PageChanges) {
         builder.release_reserved();
         for draft in changes.take_drafts() {
@@ -159,18 +162,18 @@
         }
     }
 
-    /// Removes pages that nothing refers to, as far as there is room.
+    /// Removes pages without live entries, as far as there is space in the transaction.
     pub(super) fn collect_unreferenced(&self, builder: &mut TransactionBuilder, changes: &mut PageChanges) {
         for (number, page) in self.pages.range(..self.newest.number()) {
             let is_removable = page.live == 0 && page.version > Revision::ABSENT;
-            if is_removable && builder.has_space_for(Space::one_write(REMOVAL_BYTES)) {
+            if is_removable && builder.has_space_for(Space::one_write(REMOVAL_SPACE_BYTES)) {
                 builder.drop_key(keys::task_page(*number), page.version);
                 changes.removed.push(*number);
             }
         }
     }
 
-    /// Chooses an old page of which little still counts, one at a time.
+    /// Chooses a sparse page to compact. `None` if there is none or while another compaction is in progress.
     pub(super) fn begin_compaction(&mut self) -> Option<PageCompaction> {
         if let Some(number) = self.compacting {
             if self.pages.get(&number).is_some_and(|page| page.live > 0) {
@@ -178,15 +181,16 @@
             }
             self.compacting = None;
         }
-        let is_sparse = |page: &Page| page.live > 0 && f64::from(page.live) < f64::from(page.total) * COMPACTION_SHARE;
+        let is_sparse =
+            |page: &Page| page.live > 0 && f64::from(page.live) < f64::from(page.total) * COMPACTION_LIVE_FRACTION;
         let (number, page) = self.pages.range(..self.newest.number()).find(|(_, page)| is_sparse(page))?;
         let compaction = PageCompaction { page: *number, jobs: page.live_by_job.keys().cloned().collect() };
         self.compacting = Some(compaction.page);
         Some(compaction)
     }
 
-    /// The pages of a transaction are stored: the entries on them are the last of their tasks. Returns the
-    /// placements that are committed with them.
+    /// Applies the commit of a transaction: the entries on its pages become the last ones of their tasks. Returns the
+    /// placements that were committed.
     pub(super) fn apply_committed(
         &mut self,
         changes: PageChanges,
@@ -222,25 +226,25 @@
             }
             let Some(page) = job.writes.page_of_task.get_mut(task as usize) else { continue };
             let old = std::mem::replace(page, recorded.page);
-            self.count(old, &recorded.job, -1);
-            self.count(recorded.page, &recorded.job, 1);
+            self.adjust_live(old, &recorded.job, -1);
+            self.adjust_live(recorded.page, &recorded.job, 1);
         }
     }
 
-    /// A job is over: what pages say of it counts no more.
+    /// Drops the live counts of a job that has ended.
     pub(super) fn forget_job(&mut self, job: &Job) {
         let numbers: BTreeSet<u32> = job.writes.page_of_task.iter().copied().filter(|page| *page > 0).collect();
         for number in numbers {
             if let Some(page) = self.pages.get_mut(&number)
-                && let Some(count) = page.live_by_job.remove(&job.id)
+                && let Some(live) = page.live_by_job.remove(&job.id)
             {
-                page.live = page.live.saturating_sub(count);
+                page.live = page.live.saturating_sub(live);
             }
         }
     }
 
-    /// Takes in the pages that earlier leaders wrote, in order, and what they say of jobs' tasks.
-    /// Returns the placements among it.
+    /// Restores pages that earlier leaders wrote, given in the order of their keys, and marks the done tasks of `jobs`.
+    /// Returns the placements among the last entries.
     pub(super) fn restore(&mut self, pairs: Vec<KeyValue>, jobs: &mut BTreeMap<Id, Job>) -> Vec<StoredPlacement> {
         let mut last_entries: BTreeMap<Id, BTreeMap<u32, LastEntry>> = BTreeMap::new();
         for pair in pairs {
@@ -248,7 +252,7 @@
             let record: PageRecord = serde_json::from_value(pair.v).unwrap_or_default();
             let total = record.entries.iter().map(TaskEntry::task_count).sum();
             self.pages.insert(number, Page { version: pair.version, total, ..Page::default() });
-            // What it holds is not written again: a new page follows.
+            // A restored page is not rewritten; new entries go on a new page.
             self.newest = PageDraft::new(self.newest.number().max(number + 1));
             for entry in record.entries {
                 if let Some(job) = jobs.get_mut(entry.job.as_str()) {
@@ -260,10 +264,10 @@
         let mut placements = Vec::new();
         for (id, entries) in last_entries {
             if let Some(job) = jobs.get_mut(&id) {
-                restore_progress(job, &entries);
+                restore_job_state(job, &entries);
             }
             for (task, LastEntry { page, placement }) in entries {
-                self.count(page, &id, 1);
+                self.adjust_live(page, &id, 1);
                 placements.extend(placement.map(|(machine, agent_epoch, attempt)| StoredPlacement {
                     job: id.clone(),
                     task,
@@ -276,8 +280,8 @@
         placements
     }
 
-    /// More or fewer tasks of a job have their last entry on a page.
-    fn count(&mut self, number: u32, job: &Id, change: i32) {
+    /// Adds `change` to the number of a job's tasks whose last entry is on a page.
+    fn adjust_live(&mut self, number: u32, job: &Id, change: i32) {
         let Some(page) = self.pages.get_mut(&number) else { return };
         let live = page.live_by_job.entry(job.clone()).or_default();
         *live = live.saturating_add_signed(change);
@@ -288,7 +292,7 @@
     }
 }
 
-/// The last entry about a task: its page, and where the task is placed.
+/// The last entry of a task: its page, and the placement if the task is placed.
 struct LastEntry {
     page: u32,
     placement: Option<(Id, AgentEpoch, Attempt)>,
@@ -309,7 +313,7 @@
     }
 }
 
-fn restore_progress(job: &mut Job, entries: &BTreeMap<u32, LastEntry>) {
+fn restore_job_state(job: &mut Job, entries: &BTreeMap<u32, LastEntry>) {
     job.tasks.mark_started();
     job.writes.page_of_task = vec![0; job.spec.tasks as usize];
     for (task, entry) in entries {
--- a/crates/core/src/leader/store/pages/draft.rs
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -1,21 +1,21 @@
-//! Pages as a transaction would leave them.
+//! Drafts of task pages: their contents after a transaction that has not been committed yet.
 
 use crate::model::{Id, Job};
 use crate::records::{PlacementRecord, TaskEntry, TaskRun};
 use shaleshunt_wire::{AgentEpoch, Attempt};
 use std::collections::BTreeMap;
 
-/// A page as a transaction would leave it.
+/// Contents of a page after a transaction.
 #[derive(Debug, Clone, Default)]
 pub(super) struct PageDraft {
     number: u32,
     entries: Vec<TaskEntry>,
-    /// A bound on the length of the entries.
+    /// Upper bound on the serialized size of the entries.
     bytes: usize,
 }
 
 impl PageDraft {
-    /// An empty page.
+    /// Creates an empty page.
     pub(super) fn new(number: u32) -> PageDraft {
         PageDraft { number, ..PageDraft::default() }
     }
@@ -41,8 +41,7 @@
     }
 }
 
-/// Entries in a transaction: tasks of a job, with the number of the change that each entry shows, and the
-/// page that they are on.
+/// Entries of a job in a transaction: the tasks with the number of the change that each entry reflects, and the page.
 #[derive(Debug)]
 pub(super) struct RecordedEntries {
     pub job: Id,
@@ -50,50 +49,51 @@
     pub page: u32,
 }
 
-/// A placement that counts once the transaction is committed.
+/// A placement that takes effect when the transaction commits.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct PlannedPlacement {
     pub machine: Id,
     pub placement_id: u64,
 }
 
-/// What a transaction changes about pages.
+/// Changes of a transaction to task pages.
 #[derive(Debug, Default)]
 pub(in crate::leader::store) struct PageChanges {
-    /// Pages being put together.
+    /// Pages that are still being filled.
     drafts: Vec<PageDraft>,
-    /// Pages that are in the transaction.
+    /// Pages that the transaction writes.
     pub(super) written: Vec<PageDraft>,
+    /// Entries on the drafted and written pages.
     pub(super) recorded: Vec<RecordedEntries>,
-    /// Placements among the entries that are not committed yet.
+    /// Placements that become committed with the transaction.
     pub(super) planned: Vec<PlannedPlacement>,
-    /// Pages that are removed.
+    /// Numbers of the pages that the transaction removes.
     pub(super) removed: Vec<u32>,
 }
 
 impl PageChanges {
-    /// Whether pages are being put together.
+    /// Whether pages are being filled.
     pub(in crate::leader::store) fn has_drafts(&self) -> bool {
         !self.drafts.is_empty()
     }
 
-    /// Bytes of the pages being put together.
+    /// Total size of the pages being filled, in bytes.
     pub(in crate::leader::store) fn draft_bytes(&self) -> usize {
         self.drafts.iter().map(PageDraft::bytes).sum()
     }
 
-    /// Whether entries about a job are in the transaction.
+    /// Whether the transaction has entries of a job.
     pub(in crate::leader::store) fn has_entries_of(&self, job: &Id) -> bool {
         self.recorded.iter().any(|recorded| recorded.job == *job)
     }
 
-    /// The transaction is given up: jobs with entries in it, where one may come several times, and the
-    /// placements that are not committed.
+    /// Returns the jobs whose entries were abandoned, possibly with duplicates, and the placements that remain
+    /// uncommitted.
     pub(in crate::leader::store) fn into_abandoned(self) -> (Vec<Id>, Vec<PlannedPlacement>) {
         (self.recorded.into_iter().map(|recorded| recorded.job).collect(), self.planned)
     }
 
-    /// Begins a page, or the next writing of one.
+    /// Starts filling a new page, or adding to the newest one.
     pub(super) fn begin(&mut self, draft: PageDraft) {
         self.drafts.push(draft);
     }
@@ -106,7 +106,7 @@
         std::mem::take(&mut self.drafts)
     }
 
-    /// Puts an entry on the last page, or on a new one if that is full.
+    /// Appends an entry to the last draft, or to a new one if that is full.
     pub(super) fn push(&mut self, job: &Id, entry: TaskEntry, changes: &BTreeMap<u32, u64>, page_bytes: usize) {
         let bytes = entry.max_bytes();
         let Some(last) = self.drafts.last() else { return };
@@ -123,18 +123,18 @@
     }
 }
 
-/// What is to be written of a job.
+/// Entries to write for a job, made from its current state.
 #[derive(Debug)]
 pub(super) struct PendingEntries {
     pub entries: Vec<TaskEntry>,
     /// Placements among the entries that are not committed yet.
     pub planned: Vec<PlannedPlacement>,
-    /// The tasks, with the number of the change that their entries show.
+    /// Number of the change that a task's entry reflects, by task.
     pub change_of_task: BTreeMap<u32, u64>,
 }
 
 impl PendingEntries {
-    /// Of the first of a job's tasks of which something is to be written.
+    /// Builds the entries of the first `max_tasks` tasks with pending changes.
     pub(super) fn new(job: &Job, max_tasks: usize) -> PendingEntries {
         let change_of_task: BTreeMap<u32, u64> =
             job.writes.tasks.iter().take(max_tasks).map(|(task, change)| (*task, *change)).collect();
@@ -169,7 +169,7 @@
         PendingEntries { entries, planned, change_of_task }
     }
 
-    /// A bound on the length of the entries.
+    /// Upper bound on the serialized size of the entries.
     pub(super) fn max_bytes(&self) -> usize {
         self.entries.iter().map(TaskEntry::max_bytes).sum()
     }
--- a/crates/core/src/leader/store/scale_outs.rs
+++ b/crates/core/src/leader/store/scale_outs.rs
@@ -1,5 +1,5 @@
-//! Records of scale-out requests: written before the cloud is asked, removed when all machines that
-//! it named are recorded.
+//! Records of scale-out requests. A record is written before the request is sent to the cloud and removed when all
+//! machines that the cloud named are recorded.
 
 use super::transaction::{Space, TransactionBuilder};
 use crate::leader::fleet::machines::MachineIndex;
@@ -9,18 +9,19 @@
 use serde_json::json;
 use shaleshunt_wire::Revision;
 
-/// Room to leave for a request's record, and what it takes at most.
+/// Transaction bytes reserved for the record of a request.
 const RECORD_SPACE_BYTES: usize = 300;
-const RECORD_BYTES: usize = 200;
+/// Maximum bytes of the record of a request.
+const MAX_RECORD_BYTES: usize = 200;
 
-/// Scale-out requests in a transaction, by name.
+/// Names of the scale-out requests whose records a transaction writes or removes.
 #[derive(Debug, Default)]
 pub(super) struct ScaleOutWrites {
     recorded: Vec<String>,
     removed: Vec<String>,
 }
 
-/// Puts records of scale-out requests into a transaction, and removes those that are done with.
+/// Adds records of new scale-out requests to a transaction and removes those of settled ones.
 pub(super) fn collect(
     builder: &mut TransactionBuilder,
     scale_outs: &mut ScaleOutRequests,
@@ -35,7 +36,7 @@
         let key = keys::scale_out(name);
         match scale_out.record_change(is_settled) {
             Some(ScaleOutRecordChange::Write(request)) => {
-                builder.set(key, Revision::ABSENT, json!(request), RECORD_BYTES);
+                builder.set(key, Revision::ABSENT, json!(request), MAX_RECORD_BYTES);
                 writes.recorded.push(name.clone());
             }
             Some(ScaleOutRecordChange::Remove(version)) => {
@@ -49,7 +50,7 @@
     writes
 }
 
-/// The records are stored or removed.
+/// Applies the committed writes and removals of records.
 pub(super) fn apply_committed(writes: ScaleOutWrites, scale_outs: &mut ScaleOutRequests, revision: Revision) {
     for name in writes.recorded {
         scale_outs.recorded(&name, revision);
@@ -59,7 +60,7 @@
     }
 }
 
-/// Nothing was stored or removed: it is tried again.
+/// Marks the changes of an abandoned transaction to be made again.
 pub(super) fn apply_abandoned(writes: &ScaleOutWrites, scale_outs: &mut ScaleOutRequests) {
     for name in writes.recorded.iter().chain(&writes.removed) {
         scale_outs.record_change_failed(name);
--- a/crates/core/src/leader/store/sources.rs
+++ b/crates/core/src/leader/store/sources.rs
@@ -1,4 +1,4 @@
-//! What the store reads to put a transaction together.
+//! Inputs for building a transaction.
 
 use crate::io::Timestamp;
 use crate::leader::fleet::images::ImageNames;
@@ -11,22 +11,22 @@
 use shaleshunt_wire::cloud::Catalog;
 use std::collections::BTreeMap;
 
-/// The surroundings of a transaction.
+/// Time, settings and limits that apply to a transaction.
 pub(crate) struct StoreContext<'a> {
     pub now: Timestamp,
     pub settings: &'a Settings,
     pub tuning: &'a Tuning,
-    /// Limits of the key-value store that are in force.
+    /// Current limits of the key-value store.
     pub limits: &'a StoreLimits,
-    /// The machine types, if they are known.
+    /// The machine types. `None` until the cloud or the store has provided them.
     pub catalog: Option<&'a Catalog>,
-    /// Users' submissions wait to be accepted.
+    /// Whether users' submissions are waiting to be accepted.
     pub submissions_waiting: bool,
-    /// Version of the epoch's key, while the epoch is the leader's.
+    /// Version that the key of the epoch has while this leader's epoch lasts.
     pub epoch_version: Revision,
 }
 
-/// What records are made from. What is taken into a transaction is marked there.
+/// State that records are built from. Changes that are added to a transaction are marked as sent here.
 pub(crate) struct RecordSources<'a> {
     pub jobs: &'a mut BTreeMap<Id, Job>,
     pub machines: &'a mut MachineIndex,
--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction being put together, within the limits of the key-value store.
+//! Builds transactions within the limits of the key-value store.
 
 use crate::model::{Id, Job};
 use crate::records::keys;
@@ -7,19 +7,19 @@
 use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::BTreeSet;
 
-/// Bytes that frame a key and its value in a request, besides the key's two mentions.
+/// Bytes around a key and its value in a request. The key itself occurs twice: in the write and in its condition.
 const WRITE_FRAME_BYTES: usize = 60;
-/// Bytes that frame a key in a condition.
+/// Bytes around a key in a condition.
 const CONDITION_FRAME_BYTES: usize = 40;
 
-/// How many writes and conditions a transaction may have.
+/// Maximum number of writes and conditions in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TransactionLimits {
     pub writes: usize,
     pub conditions: usize,
 }
 
-/// Room that a change takes in a transaction.
+/// Space that a change needs in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Space {
     pub writes: usize,
@@ -28,37 +28,37 @@
 }
 
 impl Space {
-    /// That of one write with the condition on its own key.
+    /// Space for one write and the condition on its key.
     pub(super) fn one_write(bytes: usize) -> Space {
         Space { writes: 1, conditions: 1, bytes }
     }
 }
 
-/// A transaction being put together. Each key that it writes is required to have the version that
-/// the leader knows.
+/// A transaction under construction. Each write has a precondition on the key's version as the leader knows it.
 #[derive(Debug)]
 pub(super) struct TransactionBuilder {
     transaction: Transaction,
-    /// Jobs whose record's version is required.
+    /// Jobs with a condition on the version of their record.
     jobs: BTreeSet<Id>,
     bytes: usize,
-    /// Writes that will come for certain, with conditions on their own keys; their bytes are not known yet.
+    /// Number of writes that will be added later, each with a condition on its key. Their sizes are not included in
+    /// `bytes`.
     reserved_writes: usize,
     limits: TransactionLimits,
 }
 
 impl TransactionBuilder {
-    /// Most bytes, with room for what frames the values.
+    /// Maximum bytes of a transaction. The eighth of the body limit that remains is for what surrounds the values.
     pub(super) const MAX_BYTES: usize = MAX_BODY * 7 / 8;
 
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub(super) fn new(limits: TransactionLimits) -> TransactionBuilder {
         let transaction = Transaction { conditions: Vec::new(), writes: Vec::new() };
         TransactionBuilder { transaction, jobs: BTreeSet::new(), bytes: 0, reserved_writes: 0, limits }
     }
 
-    /// Whether a change fits in beside the reserved writes. While there are none, a change that is too
-    /// large for any transaction goes alone.
+    /// Whether a change fits in addition to the reserved writes. An oversized change fits if the transaction is empty
+    /// and no writes are reserved, so that the change is sent alone.
     pub(super) fn has_space_for(&self, space: Space) -> bool {
         let reserved = self.reserved_writes;
         (reserved == 0 || self.fits_bytes(space.bytes))
@@ -69,7 +69,7 @@
             })
     }
 
-    /// Whether a change fits in if the reserved writes are left out of account.
+    /// Whether a change fits if the reserved writes are not counted.
     pub(super) fn has_space_without_reserved(&self, space: Space) -> bool {
         self.transaction.writes.len() + space.writes <= self.limits.writes
             && self.transaction.conditions.len() + space.conditions <= self.limits.conditions
@@ -80,17 +80,17 @@
         self.bytes + bytes <= Self::MAX_BYTES
     }
 
-    /// One more write will come for certain.
+    /// Reserves a write that will be added later.
     pub(super) fn reserve_write(&mut self) {
         self.reserved_writes += 1;
     }
 
-    /// The reserved writes are put in now.
+    /// Releases all reservations, before the reserved writes are added.
     pub(super) fn release_reserved(&mut self) {
         self.reserved_writes = 0;
     }
 
-    /// Writes so far, the reserved ones included.
+    /// Number of writes, including the reserved ones.
     pub(super) fn write_count_with_reserved(&self) -> usize {
         self.write_count() + self.reserved_writes
     }
@@ -111,18 +111,19 @@
         &self.transaction
     }
 
-    /// Requires the leader's epoch, by its key's version. It counts no bytes: the limit leaves room.
+    /// Requires that the epoch's key has a version, so that the transaction fails after another leader was elected. The
+    /// bytes of the condition aren't counted, as the limit leaves enough space.
     pub(super) fn require_epoch(&mut self, version: Revision) {
         self.transaction.conditions.push(Condition { path: keys::EPOCH.into(), version });
     }
 
-    /// Requires that a key is not there.
+    /// Requires that a key doesn't exist.
     pub(super) fn require_absent(&mut self, key: String) {
         self.bytes += key.len() + CONDITION_FRAME_BYTES;
         self.transaction.conditions.push(Condition { path: key, version: Revision::ABSENT });
     }
 
-    /// Requires that a job's record is the one that is known.
+    /// Requires that a job's record has the version known to the leader.
     pub(super) fn require_job_version(&mut self, job: &Job) {
         if self.jobs.insert(job.id.clone()) {
             let path = keys::job(&job.id);
@@ -131,21 +132,21 @@
         }
     }
 
-    /// Sets a key to a value of so many bytes.
+    /// Sets a key to a value of `bytes` bytes, if the key still has this version.
     pub(super) fn set(&mut self, key: String, version: Revision, value: Value, bytes: usize) {
         self.bytes += bytes + key.len() * 2 + WRITE_FRAME_BYTES;
         self.transaction.conditions.push(Condition { path: key.clone(), version });
         self.transaction.writes.push(Write::set(key, value));
     }
 
-    /// Removes a key.
+    /// Removes a key, if it still has this version.
     pub(super) fn drop_key(&mut self, key: String, version: Revision) {
         self.bytes += key.len() * 2 + WRITE_FRAME_BYTES;
         self.transaction.conditions.push(Condition { path: key.clone(), version });
         self.transaction.writes.push(Write::drop_key(key));
     }
 
-    /// Removes a job's record, whose version may be required already.
+    /// Removes a job's record. The condition on its version is added unless the transaction already has it.
     pub(super) fn drop_job(&mut self, job: &Job) {
         let key = keys::job(&job.id);
         if self.jobs.insert(job.id.clone()) {
@@ -155,14 +156,14 @@
         }
     }
 
-    /// The version that a key is required to have; absent for one that is not among the conditions.
+    /// The version that a key is required to have, or `Revision::ABSENT` for a key without a condition.
     pub(super) fn required_version(&self, key: &str) -> Revision {
         let condition = self.transaction.conditions.iter().find(|condition| condition.path == key);
         condition.map_or(Revision::ABSENT, |condition| condition.version)
     }
 
-    /// A key that only the leader writes and that shows whether this was carried out, with its
-    /// version before. None while there are no writes.
+    /// Returns the marker: a written key whose version shows whether the transaction was committed, with its version
+    /// before. Only the leader makes this kind of change to the key. `None` while there are no writes.
     pub(super) fn marker(&self) -> Option<Condition> {
         let set = self.transaction.writes.iter().find_map(|write| match write {
             Write::Set { set, .. } if !set.starts_with(keys::JOBS) => Some(set),
--- a/crates/core/src/leader/store/unreferenced.rs
+++ b/crates/core/src/leader/store/unreferenced.rs
@@ -1,4 +1,4 @@
-//! Records that nothing refers to any more: they are removed when there is room.
+//! Removal of unreferenced records, when there is write budget to spare.
 
 use super::split_submissions::{SubmissionParts, VersionedKey};
 use super::transaction::{Space, TransactionBuilder};
@@ -7,17 +7,17 @@
 use shaleshunt_wire::Revision;
 use std::collections::BTreeMap;
 
-/// Room to leave for the removal of a part, with a condition on its job's record.
-const PART_SPACE: Space = Space { writes: 1, conditions: 2, bytes: 400 };
+/// Transaction space for the removal of a submission part, including a condition on the job's record.
+const PART_REMOVAL_SPACE: Space = Space { writes: 1, conditions: 2, bytes: 400 };
 
-/// Records that are to be removed. Parts of submissions lose their first part before the others, so
-/// that a job's record that still comes finds it missing and fails.
+/// Records that are waiting to be removed. The first part of a submission is removed before the others, so that a late
+/// transaction that creates the job's record finds the first part missing and fails.
 #[derive(Debug, Default)]
 pub(super) struct UnreferencedRecords {
     submission_parts: Vec<SubmissionParts>,
-    /// Keys with versions that can go at any time.
+    /// Keys that can be removed at any time, with their versions.
     keys: BTreeMap<String, Revision>,
-    /// Keys of version 0.1: they go when all they held has been written anew.
+    /// Keys of version 0.1, with their versions. They can be removed once their contents have been rewritten.
     v0_1_keys: BTreeMap<String, Revision>,
 }
 
@@ -34,13 +34,13 @@
         self.v0_1_keys.insert(key, version);
     }
 
-    /// All that the keys of version 0.1 held has been written anew.
+    /// Allows the removal of keys of version 0.1, after their contents have been rewritten.
     pub(super) fn release_v0_1_keys(&mut self) {
         self.keys.append(&mut self.v0_1_keys);
     }
 
-    /// Removes the first part of each submission that no record refers to; the others follow alone.
-    /// Returns the submissions' parts.
+    /// Removes the first part of each unreferenced submission, as far as there is space. The other parts are removed
+    /// later and without further conditions. Returns all parts of these submissions.
     pub(super) fn collect_submission_parts(
         &mut self,
         builder: &mut TransactionBuilder,
@@ -50,7 +50,7 @@
         while let Some(parts) = self.submission_parts.last()
             && let Some(first) = parts.first()
         {
-            if !builder.has_space_for(PART_SPACE) {
+            if !builder.has_space_for(PART_REMOVAL_SPACE) {
                 break;
             }
             let job = keys::job_id_of_submission_part(&first.key);
@@ -63,7 +63,7 @@
         removed
     }
 
-    /// Removes the first of the keys that can go, and returns it.
+    /// Removes the next key that can be removed, and returns it.
     pub(super) fn collect_next_key(&mut self, builder: &mut TransactionBuilder) -> Option<String> {
         let (key, version) = self.keys.pop_first()?;
         builder.drop_key(key.clone(), version);
--- a/crates/core/src/leader/store/write_budget.rs
+++ b/crates/core/src/leader/store/write_budget.rs
@@ -1,73 +1,73 @@
-//! The leader's share of the writes that the key-value store takes, as a token bucket.
+//! The leader's share of the key-value store's write rate, as a token bucket.
 
-/// Who wants to write.
+/// Demand for writes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum WriteDemand {
-    /// Users' submissions wait to be accepted.
+    /// Users' submissions are waiting to be accepted.
     Submissions,
-    /// None wait, but jobs' ends or placements do.
+    /// No submissions are waiting, but job ends or placements are.
     LeaderOnly,
-    /// Neither waits.
+    /// Neither are waiting.
     Idle,
 }
 
-/// The share of all writes that the leader takes, of which `usual` is its own. Users' submissions go
-/// first: while some wait, half of the leader's share is left to them. While none do and work waits to
-/// be written, half of what is kept for them is used too.
-pub(super) fn leader_share(demand: WriteDemand, usual: f64) -> f64 {
+/// Fraction of the write rate that the leader may use; `configured_share` is its share by the settings. While users'
+/// submissions are waiting, half of the leader's share is left to them. While only the leader has urgent writes, it
+/// also uses half of the share that is reserved for submissions.
+pub(super) fn leader_share(demand: WriteDemand, configured_share: f64) -> f64 {
     match demand {
-        WriteDemand::Submissions => usual / 2.0,
-        WriteDemand::LeaderOnly => (1.0 + usual) / 2.0,
-        WriteDemand::Idle => usual,
+        WriteDemand::Submissions => configured_share / 2.0,
+        WriteDemand::LeaderOnly => (1.0 + configured_share) / 2.0,
+        WriteDemand::Idle => configured_share,
     }
 }
 
-/// Writes that may be sent now; at most those of one second are saved up.
+/// A token bucket in which each token allows one write. It holds at most the tokens of one second.
 #[derive(Debug)]
 pub(super) struct WriteBudget {
     tokens: f64,
-    refilled_at: u64,
+    /// Time of the last refill (ms, monotonic).
+    refilled_at_ms: u64,
 }
 
 impl WriteBudget {
-    /// An empty budget at a time (ms, monotonic).
+    /// Creates an empty budget at `now` (ms, monotonic).
     pub(super) fn new(now: u64) -> WriteBudget {
-        WriteBudget { tokens: 0.0, refilled_at: now }
+        WriteBudget { tokens: 0.0, refilled_at_ms: now }
     }
 
-    /// Sets what is there: a new leader begins with a second's worth.
+    /// Sets the number of tokens. A new leader starts with the tokens of one second.
     pub(super) fn set(&mut self, tokens: f64) {
         self.tokens = tokens;
     }
 
-    /// Time has passed, at `rate` writes a second.
+    /// Adds the tokens for the time since the last refill, at `rate` writes per second.
     pub(super) fn refill(&mut self, now: u64, rate: f64) {
-        let gained = now.saturating_sub(self.refilled_at) as f64 / 1000.0 * rate;
+        let gained = now.saturating_sub(self.refilled_at_ms) as f64 / 1000.0 * rate;
         self.tokens = (self.tokens + gained).min(rate.max(1.0));
-        self.refilled_at = now;
+        self.refilled_at_ms = now;
     }
 
-    /// Takes away what a transaction writes.
+    /// Removes the tokens for the writes of a transaction.
     pub(super) fn spend(&mut self, writes: usize) {
         self.tokens -= writes as f64;
     }
 
-    /// What is there.
     pub(super) fn tokens(&self) -> f64 {
         self.tokens
     }
 
-    /// How many whole writes are there.
+    /// Number of whole writes that the tokens allow.
     pub(super) fn whole_writes(&self) -> usize {
         self.tokens as usize
     }
 
-    /// Whether less than a quarter is left.
+    /// Whether less than a quarter of the capacity is left.
     pub(super) fn is_scarce(&self, rate: f64) -> bool {
         self.tokens < rate / 4.0
     }
 
-    /// Whether half is there after so many writes: the other half stays free for what is urgent.
+    /// Whether half of the capacity is left after `writes` writes, to stay free for urgent changes.
     pub(super) fn has_half_after(&self, writes: usize, rate: f64) -> bool {
         self.tokens - writes as f64 >= rate / 2.0
     }
--- a/crates/core/src/leader/store/write_counts.rs
+++ b/crates/core/src/leader/store/write_counts.rs
@@ -1,9 +1,9 @@
-//! Counts of what was written, for operators.
+//! Write counts for the leader's status event.
 
 use crate::records::keys;
 use shaleshunt_wire::kv::{Transaction, Write};
 
-/// Writes since the last status event, by purpose.
+/// Number of writes since the last status event, by kind.
 #[derive(Debug, Default)]
 pub(crate) struct WriteCounts {
     pub transactions: u32,
@@ -22,11 +22,11 @@
                 Write::Set { set, .. } => set,
                 Write::Drop { drop } => drop,
             };
-            *self.of_prefix(key.get(..2)) += 1;
+            *self.count_for_prefix(key.get(..2)) += 1;
         }
     }
 
-    fn of_prefix(&mut self, prefix: Option<&str>) -> &mut u32 {
+    fn count_for_prefix(&mut self, prefix: Option<&str>) -> &mut u32 {
         match prefix {
             Some(keys::JOBS | keys::FINAL_RECORDS | keys::LEADERSHIP) => &mut self.ends,
             Some(keys::TASK_PAGES) => &mut self.pages,
--- a/crates/core/src/leader/store/write_queue.rs
+++ b/crates/core/src/leader/store/write_queue.rs
@@ -1,21 +1,21 @@
-//! Jobs of which something waits to be written, in the order in which it is written.
+//! Queues of jobs with pending writes, in the order in which they are written.
 
 use crate::model::{Id, Job};
 use shaleshunt_wire::user::Priority;
 use std::cmp::Reverse;
 use std::collections::BTreeSet;
 
-/// How soon a change is to be written.
+/// Urgency of writing a change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum WriteUrgency {
-    /// With the next transaction: something waits for it to be committed.
+    /// Written with the next transaction, since an action waits for the commit.
     Immediate,
-    /// Along with other writes, or alone after a while.
+    /// Written together with other changes, or alone after a delay.
     Deferred,
 }
 
-/// A job that has ended. Those that are cancelled because of another come last: until their own end is
-/// written, that other job's record shows it.
+/// A job that has ended. Jobs cancelled because of another job sort last: until their own end is written, the other
+/// job's record implies it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct JobEnd {
     cancelled_with_another: bool,
@@ -23,7 +23,7 @@
     pub job: Id,
 }
 
-/// A job with placements to commit, the most urgent first.
+/// A job with placements to commit, ordered by urgency.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct UrgentJob {
     priority: Reverse<Priority>,
@@ -31,26 +31,26 @@
     pub job: Id,
 }
 
-/// A job with outcomes, the one that waits longest first.
+/// A job with outcomes to write, ordered by the time since which it has been waiting.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct DeferredJob {
     pub since_ms: u64,
     pub job: Id,
 }
 
-/// Jobs of which something waits to be written. A job may be in each of the three orders; who takes
-/// an entry out changes the flags in the job's `writes` with it.
+/// Jobs with pending writes. A job may be in each of the three queues. The caller that removes an element also clears
+/// the corresponding flag in the job's `writes`.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     job_ends: BTreeSet<JobEnd>,
     urgent: BTreeSet<UrgentJob>,
     deferred: BTreeSet<DeferredJob>,
-    /// Changes so far: tells a newer entry about a task from the one that was written.
+    /// Number of changes so far. Distinguishes a task's latest change from the one that was written.
     change_counter: u64,
 }
 
 impl WriteQueue {
-    /// Something about a task is to be written.
+    /// Queues a change of a task to be written.
     pub(super) fn record_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
         self.change_counter += 1;
         job.writes.tasks.insert(task, self.change_counter);
@@ -58,7 +58,7 @@
         self.queue(now, job);
     }
 
-    /// Queues what a job has to write, its end included.
+    /// Queues the pending writes of a job, including its end.
     pub(super) fn queue(&mut self, now: u64, job: &mut Job) {
         if job.has_ended() {
             let since_ms = *job.writes.ended_at.get_or_insert(now);
@@ -82,7 +82,7 @@
         self.job_ends.remove(end);
     }
 
-    /// The first `count` jobs with placements to commit.
+    /// Returns the first `count` jobs with placements to commit.
     pub(super) fn first_urgent(&self, count: usize) -> Vec<UrgentJob> {
         self.urgent.iter().take(count).cloned().collect()
     }
@@ -99,7 +99,7 @@
         self.deferred.remove(deferred);
     }
 
-    /// Whether a job's end or a placement waits.
+    /// Whether any job end or placement is waiting to be written.
     pub(super) fn has_urgent_work(&self) -> bool {
         !self.job_ends.is_empty() || !self.urgent.is_empty()
     }
