--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -1,8 +1,8 @@
-//! Failover: a new leader reads all records, then joins them and begins to act.
+//! Recovery: a new leader reads all records from the key-value store, restores its state from them and becomes active.
 //!
-//! `Recovery` owns the records that have been read and not yet been taken in, and the scans under way.
-//! Records of unfinished jobs are taken in at once; all else refers to jobs and waits until everything
-//! has been read. After that `Recovery` is empty and is not used again.
+//! `Recovery` owns the scans in flight and the records that have been read but not restored. Records of unfinished jobs
+//! are restored immediately. Other records refer to jobs and are kept until everything has been read. After that
+//! `Recovery` is empty and no longer used.
 
 mod restore;
 mod v0_1;
@@ -16,11 +16,11 @@
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::kv::{KeyValue, Page};
 
-/// A scan without an answer is tried again after this part of a heartbeat interval: after an outage
-/// all ask at once. The lease says for how long that is of use.
+/// Retries of an unanswered scan, per heartbeat interval. Immediate retries would add to the load after an outage, when
+/// all clients of the store send requests at once. The leader lease limits how long retrying is useful.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
 
-/// Kinds of records that are read at a failover.
+/// Kinds of records that are read during recovery.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RecordKind {
     Jobs,
@@ -35,7 +35,7 @@
 }
 
 impl RecordKind {
-    /// All of them, in the order in which they are asked for.
+    /// All kinds, in the order in which their scans are sent.
     const ALL: [RecordKind; 8] = [
         RecordKind::Jobs,
         RecordKind::SubmissionParts,
@@ -47,7 +47,7 @@
         RecordKind::V01Machines,
     ];
 
-    /// What their keys begin with.
+    /// Prefix of the keys.
     fn prefix(self) -> &'static str {
         match self {
             RecordKind::Jobs => keys::JOBS,
@@ -62,22 +62,23 @@
     }
 }
 
-/// A page of a scan that is asked for.
+/// A page of a scan.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct ScanPosition {
     kind: RecordKind,
-    /// Key to begin after.
+    /// The page starts after this key. Empty for the first page.
     after: String,
 }
 
-/// A page that is asked for again at a time (ms, monotonic).
+/// A page that has to be requested again.
 #[derive(Debug)]
 struct ScanRetry {
+    /// Time of the retry (ms, monotonic).
     at: u64,
     position: ScanPosition,
 }
 
-/// Records read during a failover, until all are there.
+/// Progress of the recovery, and the records read so far.
 #[derive(Debug, Default)]
 pub(crate) struct Recovery {
     scans_in_flight: u32,
@@ -91,12 +92,12 @@
 }
 
 impl Recovery {
-    /// The record of a job was read whose submission is in parts.
+    /// Keeps the record of a job with a split submission until all parts have been read.
     pub(crate) fn defer_split_submission(&mut self, read: SplitSubmissionRead) {
         self.split_records.push(read);
     }
 
-    /// The next page that is to be asked for again.
+    /// Returns the next page that is due for a retry.
     fn next_retry(&mut self, now: u64) -> Option<ScanPosition> {
         let at = self.retries.iter().position(|retry| now >= retry.at)?;
         Some(self.retries.swap_remove(at).position)
@@ -109,7 +110,7 @@
 }
 
 impl Leader {
-    /// Begins to read all records.
+    /// Starts the scans of all records.
     pub(super) fn begin_recovery(&mut self, ctx: &mut Context) {
         for kind in RecordKind::ALL {
             self.scan(ctx, ScanPosition { kind, after: String::new() });
@@ -123,14 +124,14 @@
         ctx.send_kv(request, wait);
     }
 
-    /// Asks again for pages that were not answered.
+    /// Repeats unanswered scans that are due.
     pub(super) fn retry_scans(&mut self, ctx: &mut Context) {
         while let Some(position) = self.recovery.next_retry(ctx.now.monotonic_ms) {
             self.scan(ctx, position);
         }
     }
 
-    /// A page was read, or not.
+    /// Handles the reply to a scan, or its failure.
     pub(super) fn handle_scan_reply(
         &mut self,
         ctx: &mut Context,
@@ -154,7 +155,7 @@
             self.watch.begin_at(page.revision);
         }
         for pair in page.pairs {
-            self.take_in_record(ctx, kind, pair);
+            self.restore_or_keep_record(ctx, kind, pair);
         }
         self.recovery.scans_in_flight -= 1;
         match last {
@@ -164,7 +165,7 @@
         }
     }
 
-    fn take_in_record(&mut self, ctx: &mut Context, kind: RecordKind, pair: KeyValue) {
+    fn restore_or_keep_record(&mut self, ctx: &mut Context, kind: RecordKind, pair: KeyValue) {
         match kind {
             RecordKind::Jobs => self.apply_job_record(ctx, &pair.path, pair.v, pair.version),
             RecordKind::SubmissionParts => self.recovery.submission_parts.push(pair),
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -1,4 +1,4 @@
-//! Joining the records that were read: blocks of machines, placements, submissions in parts.
+//! Restores the leader's state from the records that were read: machine blocks, placements and split submissions.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -9,11 +9,12 @@
 use shaleshunt_wire::kv::KeyValue;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A zone may be cut off already: its machines have so many heartbeat intervals to be heard.
-const ZONE_PATIENCE_HEARTBEATS: u64 = 2;
+/// Heartbeat intervals that the machines of a zone have for their first heartbeat to a new leader, since the zone may
+/// already be partitioned.
+const ZONE_FIRST_HEARTBEAT_INTERVALS: u64 = 2;
 
 impl Leader {
-    /// Everything has been read: joins the records and begins to act.
+    /// Restores the state from the records, after everything has been read, and starts to act as leader.
     pub(super) fn activate(&mut self, ctx: &mut Context) {
         if self.store.has_owned_list() {
             self.autoscaler.owned.finish_loading();
@@ -26,11 +27,11 @@
         for placement in self.store.restore_pages(pages, &mut self.jobs) {
             self.restore_placement(ctx, placement);
         }
-        self.read_v0_1_records(ctx);
+        self.restore_v0_1_records(ctx);
         self.stop_superseded_placements();
         self.active = true;
         self.activate_jobs(ctx);
-        self.await_machines(ctx);
+        self.expect_machines(ctx);
         ctx.emit(Event::LeaderStateLoaded {
             epoch: self.epoch,
             jobs: self.jobs.len(),
@@ -39,7 +40,7 @@
         self.watch_jobs(ctx);
     }
 
-    /// Jobs are linked with those that they depend on, and what waits to be written is queued.
+    /// Registers the dependencies of all jobs and queues their pending writes.
     fn activate_jobs(&mut self, ctx: &mut Context) {
         let ids: Vec<Id> = self.jobs.keys().cloned().collect();
         for id in &ids {
@@ -51,18 +52,18 @@
         }
     }
 
-    /// All machines are asked, some at a time, so that the new fencing token is confirmed before the
-    /// next heartbeat.
-    fn await_machines(&mut self, ctx: &Context) {
-        let patience_ms = ctx.settings.heartbeat_interval_ms() * ZONE_PATIENCE_HEARTBEATS;
-        let heard_by = ctx.now.monotonic_ms + patience_ms;
+    /// Expects a heartbeat from all machines, and starts calls to them, a limited number at a time, so that they
+    /// confirm the new fencing token before their next heartbeat.
+    fn expect_machines(&mut self, ctx: &Context) {
+        let window_ms = ctx.settings.heartbeat_interval_ms() * ZONE_FIRST_HEARTBEAT_INTERVALS;
+        let deadline_ms = ctx.now.monotonic_ms + window_ms;
         for machine in self.fleet.machines.values().filter(|machine| !machine.zone.is_empty()) {
-            self.fleet.reachability.expect_machine(&machine.zone, heard_by);
+            self.fleet.reachability.expect_machine(&machine.zone, deadline_ms);
         }
         self.fleet.confirm_all_tokens();
     }
 
-    /// Sorts what was read of submissions' parts: jobs', and what no record refers to.
+    /// Assigns the submission parts to their jobs. Parts without a job record are queued for removal.
     fn restore_split_submissions(&mut self, ctx: &mut Context) {
         let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
         for part in std::mem::take(&mut self.recovery.submission_parts) {
@@ -93,7 +94,7 @@
         let mut machines = BTreeSet::new();
         for (name, machine) in record.machines {
             let id: Id = name.as_str().into();
-            // In two blocks only if its move between them was not finished: either will do.
+            // A machine is in two blocks only if its move between them was not completed; either block is valid.
             if self.fleet.machines.contains_key(&id) {
                 continue;
             }
@@ -118,14 +119,14 @@
         machine.agent.endpoint = record.endpoint;
         machine.agent.epoch = record.agent_epoch;
         machine.rented_at = record.rented_at_ms;
-        machine.images = record.images.iter().filter_map(|place| images.get(*place as usize).copied()).collect();
+        machine.images = record.images.iter().filter_map(|index| images.get(*index as usize).copied()).collect();
         machine.record.block = Some(block);
         machine.record.committed = true;
         self.fleet.machines.insert(machine);
     }
 
-    /// Takes in a placement that an earlier leader committed. That of a task whose outcome is committed
-    /// is void.
+    /// Restores a placement that an earlier leader committed. A placement of a task whose outcome is committed is
+    /// ignored.
     pub(super) fn restore_placement(&mut self, ctx: &Context, stored: StoredPlacement) {
         let StoredPlacement { job: id, task, machine, agent_epoch, attempt } = stored;
         let is_open = |job: &&Job| !job.tasks.is_done(task) && task < job.spec.tasks;
@@ -136,8 +137,8 @@
         }
         let (need, image, image_gb) = (job.need, job.image, job.spec.image_gb);
         if !self.fleet.machines.contains_key(&machine) {
-            // Returned after its jobs' records were last written, or never recorded: it counts until its
-            // silence or another return proves it gone.
+            // The machine was returned after the last entries of its tasks were written, or was never recorded. It is
+            // kept until missing heartbeats or another return prove it gone.
             let unknown = self.new_machine(ctx, &machine, "", "", false, false);
             self.fleet.machines.insert(unknown);
         }
@@ -161,9 +162,9 @@
         self.add_placement(&machine, placement);
     }
 
-    /// Where records of version 0.1 name a task twice, the earlier placement had been released when the
-    /// later was planned, so it is gone; it must not be started again and is released by proof as any
-    /// other.
+    /// Stops superseded placements. Where records of version 0.1 contain two placements of a task, the earlier one had
+    /// been released before the later one was planned, so its task is gone. The task must not be started again; the
+    /// placement is released like any other once it is proven gone.
     fn stop_superseded_placements(&mut self) {
         for job in self.jobs.values() {
             for superseded in job.tasks.superseded_placements() {
--- a/crates/core/src/leader/recovery/v0_1.rs
+++ b/crates/core/src/leader/recovery/v0_1.rs
@@ -1,4 +1,4 @@
-//! Records as version 0.1 kept them: machines with placements, and outcomes by themselves.
+//! Restores records in the format of version 0.1: machines with their placements, and separate task outcomes.
 
 use crate::controller::Context;
 use crate::leader::Leader;
@@ -7,37 +7,37 @@
 use crate::records::{V01MachineRecord, V01PlacementRecord, keys};
 use shaleshunt_wire::kv::KeyValue;
 
-/// Outcomes came in chunks of a third of a value's limit, six bits a character: so many tasks in a
-/// KiB of the limit.
+/// Tasks of a chunk of outcomes, per KiB of the value size limit. A chunk took a third of the limit and encoded six
+/// tasks per character.
 const TASKS_PER_KIB: f64 = 1024.0 * 2.0;
-/// A chunk holds a multiple of so many tasks, and at least these.
-const CHUNK_UNIT: u32 = 64;
+/// The number of tasks in a chunk is a multiple of this number, and at least this number.
+const CHUNK_TASKS_MULTIPLE: u32 = 64;
 
-/// A task of which something was read that is to be written anew.
+/// A task whose state was read from a record of version 0.1 and has to be rewritten.
 struct ReadTask {
     job: Id,
     task: u32,
 }
 
 impl Leader {
-    /// Takes in records of version 0.1 and has them written anew. A task about which a page says
-    /// something is known from there: the leader that wrote it had read these records.
-    pub(super) fn read_v0_1_records(&mut self, ctx: &Context) {
+    /// Restores records of version 0.1 and queues their contents to be rewritten. An entry on a task page takes
+    /// precedence, since the leader that wrote the page had read these records.
+    pub(super) fn restore_v0_1_records(&mut self, ctx: &Context) {
         let mut read_tasks: Vec<ReadTask> = Vec::new();
         for pair in std::mem::take(&mut self.recovery.v0_1_outcomes) {
-            self.read_v0_1_outcomes(ctx, pair, &mut read_tasks);
+            self.restore_v0_1_outcomes(ctx, pair, &mut read_tasks);
         }
         for pair in std::mem::take(&mut self.recovery.v0_1_machines) {
-            self.read_v0_1_machine(ctx, pair, &mut read_tasks);
+            self.restore_v0_1_machine(ctx, pair, &mut read_tasks);
         }
         for ReadTask { job, task } in read_tasks {
             self.record_change(ctx.now.monotonic_ms, &job, task, WriteUrgency::Immediate);
         }
     }
 
-    fn read_v0_1_outcomes(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
+    fn restore_v0_1_outcomes(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
         let tasks = (ctx.settings.state.value_kb * TASKS_PER_KIB) as u32;
-        let tasks_per_chunk = (tasks / CHUNK_UNIT * CHUNK_UNIT).max(CHUNK_UNIT);
+        let tasks_per_chunk = (tasks / CHUNK_TASKS_MULTIPLE * CHUNK_TASKS_MULTIPLE).max(CHUNK_TASKS_MULTIPLE);
         let mut parts = pair.path[keys::V01_OUTCOMES.len()..].rsplitn(2, '/');
         let chunk = parts.next().and_then(|chunk| chunk.parse::<u32>().ok());
         let job = parts.next().and_then(|job| self.jobs.get_mut(job));
@@ -48,7 +48,7 @@
         self.store.add_v0_1_key(pair.path, pair.version);
     }
 
-    fn read_v0_1_machine(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
+    fn restore_v0_1_machine(&mut self, ctx: &Context, pair: KeyValue, read_tasks: &mut Vec<ReadTask>) {
         let id: Id = pair.path[keys::V01_MACHINES.len()..].into();
         self.store.add_v0_1_key(pair.path, pair.version);
         let Ok(record) = serde_json::from_value::<V01MachineRecord>(pair.v) else { return };
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -1,7 +1,7 @@
-//! The watch of the unfinished jobs: what users submit and cancel, and how fresh that is.
+//! The watch on the records of unfinished jobs, which brings submissions and cancellations by users.
 //!
-//! `JobWatch` owns the place up to which changes have been seen. Changes are applied once, in their
-//! order; a record that is older than what is known of a job changes nothing.
+//! `JobWatch` owns the revision up to which changes have been seen, and the time up to which no cancellation can have
+//! been missed. Changes are applied once and in order. A record older than the leader's copy has no effect.
 
 mod split_submissions;
 
@@ -17,90 +17,97 @@
 use shaleshunt_wire::kv::{Change, WatchReply};
 use std::collections::BTreeMap;
 
-/// A watch waits for this part of a heartbeat interval. It is short: what is known of cancellations
-/// bounds how long workers' leases may be renewed in a network partition.
+/// A watch request is held for one heartbeat interval divided by this number. Short watches matter, since the time of
+/// the last answered one bounds how long machine leases may be renewed in a network partition.
 const WATCHES_PER_HEARTBEAT: u64 = 8;
-/// A watch without an answer is begun anew after this part of a heartbeat interval.
+/// Retries of an unanswered watch, per heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 20;
-/// The watch of the unfinished jobs, and how fresh what it showed is. Times are in ms, monotonic.
+
+/// State of the watch on unfinished jobs. Times are in ms, monotonic.
 #[derive(Debug)]
 pub(crate) struct JobWatch {
-    /// Jobs whose end this leader has written, with the revision of that: news of them that the watch
-    /// brings from before is old.
+    /// Jobs whose end this leader has written, with the revision of the write. Earlier changes of these jobs that the
+    /// watch still returns are outdated.
     ended_jobs: BTreeMap<Id, Revision>,
-    /// Changes up to here have been seen.
+    /// Revision up to which changes have been seen. `None` until the first page of jobs has been read.
     revision: Option<Revision>,
-    retry_at: Option<u64>,
-    /// Sending time of the last watch that was answered: no cancellation before it was missed.
-    fresh_at: u64,
+    /// Time at which a failed watch is repeated. `None` while none has failed.
+    retry_at_ms: Option<u64>,
+    /// Time at which the last answered watch was sent. No cancellation before this time has been missed.
+    fresh_at_ms: u64,
 }
 
 impl JobWatch {
-    /// That of a leader that begins at a time.
+    /// Creates the watch of a leader that starts at `now` (ms, monotonic).
     pub(crate) fn new(now: u64) -> JobWatch {
-        JobWatch { ended_jobs: BTreeMap::new(), revision: None, retry_at: None, fresh_at: now }
+        JobWatch { ended_jobs: BTreeMap::new(), revision: None, retry_at_ms: None, fresh_at_ms: now }
     }
 
-    /// The first jobs are being read at a revision: changes from there on are seen.
+    /// Sets the revision after which changes are watched: that of the first page of jobs read during recovery.
     pub(crate) fn begin_at(&mut self, revision: Revision) {
         self.revision.get_or_insert(revision);
     }
 
-    /// The end of a job was written at a revision.
+    /// Records that the end of a job was written at `revision`.
     pub(crate) fn job_ended(&mut self, job: Id, revision: Revision) {
         self.ended_jobs.insert(job, revision);
     }
 
-    /// Whether no cancellation before a time can have been missed for longer than `window_ms`.
+    /// Whether all cancellations older than `window_ms` are known.
     pub(crate) fn is_fresh(&self, now: u64, window_ms: u64) -> bool {
-        now.saturating_sub(self.fresh_at) < window_ms
+        now.saturating_sub(self.fresh_at_ms) < window_ms
     }
 
-    /// Whether a watch that failed is to be begun anew.
+    /// Whether a failed watch has to be repeated now.
     pub(crate) fn is_retry_due(&self, now: u64) -> bool {
-        self.retry_at.is_some_and(|at| now >= at)
+        self.retry_at_ms.is_some_and(|at| now >= at)
     }
 
-    /// A watch that was sent at a time was answered with all changes up to a revision.
-    fn answered(&mut self, sent: u64, revision: Revision) {
-        self.fresh_at = self.fresh_at.max(sent);
+    /// Records that a watch sent at `sent_at_ms` (ms, monotonic) returned all changes up to `revision`.
+    fn record_reply(&mut self, sent_at_ms: u64, revision: Revision) {
+        self.fresh_at_ms = self.fresh_at_ms.max(sent_at_ms);
         self.revision = Some(revision);
     }
 
-    /// Ends up to a revision have been seen to go by.
+    /// Forgets ends of jobs that were written up to `revision`, as the watch has passed them.
     fn forget_ends(&mut self, revision: Revision) {
         self.ended_jobs.retain(|_, end| *end > revision);
     }
 }
 
 impl Leader {
-    /// Waits for changes of the unfinished jobs.
+    /// Sends a watch request for changes to unfinished jobs.
     pub(crate) fn watch_jobs(&mut self, ctx: &mut Context) {
-        self.watch.retry_at = None;
+        self.watch.retry_at_ms = None;
         let after = self.watch.revision.unwrap_or(Revision::ABSENT);
         let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
         let wait = self.wait(LeaderRequest::Watch);
         ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
     }
 
-    /// A watch that was sent at a time was answered, or not.
-    pub(crate) fn handle_watch_reply(&mut self, ctx: &mut Context, sent: u64, result: Result<KvReply, RequestError>) {
+    /// Handles the reply to a watch that was sent at `sent_at_ms` (ms, monotonic), or its failure.
+    pub(crate) fn handle_watch_reply(
+        &mut self,
+        ctx: &mut Context,
+        sent_at_ms: u64,
+        result: Result<KvReply, RequestError>,
+    ) {
         match result {
-            Ok(KvReply::Changes(news)) => {
-                self.watch.answered(sent, news.revision);
-                self.apply_changes(ctx, news);
+            Ok(KvReply::Changes(reply)) => {
+                self.watch.record_reply(sent_at_ms, reply.revision);
+                self.apply_changes(ctx, reply);
                 self.watch_jobs(ctx);
             }
             Ok(KvReply::Compacted) => self.down = Some(StepDown::ChangesMissed),
             _ => {
-                let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
-                self.watch.retry_at = Some(ctx.now.monotonic_ms + pause_ms);
+                let delay_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+                self.watch.retry_at_ms = Some(ctx.now.monotonic_ms + delay_ms);
             }
         }
     }
 
-    fn apply_changes(&mut self, ctx: &mut Context, news: WatchReply) {
-        for change in news.changes {
+    fn apply_changes(&mut self, ctx: &mut Context, reply: WatchReply) {
+        for change in reply.changes {
             match change {
                 Change { set: Some(path), v: Some(value), version, .. } => {
                     self.apply_job_record(ctx, &path, value, version);
@@ -115,10 +122,10 @@
                 _ => {}
             }
         }
-        self.watch.forget_ends(news.revision);
+        self.watch.forget_ends(reply.revision);
     }
 
-    /// The record of an unfinished job has been read.
+    /// Applies a record of an unfinished job, unless a newer one is known.
     pub(crate) fn apply_job_record(&mut self, ctx: &mut Context, key: &str, value: Value, version: Revision) {
         let id = keys::job_id(key);
         let is_newer_known = self.jobs.get(id).is_some_and(|job| job.record.version > version);
@@ -139,7 +146,7 @@
         }
     }
 
-    /// A known job's record is the newest: of a job, only whether it is cancelled ever changes.
+    /// Updates a known job from its newest record. Cancellation is the only change that a job's record undergoes.
     fn update_job(&mut self, ctx: &mut Context, id: &str, record: &StoredJob, version: Revision) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         self.scheduler.request_pass();
@@ -155,7 +162,7 @@
         self.queue_write(ctx.now.monotonic_ms, &id);
     }
 
-    /// A job that was not known has come.
+    /// Adds a job, unless the same or a newer version of its record is known.
     pub(crate) fn add_job(&mut self, ctx: &mut Context, record: JobRecord, version: Revision) {
         if self.jobs.get(record.submission.id.as_str()).is_some_and(|job| job.record.version >= version) {
             return;
@@ -177,11 +184,11 @@
         self.queue_write(ctx.now.monotonic_ms, &id);
     }
 
-    /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
-    /// never does. Its record is read for the rest.
+    /// Stops a job after a user's request has shown that it is cancelled: running tasks are stopped, and placements
+    /// that have not been sent never are. The rest follows when the job's record has been read again.
     pub(crate) fn stop_cancelled_job(&mut self, ctx: &mut Context, id: &str) {
         let Some(job) = self.jobs.get_mut(id).filter(|job| !job.cancelled && !job.is_blocked()) else { return };
-        // Nothing more is placed before it has been read.
+        // While the record is stale, no more tasks of the job are placed.
         job.record.stale = true;
         let id = job.id.clone();
         self.stop_job(ctx, &id);
@@ -190,7 +197,7 @@
         }
     }
 
-    /// A job's record is no longer there.
+    /// Cancels and removes a job whose record no longer exists.
     pub(crate) fn apply_job_removal(&mut self, ctx: &mut Context, id: &str) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         job.cancelled = true;
@@ -212,7 +219,7 @@
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
-    /// A job's record was read again, or not: then once more.
+    /// Handles the reply to a repeated read of a job's record. A failed read is sent again.
     pub(crate) fn handle_job_refresh_reply(
         &mut self,
         ctx: &mut Context,
@@ -221,7 +228,7 @@
     ) {
         match result {
             Ok(KvReply::Found(pair)) => {
-                // A job that has ended meanwhile never comes back.
+                // A job that has ended in the meantime is not added again.
                 if self.jobs.contains_key(&id) {
                     self.apply_job_record(ctx, &pair.path, pair.v, pair.version);
                 }
@@ -231,7 +238,7 @@
         }
     }
 
-    /// Whether workers' leases may be renewed: no cancellation can have been missed for too long.
+    /// Whether machine leases may be renewed, which requires that all cancellations are known up to a recent time.
     pub(crate) fn may_renew_leases(&self, ctx: &Context) -> bool {
         self.watch.is_fresh(ctx.now.monotonic_ms, ctx.settings.lease_renewal_window_ms())
     }
--- a/crates/core/src/leader/watch/split_submissions.rs
+++ b/crates/core/src/leader/watch/split_submissions.rs
@@ -1,4 +1,4 @@
-//! Jobs whose submission is in parts: the job is known when all parts have been read.
+//! Jobs with split submissions, which become known when all parts have been read.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -9,12 +9,12 @@
 use crate::records::SplitSubmissionRecord;
 use shaleshunt_wire::Revision;
 
-/// A read without an answer is begun anew after this part of a heartbeat interval.
+/// Retries of an unanswered read, per heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 12;
 
 impl Leader {
-    /// The record of a job whose submission is in parts has come. During a failover all parts are read
-    /// anyway.
+    /// Handles a new record of a job with a split submission. Its parts are read unless recovery is in progress, which
+    /// reads all parts.
     pub(super) fn handle_split_submission_record(
         &mut self,
         ctx: &mut Context,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Reads the next parts of a job that has come.
+    /// Reads the next page of a submission's parts.
     pub(crate) fn read_submission_parts(&mut self, ctx: &mut Context, read: SplitSubmissionRead) {
         self.store.begin_submission_read(&read);
         let after = read.parts.last().map(|part| part.path.clone()).unwrap_or_default();
@@ -38,20 +38,20 @@
         ctx.send_kv(KvRequest::Scan { prefix, after }, wait);
     }
 
-    /// Parts were read, or not: then once more.
+    /// Handles the reply to a read of submission parts. A failed read is repeated after a delay.
     pub(crate) fn handle_submission_parts_reply(
         &mut self,
         ctx: &mut Context,
         mut read: SplitSubmissionRead,
         result: Result<KvReply, RequestError>,
     ) {
-        // The record has changed or is gone since: this answer is late.
+        // A reply is outdated if the record has been changed or removed since.
         if !self.store.is_submission_read_current(&read) {
             return;
         }
         let Ok(KvReply::Page(page)) = result else {
-            let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
-            self.store.retry_submission_read(ctx.now.monotonic_ms + pause_ms, read);
+            let delay_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+            self.store.retry_submission_read(ctx.now.monotonic_ms + delay_ms, read);
             return;
         };
         read.parts.extend(page.pairs);
@@ -63,14 +63,14 @@
         }
     }
 
-    /// All parts of a job's submission have been read.
+    /// Adds a job after all parts of its submission have been read.
     pub(crate) fn add_split_submission(&mut self, ctx: &mut Context, read: SplitSubmissionRead) {
-        let Some(whole) = read.record.join(&read.parts) else {
+        let Some(record) = read.record.join(&read.parts) else {
             ctx.emit(Event::SubmissionPartsUnreadable { prefix: read.record.parts_prefix });
             return;
         };
-        let id: Id = whole.submission.id.as_str().into();
+        let id: Id = record.submission.id.as_str().into();
         self.store.add_submission_parts(id, read.parts);
-        self.add_job(ctx, whole, read.version);
+        self.add_job(ctx, record, read.version);
     }
 }
--- a/crates/core/src/records/job.rs
+++ b/crates/core/src/records/job.rs
@@ -1,4 +1,4 @@
-//! Records of jobs: unfinished, with a split submission, finished.
+//! Records of jobs: unfinished ones, unfinished ones with a split submission, and finished ones.
 
 use crate::records::keys;
 use serde::{Deserialize, Serialize};
@@ -9,28 +9,28 @@
 /// Record of an unfinished job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct JobRecord {
-    /// The submission.
+    /// The user's submission.
     #[serde(rename = "s")]
     pub submission: Submission,
-    /// When it was accepted, time of day in milliseconds.
+    /// Time of acceptance (ms, wall clock).
     #[serde(rename = "at")]
     pub accepted_at_ms: u64,
-    /// Whether it has been cancelled.
+    /// Whether the job has been cancelled.
     #[serde(rename = "x", default)]
     pub cancelled: bool,
-    /// Whether its cancellation has a key of its own; version 0.1 wrote none.
+    /// Whether the cancellation has its own key. False for records written by version 0.1.
     #[serde(rename = "k", default)]
     pub has_cancellation_key: bool,
 }
 
 impl JobRecord {
-    /// The record of a job that was accepted at a time of day.
+    /// Creates the record of a job that was accepted at `accepted_at_ms` (wall clock).
     pub fn new(submission: Submission, accepted_at_ms: u64) -> JobRecord {
         JobRecord { submission, accepted_at_ms, cancelled: false, has_cancellation_key: false }
     }
 
-    /// The record when its user cancels it. What only matters before its tasks start is left out: the
-    /// store may by now take shorter values than when the job was accepted.
+    /// Returns the record after the user has cancelled the job. Fields that only matter before the tasks start are
+    /// cleared, since the store's size limit for values may be lower than when the job was accepted.
     pub fn into_cancelled(mut self) -> JobRecord {
         self.submission.dependencies.clear();
         self.submission.machine_types = None;
@@ -40,28 +40,28 @@
     }
 }
 
-/// Record of an unfinished job whose submission takes more than a value and is in parts.
+/// Record of an unfinished job whose submission exceeds a value and is stored in parts.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct SplitSubmissionRecord {
-    /// Prefix of the parts' keys.
+    /// Common prefix of the keys of the parts.
     #[serde(rename = "p")]
     pub parts_prefix: String,
-    /// Number of its tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// When it was accepted, time of day in milliseconds.
+    /// Time of acceptance (ms, wall clock).
     #[serde(rename = "at")]
     pub accepted_at_ms: u64,
-    /// Whether it has been cancelled.
+    /// Whether the job has been cancelled.
     #[serde(rename = "x")]
     pub cancelled: bool,
-    /// Whether its cancellation has a key of its own.
+    /// Whether the cancellation has its own key.
     #[serde(rename = "k")]
     pub has_cancellation_key: bool,
 }
 
 impl SplitSubmissionRecord {
-    /// The record of the whole job, if the parts make up a submission.
+    /// Joins the parts to the record of the whole job. `None` if they are not a valid submission.
     pub fn join(&self, parts: &[KeyValue]) -> Option<JobRecord> {
         let text: String = parts.iter().filter_map(|part| part.v.as_str()).collect();
         Some(JobRecord {
@@ -72,24 +72,24 @@
         })
     }
 
-    /// Its job, by the prefix of the parts.
+    /// Returns the ID of the job, from the prefix of the parts.
     pub fn job(&self) -> &str {
         keys::job_id_of_submission_part(&self.parts_prefix)
     }
 }
 
-/// What a key of an unfinished job holds.
+/// Value of the key of an unfinished job.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(untagged)]
 pub enum StoredJob {
-    /// A record with the submission.
+    /// A record that contains the submission.
     Whole(Box<JobRecord>),
-    /// A record of a job whose submission is in parts.
+    /// A record of a job whose submission is stored in parts.
     SplitSubmission(SplitSubmissionRecord),
 }
 
 impl StoredJob {
-    /// Reads a value; none if it is not understood.
+    /// Parses a value. `None` if it is not a valid record.
     pub fn read(value: Value) -> Option<StoredJob> {
         serde_json::from_value(value).ok()
     }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// How many tasks the job has.
+    /// Number of the job's tasks.
     pub fn tasks(&self) -> u32 {
         match self {
             StoredJob::Whole(record) => record.submission.tasks,
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Whether the job's cancellation has a key of its own.
+    /// Whether the job's cancellation has its own key.
     pub fn has_cancellation_key(&self) -> bool {
         match self {
             StoredJob::Whole(record) => record.has_cancellation_key,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// The value when the job's user cancels it.
+    /// Returns the value after the user has cancelled the job.
     pub fn into_cancelled(self) -> Value {
         match self {
             StoredJob::Whole(record) => json!(record.into_cancelled()),
@@ -132,13 +132,13 @@
 /// Record of a finished job.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct FinalRecord {
-    /// Whether it was cancelled.
+    /// Whether the job was cancelled.
     #[serde(rename = "x")]
     pub cancelled: bool,
-    /// Number of its tasks.
+    /// Number of tasks.
     #[serde(rename = "n")]
     pub tasks: u32,
-    /// When it ended, time of day in milliseconds; versions before 0.3 wrote none.
+    /// Time when the job ended (ms, wall clock). 0 in records written by versions before 0.3.
     #[serde(rename = "t", default)]
     pub ended_at_ms: u64,
 }
--- a/crates/core/src/records/keys.rs
+++ b/crates/core/src/records/keys.rs
@@ -1,89 +1,89 @@
-//! Keys of the key-value store.
+//! Keys and key prefixes of the key-value store.
 
-/// The leader's key, attached to its lease.
+/// Key of the current leader, attached to the leader lease.
 pub const LEADER: &str = "l/lead";
-/// The epoch, which only grows.
+/// Key of the leader epoch, which only increases.
 pub const EPOCH: &str = "l/epoch";
-/// Cancelled jobs that have not ended. Below the leader's prefix, so that one watch shows a
-/// controller both that its leader still leads and what has been cancelled.
+/// Prefix for cancelled jobs that have not ended. It is below the prefix of leadership, so that a controller learns
+/// from one watch both whether the leader has changed and which jobs have been cancelled.
 pub const CANCELLED: &str = "l/x/";
-/// Everything about leadership: the leader, the epoch, cancelled jobs.
+/// Prefix of the leader, the epoch and the cancelled jobs.
 pub const LEADERSHIP: &str = "l/";
-/// Unfinished jobs.
+/// Prefix for unfinished jobs.
 pub const JOBS: &str = "j/";
-/// Parts of submissions that take more than a value.
+/// Prefix for parts of submissions that exceed the size limit of a value.
 pub const SUBMISSION_PARTS: &str = "s/";
-/// Finished jobs.
+/// Prefix for final records of jobs.
 pub const FINAL_RECORDS: &str = "f/";
-/// Entries about unfinished jobs' tasks, on pages.
+/// Prefix for task pages, which hold the states of tasks of unfinished jobs.
 pub const TASK_PAGES: &str = "p/";
-/// Machines, in blocks.
+/// Prefix for machine blocks.
 pub const MACHINE_BLOCKS: &str = "b/";
-/// Outcomes as version 0.1 kept them. Read at a failover, removed once written anew.
+/// Prefix for task outcomes in the format of version 0.1. They are read during recovery and removed once rewritten.
 pub const V01_OUTCOMES: &str = "d/";
-/// Machines and placements as version 0.1 kept them. Read and removed likewise.
+/// Prefix for machines and placements in the format of version 0.1. They are read and removed in the same way.
 pub const V01_MACHINES: &str = "m/";
-/// Scale-out requests under way.
+/// Prefix for scale-out requests that are in progress.
 pub const SCALE_OUTS: &str = "h/";
-/// What is known of the cluster as a whole: the machine types and the owned machines.
+/// Prefix for records about the whole cluster: the machine types and the owned machines.
 pub const CLUSTER: &str = "c/";
-/// The machine types.
+/// Key of the machine types.
 pub const CATALOG: &str = "c/catalog";
-/// The machines owned: those that were up when the service first began. More than a value holds
-/// go on further keys below this one, which are written first: they count only if it is there.
+/// Key of the owned machines, which are those that were up when the service first started. A list that exceeds a value
+/// continues in keys below this one. These are written first and are ignored while this key doesn't exist.
 pub const OWNED: &str = "c/owned";
 
-/// The key of an unfinished job.
+/// Returns the key of an unfinished job.
 pub fn job(id: &str) -> String {
     format!("{JOBS}{id}")
 }
 
-/// The unfinished job that a key stands for.
+/// Returns the ID of the unfinished job with this key.
 pub fn job_id(key: &str) -> &str {
     &key[JOBS.len().min(key.len())..]
 }
 
-/// The key of a finished job.
+/// Returns the key of a job's final record.
 pub fn final_record(id: &str) -> String {
     format!("{FINAL_RECORDS}{id}")
 }
 
-/// The key that shows that a job has been cancelled.
+/// Returns the key that exists while a cancelled job has not ended.
 pub fn cancellation(id: &str) -> String {
     format!("{CANCELLED}{id}")
 }
 
-/// The key of a scale-out request.
+/// Returns the key of a scale-out request.
 pub fn scale_out(request: &str) -> String {
     format!("{SCALE_OUTS}{request}")
 }
 
-/// The key of a page of task entries. In the order of the keys pages are in the order of their numbers.
+/// Returns the key of a task page. Keys sort in the order of the page numbers.
 pub fn task_page(number: u32) -> String {
     format!("{TASK_PAGES}{number:010}")
 }
 
-/// The number of the page that a key stands for.
+/// Returns the number of the task page with this key.
 pub fn task_page_number(key: &str) -> Option<u32> {
     key.strip_prefix(TASK_PAGES)?.parse().ok()
 }
 
-/// The key of a block of machines.
+/// Returns the key of a machine block.
 pub fn machine_block(number: u32) -> String {
     format!("{MACHINE_BLOCKS}{number}")
 }
 
-/// The number of the block that a key stands for.
+/// Returns the number of the machine block with this key.
 pub fn machine_block_number(key: &str) -> Option<u32> {
     key.strip_prefix(MACHINE_BLOCKS)?.parse().ok()
 }
 
-/// The key of a part of the list of owned machines.
+/// Returns the key of a part of the list of owned machines.
 pub fn owned_list_part(number: u32) -> String {
     if number == 0 { OWNED.to_string() } else { format!("{OWNED}/{number}") }
 }
 
-/// The job that a part of a submission belongs to, by the key of the part or its prefix.
+/// Returns the ID of the job that a submission part belongs to, from the part's key or the common prefix of all parts.
 pub fn job_id_of_submission_part(key: &str) -> &str {
     key.get(SUBMISSION_PARTS.len()..).and_then(|rest| rest.split('/').next()).unwrap_or_default()
 }
--- a/crates/core/src/records/machine.rs
+++ b/crates/core/src/records/machine.rs
@@ -1,4 +1,4 @@
-//! Records of machines: blocks, and single machines as version 0.1 kept them.
+//! Records of machines: blocks, and single machines in the format of version 0.1.
 
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::{AgentEpoch, Attempt};
@@ -7,36 +7,36 @@
 /// A machine in a block's record.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct MachineRecord {
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "f")]
     pub machine_type: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "b")]
     pub spot: bool,
-    /// Whether it is owned: never returned for idleness.
+    /// Whether the machine is owned, in which case it is never returned for idleness.
     #[serde(rename = "o")]
     pub owned: bool,
-    /// Address.
+    /// Address of the agent. Empty if unknown.
     #[serde(rename = "e")]
     pub endpoint: String,
-    /// Epoch of its agent when the record was written.
+    /// Agent epoch when the record was written.
     #[serde(rename = "s")]
     pub agent_epoch: AgentEpoch,
-    /// When it was rented, time of day in milliseconds.
+    /// Time when the machine was rented (ms, wall clock).
     #[serde(rename = "t")]
     pub rented_at_ms: u64,
-    /// Images held, by their place in the block's list.
+    /// Images cached on the machine, as indexes into the block's list of images. Empty if not recorded.
     #[serde(rename = "i", default)]
     pub images: Vec<u32>,
 }
 
-/// An image and its size; an array of the two in the store.
+/// An image, stored as an array of name and size.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(from = "(String, f64)", into = "(String, f64)")]
 pub struct ImageRecord {
-    /// Name.
+    /// Name of the image.
     pub name: String,
-    /// Size.
+    /// Size in GB.
     pub gb: f64,
 }
 
@@ -52,59 +52,59 @@
     }
 }
 
-/// Record of a block: machines of one zone, all owned or all rented, so that a new leader reads
-/// some dozens of keys and renting fifty machines costs a write or two.
+/// Record of a machine block: machines of one zone that are either all owned or all rented. With blocks, a new leader
+/// reads a few dozen keys, and renting fifty machines costs one write or two.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct BlockRecord {
-    /// Zone.
+    /// Zone of the machines.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Images that its machines hold.
+    /// Images cached on the machines. Empty if not recorded.
     #[serde(rename = "i", default)]
     pub images: Vec<ImageRecord>,
-    /// The machines by name.
+    /// Machines by name.
     #[serde(rename = "m")]
     pub machines: BTreeMap<String, MachineRecord>,
 }
 
-/// Record of a machine as version 0.1 kept it, with its placements.
+/// Record of a machine and its placements in the format of version 0.1.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct V01MachineRecord {
-    /// Its type.
+    /// Machine type.
     #[serde(rename = "f")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "z")]
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     #[serde(rename = "b")]
     pub spot: bool,
-    /// Whether it is owned.
+    /// Whether the machine is owned.
     #[serde(rename = "o")]
     pub owned: bool,
-    /// Address.
+    /// Address of the agent. Empty if unknown.
     #[serde(rename = "e")]
     pub endpoint: String,
-    /// Epoch of the agent that the placements are for.
+    /// Agent epoch that the placements are valid in.
     #[serde(rename = "s")]
     pub agent_epoch: AgentEpoch,
-    /// When it was rented, time of day in milliseconds.
+    /// Time when the machine was rented (ms, wall clock).
     #[serde(rename = "t")]
     pub rented_at_ms: u64,
-    /// Its placements.
+    /// Placements of tasks on the machine.
     #[serde(rename = "p")]
     pub placements: Vec<V01PlacementRecord>,
 }
 
-/// A placement in a record of version 0.1; an array of the three in the store.
+/// A placement in the format of version 0.1, stored as an array of job, task and attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, u32, Attempt)", into = "(String, u32, Attempt)")]
 pub struct V01PlacementRecord {
-    /// Job.
+    /// ID of the job.
     pub job: String,
     /// Number of the task.
     pub task: u32,
-    /// Attempt.
+    /// Attempt to run the task.
     pub attempt: Attempt,
 }
 
--- a/crates/core/src/records/mod.rs
+++ b/crates/core/src/records/mod.rs
@@ -1,8 +1,8 @@
-//! The records in the key-value store: keys, and the stored form of each kind of value.
+//! Records in the key-value store: keys, and the serialized form of each kind of value.
 //!
-//! This is the one place where stored names live. Fields have readable names here and keep their short
-//! names in the store by `serde(rename)`; leaders of several versions read one another's records, so a
-//! stored name never changes its meaning. Nothing here knows what the records are used for.
+//! All names in stored data are defined here. Fields have descriptive names in the code and short names in the store,
+//! by `serde(rename)`. Leaders of different versions read each other's records, so the meaning of a stored name never
+//! changes. This module doesn't depend on how the records are used.
 
 mod job;
 pub mod keys;
--- a/crates/core/src/records/page.rs
+++ b/crates/core/src/records/page.rs
@@ -1,42 +1,42 @@
-//! Records of task entries, on pages.
+//! Records of task pages.
 
 use serde::{Deserialize, Serialize};
 use shaleshunt_wire::{AgentEpoch, Attempt};
 
-/// A page's record.
+/// Record of a task page.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct PageRecord {
-    /// Entries, oldest first.
+    /// Entries, oldest first. The last entry of a task is the valid one.
     #[serde(rename = "e")]
     pub entries: Vec<TaskEntry>,
 }
 
-/// What holds for some tasks of a job: done, placed, or (neither given) free.
+/// State of some tasks of a job: done, placed or, if neither is set, free.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TaskEntry {
-    /// Job.
+    /// ID of the job.
     #[serde(rename = "j")]
     pub job: String,
-    /// Where they are placed.
+    /// Placement of the tasks. `None` if they are not placed.
     #[serde(rename = "m", default, skip_serializing_if = "Option::is_none")]
     pub placement: Option<PlacementRecord>,
-    /// Whether they are done.
+    /// Whether the tasks are done.
     #[serde(rename = "d", default, skip_serializing_if = "std::ops::Not::not")]
     pub done: bool,
-    /// The tasks.
+    /// Numbers of the tasks, as runs.
     #[serde(rename = "n")]
     pub runs: Vec<TaskRun>,
 }
 
-/// A machine, the epoch of its agent, and the attempt; an array of the three in the store.
+/// A placement, stored as an array of machine, agent epoch and attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, AgentEpoch, Attempt)", into = "(String, AgentEpoch, Attempt)")]
 pub struct PlacementRecord {
-    /// Machine.
+    /// Name of the machine.
     pub machine: String,
-    /// Epoch of its agent that the placement is for.
+    /// Agent epoch that the placement is valid in.
     pub agent_epoch: AgentEpoch,
-    /// Attempt.
+    /// Attempt to run the tasks.
     pub attempt: Attempt,
 }
 
@@ -52,18 +52,18 @@
     }
 }
 
-/// Tasks with consecutive numbers; an array of the two in the store.
+/// Tasks with consecutive numbers, stored as an array of first and count.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(u32, u32)", into = "(u32, u32)")]
 pub struct TaskRun {
     /// Number of the first task.
     pub first: u32,
-    /// How many tasks.
+    /// Number of tasks.
     pub count: u32,
 }
 
 impl TaskRun {
-    /// The tasks' numbers.
+    /// Returns the numbers of the tasks.
     pub fn tasks(&self) -> std::ops::Range<u32> {
         self.first..self.first.saturating_add(self.count)
     }
@@ -82,12 +82,12 @@
 }
 
 impl TaskEntry {
-    /// An entry about no task yet: free, unless set otherwise.
+    /// Creates an entry for free tasks of a job, without any tasks.
     pub fn new(job: &str) -> TaskEntry {
         TaskEntry { job: job.to_string(), placement: None, done: false, runs: Vec::new() }
     }
 
-    /// Adds a task; in the order of their numbers they take the least room.
+    /// Adds a task. The entry is smallest if tasks are added in ascending order.
     pub fn push(&mut self, task: u32) {
         match self.runs.last_mut() {
             Some(run) if run.first + run.count == task => run.count += 1,
@@ -95,12 +95,12 @@
         }
     }
 
-    /// How many tasks it is about.
+    /// Number of tasks.
     pub fn task_count(&self) -> u32 {
         self.runs.iter().map(|run| run.count).sum()
     }
 
-    /// An upper bound on the length of its text, in bytes.
+    /// Upper bound on the size of the serialized entry, in bytes.
     pub fn max_bytes(&self) -> usize {
         let digits = |n: u32| n.checked_ilog10().unwrap_or(0) as usize + 1;
         let runs: usize = self.runs.iter().map(|run| digits(run.first) + digits(run.count) + 4).sum();
