--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -81,7 +81,7 @@
         self.watch.retry_at_ms = None;
         let after = self.watch.revision.unwrap_or(Revision::ABSENT);
         let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
-        let wait = self.wait(LeaderRequest::Watch);
+        let wait = self.pending_request(LeaderRequest::WatchJobs);
         ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, hold_ms }, wait);
     }
 
@@ -98,7 +98,7 @@
                 self.apply_changes(ctx, reply);
                 self.watch_jobs(ctx);
             }
-            Ok(KvReply::Compacted) => self.down = Some(StepDown::ChangesMissed),
+            Ok(KvReply::Compacted) => self.step_down = Some(StepDown::ChangesMissed),
             _ => {
                 let delay_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
                 self.watch.retry_at_ms = Some(ctx.now.monotonic_ms + delay_ms);
@@ -157,9 +157,9 @@
         if record.is_cancelled() && !job.cancelled {
             job.cancelled = true;
             self.stop_job(ctx, &id);
-            self.cancelled(ctx, &id);
+            self.job_cancelled(ctx, &id);
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// Adds a job, unless the same or a newer version of its record is known.
@@ -176,12 +176,12 @@
         if self.active {
             self.add_dependencies(ctx, &id);
             if is_cancelled {
-                self.cancelled(ctx, &id);
+                self.job_cancelled(ctx, &id);
             } else if !is_blocked {
                 self.record_arrival(ctx.now.monotonic_ms, &id);
             }
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// Stops a job after a user's request has shown that it is cancelled: running tasks are stopped, and placements
@@ -207,7 +207,7 @@
             self.store.forget_job(&job);
             self.remove_dependencies(&job);
         }
-        self.dependency_vanished(ctx.now.monotonic_ms, &id);
+        self.job_record_removed(ctx.now.monotonic_ms, &id);
         self.scheduler.jobs_changed();
         self.scheduler.request_pass();
     }
@@ -215,7 +215,7 @@
     /// Reads a job's record again, after a condition on it failed.
     pub(crate) fn refresh_job_record(&mut self, ctx: &mut Context, id: Id) {
         let key = keys::job(&id);
-        let wait = self.wait(LeaderRequest::Refresh(id));
+        let wait = self.pending_request(LeaderRequest::ReadJobRecord(id));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
