--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -210,14 +210,14 @@
     /// Something about a task of a job is to be written.
     pub(crate) fn record_task_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
         if let Some(job) = self.jobs.get_mut(id) {
-            self.store.record_change(now, job, task, urgency);
+            self.store.record_task_change(now, job, task, urgency);
         }
     }
 
     /// Queues what a job has to write, its end included.
     pub(crate) fn queue_job_write(&mut self, now: u64, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
-            self.store.queue_write(now, job);
+            self.store.queue_job_write(now, job);
         }
     }
 
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -175,7 +175,7 @@
             let pages = (0..).zip(&job.writes.page_of_task);
             let tasks: Vec<u32> = pages.filter(|(_, page)| **page == compaction.page).map(|(task, _)| task).collect();
             for task in tasks {
-                self.queue.record_change(now, job, task, WriteUrgency::Deferred);
+                self.queue.record_task_change(now, job, task, WriteUrgency::Deferred);
             }
         }
     }
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -2,9 +2,9 @@
 //!
 //! `Store` owns the pending writes and the bookkeeping for stored records: their versions, the task pages, the machine
 //! blocks and the parts of split submissions. It makes no decisions about jobs or machines and doesn't depend on the
-//! leader, which calls `record_change` and `queue_write` when a job has changed, `join_block` and similar methods for
-//! machines, `next_request` once per batch and `handle_reply` for each reply. The consequences of a reply for jobs and
-//! machines are returned to the leader.
+//! leader, which calls `record_task_change` and `queue_job_write` when a job has changed, `join_block` and similar
+//! methods for machines, `next_request` once per batch and `handle_reply` for each reply. The consequences of a reply
+//! for jobs and machines are returned to the leader.
 //!
 //! Invariants:
 //! - At most one transaction is in flight. It contains the changes that became due since the previous one.
@@ -117,12 +117,12 @@
     }
 
     /// Queues a change of a task to be written.
-    pub(crate) fn record_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
-        self.queue.record_change(now, job, task, urgency);
+    pub(crate) fn record_task_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
+        self.queue.record_task_change(now, job, task, urgency);
     }
 
     /// Queues the pending writes of a job, including its end.
-    pub(crate) fn queue_write(&mut self, now: u64, job: &mut Job) {
+    pub(crate) fn queue_job_write(&mut self, now: u64, job: &mut Job) {
         self.queue.queue(now, job);
     }
 
--- a/crates/core/src/leader/store/write_queue.rs
+++ b/crates/core/src/leader/store/write_queue.rs
@@ -51,7 +51,7 @@
 
 impl WriteQueue {
     /// Queues a change of a task to be written.
-    pub(super) fn record_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
+    pub(super) fn record_task_change(&mut self, now: u64, job: &mut Job, task: u32, urgency: WriteUrgency) {
         self.change_counter += 1;
         job.writes.tasks.insert(task, self.change_counter);
         job.writes.urgent |= urgency == WriteUrgency::Immediate;
--- a/crates/core/src/leader/store/write_queue/tests.rs
+++ b/crates/core/src/leader/store/write_queue/tests.rs
@@ -13,9 +13,9 @@
 fn placements_are_urgent_and_outcomes_are_deferred() {
     let mut queue = WriteQueue::default();
     let (mut placed, mut done) = (job("wk-1", 1), job("wk-2", 2));
-    queue.record_change(5, &mut done, 0, WriteUrgency::Deferred);
+    queue.record_task_change(5, &mut done, 0, WriteUrgency::Deferred);
     assert!(!queue.has_urgent_work() && !queue.is_empty());
-    queue.record_change(6, &mut placed, 0, WriteUrgency::Immediate);
+    queue.record_task_change(6, &mut placed, 0, WriteUrgency::Immediate);
     assert!(queue.has_urgent_work() && placed.writes.urgent && !done.writes.urgent);
     assert_eq!(
         (queue.urgent_count(), queue.deferred_count()),
@@ -32,9 +32,9 @@
 fn a_later_change_of_a_task_has_a_higher_number() {
     let mut queue = WriteQueue::default();
     let mut job = job("wk-1", 1);
-    queue.record_change(5, &mut job, 0, WriteUrgency::Deferred);
+    queue.record_task_change(5, &mut job, 0, WriteUrgency::Deferred);
     let first = job.writes.tasks[&0];
-    queue.record_change(9, &mut job, 0, WriteUrgency::Deferred);
+    queue.record_task_change(9, &mut job, 0, WriteUrgency::Deferred);
     assert!(job.writes.tasks[&0] > first);
     assert_eq!(
         (queue.deferred_count(), queue.first_deferred().unwrap().since_ms),
@@ -49,7 +49,7 @@
     let mut jobs = [job("wk-3", 3), job("wk-1", 1), job("wk-2", 2)];
     jobs[0].scheduling.priority = Priority::High;
     for job in &mut jobs {
-        queue.record_change(5, job, 0, WriteUrgency::Immediate);
+        queue.record_task_change(5, job, 0, WriteUrgency::Immediate);
     }
     let order: Vec<String> = queue.first_urgent(9).iter().map(|urgent| urgent.job.to_string()).collect();
     assert_eq!(order, ["wk-3", "wk-1", "wk-2"]);
