--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -9,15 +9,15 @@
 use crate::records::{FinalRecord, JobRecord, keys};
 use crate::store_limits::StoreLimits;
 use serde_json::{Value, json};
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::VecDeque;
 
 /// Most transactions of acceptances in flight.
 const MAX_IN_FLIGHT: u32 = 2;
 /// Most bytes of a transaction, as estimated: some room is left for what the estimate misses.
-const MAX_TRANSACTION_BYTES: usize = MAX_BODY * 7 / 8;
+const MAX_TRANSACTION_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
 /// Bytes that a write and its two conditions take besides their keys and the value, as estimated.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 /// How often a submission's key, or one of the same length, appears: two conditions and a write.
@@ -111,12 +111,12 @@
         if self.in_flight >= MAX_IN_FLIGHT || self.waiting.is_empty() {
             return None;
         }
-        let most = self.batch_limit.clamp(1, limits.ops().max(1));
+        let most = self.batch_limit.clamp(1, limits.max_writes().max(1));
         let mut batch = AcceptanceBatch::default();
         while batch.submissions.len() < most
             && let Some(submission) = self.waiting.pop_front()
         {
-            if let Err(left_over) = batch.add(submission, limits.value_bytes()) {
+            if let Err(left_over) = batch.add(submission, limits.max_value_bytes()) {
                 self.waiting.push_front(*left_over);
                 break;
             }
@@ -134,7 +134,7 @@
 
     /// A transaction was committed: larger ones may follow.
     pub fn grow_batches(&mut self, limits: &StoreLimits) {
-        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.ops().max(2));
+        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.max_writes().max(2));
     }
 
     /// A transaction was not carried out because of its size or the store's load: its submissions
@@ -154,7 +154,7 @@
     /// Hands the submission back if the transaction is full.
     fn add(&mut self, submission: PendingSubmission, value_bytes: usize) -> Result<(), Box<PendingSubmission>> {
         let job_key = keys::job(submission.job());
-        if self.transaction.conditions.iter().any(|condition| condition.path == job_key) {
+        if self.transaction.preconditions.iter().any(|condition| condition.key == job_key) {
             self.duplicates.push(submission);
             return Ok(());
         }
@@ -169,8 +169,8 @@
             return Err(Box::new(submission));
         }
         let final_key = keys::final_record(submission.job());
-        self.transaction.conditions.push(Condition { path: job_key, version: Revision::ABSENT });
-        self.transaction.conditions.push(Condition { path: final_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: job_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: final_key, version: Revision::ABSENT });
         self.transaction.writes.push(Write::set(submission.record_key(), record));
         self.submissions.push(submission);
         Ok(())
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -12,14 +12,14 @@
 /// The reason why it never can.
 pub(super) fn check(settings: &Settings, catalog: &Catalog, submission: &Submission) -> Result<(), RefusalReason> {
     let team = settings.teams.get(&submission.team).ok_or(RefusalReason::UnknownTeam)?;
-    let need = submission.need();
+    let need = submission.task_resources();
     let fits = |machine_type: &MachineType| allows(submission, machine_type) && machine_type.resources().fits(&need);
     if !catalog.machine_types.iter().any(fits) {
         return Err(RefusalReason::NoMachineTypeFits);
     }
     let mut total = Resources::default();
     total.add(&need, least_concurrent_tasks(submission));
-    if !team.allows(&total) {
+    if !team.within_limit(&total) {
         return Err(RefusalReason::OverTeamLimit);
     }
     Ok(())
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -13,7 +13,7 @@
 use crate::records::keys;
 use crate::step_down::ForeignWrite;
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::kv::{Condition, Transaction};
+use shaleshunt_wire::kv::{Precondition, Transaction};
 
 /// Retries of an unanswered request, per heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
@@ -99,7 +99,7 @@
 pub(super) struct InFlight {
     changes: TransactionChanges,
     /// A key that the transaction writes, with the version that it had before.
-    marker: Condition,
+    marker: Precondition,
     copies: EarlierCopies,
     /// Whether a request about the transaction is in flight.
     awaiting_reply: bool,
@@ -127,17 +127,17 @@
     }
 
     fn read_marker(&self) -> CommitRequest {
-        let key = self.marker.path.clone();
+        let key = self.marker.key.clone();
         CommitRequest { request: KvRequest::Get { key }, step: CommitStep::ReadMarker }
     }
 
     /// Builds a transaction without writes that succeeds if the marker has this version and the epoch is unchanged.
     fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
         let conditions = vec![
-            Condition { path: keys::EPOCH.into(), version: epoch_version },
-            Condition { path: self.marker.path.clone(), version },
+            Precondition { key: keys::EPOCH.into(), version: epoch_version },
+            Precondition { key: self.marker.key.clone(), version },
         ];
-        let request = KvRequest::Transaction(Transaction { conditions, writes: Vec::new() });
+        let request = KvRequest::Transaction(Transaction { preconditions: conditions, writes: Vec::new() });
         CommitRequest { request, step: CommitStep::CompareMarker(version) }
     }
 
@@ -211,7 +211,7 @@
             (false, true) => WriteDemand::LeaderOnly,
             (false, false) => WriteDemand::Idle,
         };
-        ctx.limits.rate() * leader_share(demand, ctx.tuning.write_share)
+        ctx.limits.write_rate() * leader_share(demand, ctx.tuning.write_share)
     }
 
     fn begin_transaction(
@@ -220,11 +220,12 @@
         sources: &mut RecordSources,
         rate: f64,
     ) -> Option<CommitRequest> {
-        let writes = ctx.limits.ops().min(self.budget.whole_writes());
+        let writes = ctx.limits.max_writes().min(self.budget.whole_writes());
         if writes == 0 {
             return None;
         }
-        let mut changes = TransactionChanges::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
+        let mut changes =
+            TransactionChanges::new(TransactionLimits { writes, conditions: ctx.limits.max_preconditions() });
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
@@ -374,8 +375,8 @@
 
 /// Minimum interval between transactions, in milliseconds.
 fn commit_interval_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
-    let interval_ms = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
-    let has_small_pages = ctx.limits.page_bytes() < ctx.settings.state.value_bytes() / 2;
+    let interval_ms = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.transaction_request_share).max(1.0);
+    let has_small_pages = ctx.limits.max_page_bytes() < ctx.settings.store_quota.max_value_bytes() / 2;
     let scarce_interval_ms =
         interval_ms * if has_small_pages { SCARCE_INTERVAL_FACTOR_SMALL_PAGES } else { SCARCE_INTERVAL_FACTOR };
     if is_budget_scarce { scarce_interval_ms as u64 } else { interval_ms as u64 }
