--- a/crates/core/src/leader/store/blocks.rs
+++ b/crates/core/src/leader/store/blocks.rs
@@ -48,11 +48,11 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct BlockLimits {
     /// Maximum number of machines in a block.
-    pub machines: usize,
+    pub max_machines: usize,
     /// Maximum bytes of a block's record.
-    pub value_bytes: usize,
+    pub max_value_bytes: usize,
     /// Number of writes in the transaction at which no more blocks are added.
-    pub writes: usize,
+    pub max_writes: usize,
 }
 
 /// Sources of the contents of block records.
@@ -144,14 +144,14 @@
     ) -> Vec<BlockWrite> {
         let mut writes = Vec::new();
         for number in self.dirty.clone() {
-            if builder.write_count() >= limits.writes {
+            if builder.write_count() >= limits.max_writes {
                 break;
             }
             let Some(block) = self.blocks.get(&number) else { continue };
             if block.machines.is_empty() {
                 writes.extend(self.collect_removal(number, builder));
-            } else if !self.must_wait(number, members.machines, limits.machines) {
-                writes.extend(self.collect_block(now, number, builder, members, limits.value_bytes));
+            } else if !self.must_wait(number, members.machines, limits.max_machines) {
+                writes.extend(self.collect_block(now, number, builder, members, limits.max_value_bytes));
             }
         }
         writes
@@ -179,10 +179,10 @@
         number: u32,
         builder: &mut TransactionBuilder,
         members: &BlockMembers,
-        value_bytes: usize,
+        max_value_bytes: usize,
     ) -> Option<BlockWrite> {
         let block = self.blocks.get_mut(&number)?;
-        let stored = StoredForm::new(block, members, value_bytes);
+        let stored = StoredForm::new(block, members, max_value_bytes);
         if !builder.has_space_for(Space::one_write(stored.bytes)) {
             return None;
         }
@@ -249,12 +249,12 @@
 
 impl StoredForm {
     /// Builds a block's record. Images, which are only a placement hint, are left out if they make the record larger
-    /// than `value_bytes`.
-    fn new(block: &Block, members: &BlockMembers, value_bytes: usize) -> StoredForm {
+    /// than `max_value_bytes`.
+    fn new(block: &Block, members: &BlockMembers, max_value_bytes: usize) -> StoredForm {
         let (mut record, machines) = block_record(block, members);
         let mut value = json!(record);
         let mut bytes = value.to_string().len();
-        if bytes > value_bytes {
+        if bytes > max_value_bytes {
             record.images.clear();
             record.machines.values_mut().for_each(|machine| machine.images.clear());
             value = json!(record);
--- a/crates/core/src/leader/store/blocks/tests.rs
+++ b/crates/core/src/leader/store/blocks/tests.rs
@@ -21,9 +21,9 @@
 
 /// Collects blocks into a transaction of at most `writes` writes.
 fn collect(blocks: &mut MachineBlocks, machines: &mut MachineIndex, writes: usize) -> Vec<BlockWrite> {
-    let mut builder = TransactionBuilder::new(TransactionLimits { writes, conditions: 99 });
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes, preconditions: 99 });
     let mut members = BlockMembers { machines, images: &ImageNames::default() };
-    let limits = BlockLimits { machines: MAX_MACHINES, value_bytes: 9999, writes };
+    let limits = BlockLimits { max_machines: MAX_MACHINES, max_value_bytes: 9999, max_writes: writes };
     blocks.collect(0, &mut builder, &mut members, limits)
 }
 
--- a/crates/core/src/leader/store/catalog.rs
+++ b/crates/core/src/leader/store/catalog.rs
@@ -37,7 +37,7 @@
     pub(super) fn collect(
         &mut self,
         catalog: Option<&Catalog>,
-        value_bytes: usize,
+        max_value_bytes: usize,
         builder: &mut TransactionBuilder,
     ) -> bool {
         let Some(catalog) = catalog.filter(|_| self.pending) else { return false };
@@ -49,7 +49,7 @@
         let value = json!(catalog);
         let bytes = value.to_string().len();
         self.pending = false;
-        if bytes > value_bytes {
+        if bytes > max_value_bytes {
             return false;
         }
         builder.set(keys::CATALOG.into(), self.version.unwrap_or(Revision::ABSENT), value, bytes);
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -59,9 +59,13 @@
         }
         let max_writes = changes.builder.limits().writes;
         let limits = BlockLimits {
-            machines: ctx.limits.machines_per_block(),
-            value_bytes: ctx.limits.max_value_bytes(),
-            writes: if self.queue.has_urgent_work() { max_writes.div_ceil(BLOCK_WRITES_DIVISOR) } else { max_writes },
+            max_machines: ctx.limits.machines_per_block(),
+            max_value_bytes: ctx.limits.max_value_bytes(),
+            max_writes: if self.queue.has_urgent_work() {
+                max_writes.div_ceil(BLOCK_WRITES_DIVISOR)
+            } else {
+                max_writes
+            },
         };
         let mut members = BlockMembers { machines: sources.machines, images: sources.images };
         changes.blocks = self.blocks.collect(now, &mut changes.builder, &mut members, limits);
@@ -94,7 +98,7 @@
         jobs: &mut BTreeMap<Id, Job>,
         changes: &mut TransactionChanges,
     ) {
-        let urgent_jobs = self.queue.first_urgent(changes.builder.limits().conditions);
+        let urgent_jobs = self.queue.first_urgent(changes.builder.limits().preconditions);
         let mut jobs_without_space = 0;
         for urgent in urgent_jobs {
             if jobs_without_space >= MAX_JOBS_WITHOUT_SPACE {
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -41,7 +41,7 @@
 pub(super) enum ReplyAction {
     /// The transaction committed at this revision.
     Apply(Revision),
-    /// The condition on the epoch failed: another leader has been elected.
+    /// The precondition on the epoch failed: another leader has been elected.
     StepDown,
     /// The transaction had no effect because these keys conflicted.
     Abandon(Vec<String>),
@@ -133,11 +133,11 @@
 
     /// Builds a transaction without writes that succeeds if the marker has this version and the epoch is unchanged.
     fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
-        let conditions = vec![
+        let preconditions = vec![
             Precondition { key: keys::EPOCH.into(), version: epoch_version },
             Precondition { key: self.marker.key.clone(), version },
         ];
-        let request = KvRequest::Transaction(Transaction { preconditions: conditions, writes: Vec::new() });
+        let request = KvRequest::Transaction(Transaction { preconditions, writes: Vec::new() });
         CommitRequest { request, step: CommitStep::CompareMarker(version) }
     }
 
@@ -225,7 +225,7 @@
             return None;
         }
         let mut changes =
-            TransactionChanges::new(TransactionLimits { writes, conditions: ctx.limits.max_preconditions() });
+            TransactionChanges::new(TransactionLimits { writes, preconditions: ctx.limits.max_preconditions() });
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
--- a/crates/core/src/leader/store/commit/tests.rs
+++ b/crates/core/src/leader/store/commit/tests.rs
@@ -49,7 +49,7 @@
 
 #[test]
 fn the_marker_is_a_key_that_only_the_leader_writes() {
-    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 9, conditions: 9 });
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 9, preconditions: 9 });
     assert_eq!(builder.marker(), None, "there is nothing to write");
     builder.drop_key("j/wk-1".to_string(), Revision::ABSENT);
     assert_eq!(builder.marker().unwrap().key, "j/wk-1", "only the leader removes job records");
--- a/crates/core/src/leader/store/job_ends.rs
+++ b/crates/core/src/leader/store/job_ends.rs
@@ -16,7 +16,7 @@
 pub(super) fn collect(builder: &mut TransactionBuilder, job: &Job, page_bytes: usize, now_wall_ms: u64) -> bool {
     let space = Space {
         writes: 2 + usize::from(job.record.has_cancellation_key),
-        conditions: 3,
+        preconditions: 3,
         bytes: END_SPACE_BYTES + page_bytes,
     };
     if !builder.has_space_for(space) {
--- a/crates/core/src/leader/store/mod.rs
+++ b/crates/core/src/leader/store/mod.rs
@@ -146,9 +146,9 @@
         self.blocks.machine_changed(machine);
     }
 
-    /// Queues the list of owned machines to be written, in parts of at most `value_bytes` bytes.
-    pub(crate) fn record_owned_machines(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
-        self.owned_list.record(machines, value_bytes);
+    /// Queues the list of owned machines to be written, in parts of at most `max_value_bytes` bytes.
+    pub(crate) fn record_owned_machines(&mut self, machines: &BTreeSet<String>, max_value_bytes: usize) {
+        self.owned_list.record(machines, max_value_bytes);
     }
 
     /// Whether a complete list of owned machines is stored.
--- a/crates/core/src/leader/store/owned_list.rs
+++ b/crates/core/src/leader/store/owned_list.rs
@@ -38,9 +38,9 @@
         self.versions.contains_key(keys::OWNED)
     }
 
-    /// Queues a list to be written, in parts of at most `value_bytes` bytes.
-    pub(super) fn record(&mut self, machines: &BTreeSet<String>, value_bytes: usize) {
-        self.pending = (0..).zip(split_into_values(machines, value_bytes)).collect();
+    /// Queues a list to be written, in parts of at most `max_value_bytes` bytes.
+    pub(super) fn record(&mut self, machines: &BTreeSet<String>, max_value_bytes: usize) {
+        self.pending = (0..).zip(split_into_values(machines, max_value_bytes)).collect();
     }
 
     /// Adds pending parts to a transaction, the first part last, while there is space.
@@ -72,12 +72,12 @@
     }
 }
 
-fn split_into_values(machines: &BTreeSet<String>, value_bytes: usize) -> Vec<Vec<String>> {
+fn split_into_values(machines: &BTreeSet<String>, max_value_bytes: usize) -> Vec<Vec<String>> {
     let mut parts = vec![Vec::new()];
     let mut used = 0;
     for name in machines {
         let bytes = name.len() + NAME_FRAME_BYTES;
-        if used + bytes > value_bytes {
+        if used + bytes > max_value_bytes {
             parts.push(Vec::new());
             used = 0;
         }
--- a/crates/core/src/leader/store/pages.rs
+++ b/crates/core/src/leader/store/pages.rs
@@ -85,23 +85,23 @@
         builder: &mut TransactionBuilder,
         changes: &mut PageChanges,
         job: &Job,
-        page_bytes: usize,
+        max_page_bytes: usize,
     ) -> bool {
-        let mut max_tasks = MAX_TASKS_PER_JOB.min((page_bytes / MAX_TASK_RUN_BYTES).max(1));
+        let mut max_tasks = MAX_TASKS_PER_JOB.min((max_page_bytes / MAX_TASK_RUN_BYTES).max(1));
         loop {
             if job.writes.tasks.is_empty() {
                 return true;
             }
             let pending = PendingEntries::new(job, max_tasks);
-            let pages = self.pages_needed(changes, page_bytes, &pending.entries);
+            let pages = self.pages_needed(changes, max_page_bytes, &pending.entries);
             let bytes = pending.max_bytes() + changes.draft_bytes();
-            if builder.has_space_for(Space { writes: pages, conditions: 1 + pages, bytes }) {
+            if builder.has_space_for(Space { writes: pages, preconditions: 1 + pages, bytes }) {
                 if !pending.planned.is_empty() {
                     builder.require_job_version(job);
                 }
                 let is_all = pending.change_of_task.len() == job.writes.tasks.len();
                 (0..pages).for_each(|_| builder.reserve_write());
-                self.add_to_drafts(changes, page_bytes, &job.id, pending);
+                self.add_to_drafts(changes, max_page_bytes, &job.id, pending);
                 return is_all;
             }
             if pending.change_of_task.len() <= 1 {
@@ -113,20 +113,20 @@
 
     /// Whether a first entry goes on the newest page: the page is empty, or the entry fits. A page that exceeds a limit
     /// lowered since is left unchanged.
-    fn newest_has_space(&self, page_bytes: usize, entry: Option<&TaskEntry>) -> bool {
+    fn newest_has_space(&self, max_page_bytes: usize, entry: Option<&TaskEntry>) -> bool {
         let bytes = entry.map_or(0, TaskEntry::max_bytes);
-        self.newest.is_empty() || self.newest.bytes() + bytes <= page_bytes
+        self.newest.is_empty() || self.newest.bytes() + bytes <= max_page_bytes
     }
 
     /// Number of additional pages that a transaction writes with these entries.
-    fn pages_needed(&self, changes: &PageChanges, page_bytes: usize, entries: &[TaskEntry]) -> usize {
+    fn pages_needed(&self, changes: &PageChanges, max_page_bytes: usize, entries: &[TaskEntry]) -> usize {
         let (mut pages, mut used) = match changes.last_draft() {
             Some(draft) => (0, draft.bytes()),
-            None if self.newest_has_space(page_bytes, entries.first()) => (1, self.newest.bytes()),
+            None if self.newest_has_space(max_page_bytes, entries.first()) => (1, self.newest.bytes()),
             None => (1, 0),
         };
         for bytes in entries.iter().map(TaskEntry::max_bytes) {
-            if used + bytes > page_bytes && used > 0 {
+            if used + bytes > max_page_bytes && used > 0 {
                 pages += 1;
                 used = 0;
             }
@@ -136,17 +136,17 @@
     }
 
     /// Adds entries to the page drafts of a transaction.
-    fn add_to_drafts(&self, changes: &mut PageChanges, page_bytes: usize, job: &Id, pending: PendingEntries) {
+    fn add_to_drafts(&self, changes: &mut PageChanges, max_page_bytes: usize, job: &Id, pending: PendingEntries) {
         if !changes.has_drafts() {
             let number = self.newest.number().max(1);
-            changes.begin(if self.newest_has_space(page_bytes, pending.entries.first()) {
+            changes.begin(if self.newest_has_space(max_page_bytes, pending.entries.first()) {
                 self.newest.clone().with_number(number)
             } else {
                 PageDraft::new(number + 1)
             });
         }
         for entry in pending.entries {
-            changes.push(job, entry, &pending.change_of_task, page_bytes);
+            changes.push(job, entry, &pending.change_of_task, max_page_bytes);
         }
         changes.planned.extend(pending.planned);
     }
--- a/crates/core/src/leader/store/pages/draft.rs
+++ b/crates/core/src/leader/store/pages/draft.rs
@@ -107,10 +107,10 @@
     }
 
     /// Appends an entry to the last draft, or to a new one if that is full.
-    pub(super) fn push(&mut self, job: &Id, entry: TaskEntry, changes: &BTreeMap<u32, u64>, page_bytes: usize) {
+    pub(super) fn push(&mut self, job: &Id, entry: TaskEntry, changes: &BTreeMap<u32, u64>, max_page_bytes: usize) {
         let bytes = entry.max_bytes();
         let Some(last) = self.drafts.last() else { return };
-        if last.bytes + bytes > page_bytes && !last.is_empty() {
+        if last.bytes + bytes > max_page_bytes && !last.is_empty() {
             let next = PageDraft::new(last.number + 1);
             self.drafts.push(next);
         }
--- a/crates/core/src/leader/store/pages/tests.rs
+++ b/crates/core/src/leader/store/pages/tests.rs
@@ -16,7 +16,7 @@
 }
 
 fn builder() -> TransactionBuilder {
-    TransactionBuilder::new(TransactionLimits { writes: 24, conditions: 96 })
+    TransactionBuilder::new(TransactionLimits { writes: 24, preconditions: 96 })
 }
 
 fn place(job: &mut Job, task: u32) {
@@ -102,7 +102,7 @@
 fn entries_that_do_not_fit_stay_pending() {
     let (pages, mut jobs) = (TaskPages::default(), jobs_with(3));
     finish(only_job(&mut jobs), [0]);
-    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 0, conditions: 0 });
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 0, preconditions: 0 });
     let mut changes = PageChanges::default();
     assert!(!pages.collect_entries(&mut builder, &mut changes, only_job(&mut jobs), PAGE_BYTES));
     assert!(!changes.has_drafts());
--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -7,30 +7,30 @@
 use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::BTreeSet;
 
-/// Bytes around a key and its value in a request. The key itself occurs twice: in the write and in its condition.
+/// Bytes around a key and its value in a request. The key itself occurs twice: in the write and in its precondition.
 const WRITE_FRAME_BYTES: usize = 60;
-/// Bytes around a key in a condition.
-const CONDITION_FRAME_BYTES: usize = 40;
+/// Bytes around a key in a precondition.
+const PRECONDITION_FRAME_BYTES: usize = 40;
 
-/// Maximum number of writes and conditions in a transaction.
+/// Maximum number of writes and preconditions in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TransactionLimits {
     pub writes: usize,
-    pub conditions: usize,
+    pub preconditions: usize,
 }
 
 /// Space that a change needs in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Space {
     pub writes: usize,
-    pub conditions: usize,
+    pub preconditions: usize,
     pub bytes: usize,
 }
 
 impl Space {
-    /// Space for one write and the condition on its key.
+    /// Space for one write and the precondition on its key.
     pub(super) fn one_write(bytes: usize) -> Space {
-        Space { writes: 1, conditions: 1, bytes }
+        Space { writes: 1, preconditions: 1, bytes }
     }
 }
 
@@ -38,10 +38,10 @@
 #[derive(Debug)]
 pub(super) struct TransactionBuilder {
     transaction: Transaction,
-    /// Jobs with a condition on the version of their record.
+    /// Jobs with a precondition on the version of their record.
     jobs: BTreeSet<Id>,
     bytes: usize,
-    /// Number of writes that will be added later, each with a condition on its key. Their sizes are not included in
+    /// Number of writes that will be added later, each with a precondition on its key. Their sizes are not included in
     /// `bytes`.
     reserved_writes: usize,
     limits: TransactionLimits,
@@ -64,7 +64,7 @@
         (reserved == 0 || self.fits_bytes(space.bytes))
             && self.has_space_without_reserved(Space {
                 writes: space.writes + reserved,
-                conditions: space.conditions + reserved,
+                preconditions: space.preconditions + reserved,
                 bytes: space.bytes,
             })
     }
@@ -72,7 +72,7 @@
     /// Whether a change fits if the reserved writes are not counted.
     pub(super) fn has_space_without_reserved(&self, space: Space) -> bool {
         self.transaction.writes.len() + space.writes <= self.limits.writes
-            && self.transaction.preconditions.len() + space.conditions <= self.limits.conditions
+            && self.transaction.preconditions.len() + space.preconditions <= self.limits.preconditions
             && (self.fits_bytes(space.bytes) || self.transaction.writes.is_empty())
     }
 
@@ -112,23 +112,23 @@
     }
 
     /// Requires that the epoch's key has a version, so that the transaction fails after another leader was elected. The
-    /// bytes of the condition aren't counted, as the limit leaves enough space.
+    /// bytes of the precondition aren't counted, as the limit leaves enough space.
     pub(super) fn require_epoch(&mut self, version: Revision) {
         self.transaction.preconditions.push(Precondition { key: keys::EPOCH.into(), version });
     }
 
     /// Requires that a key doesn't exist.
     pub(super) fn require_absent(&mut self, key: String) {
-        self.bytes += key.len() + CONDITION_FRAME_BYTES;
+        self.bytes += key.len() + PRECONDITION_FRAME_BYTES;
         self.transaction.preconditions.push(Precondition { key, version: Revision::ABSENT });
     }
 
     /// Requires that a job's record has the version known to the leader.
     pub(super) fn require_job_version(&mut self, job: &Job) {
         if self.jobs.insert(job.id.clone()) {
-            let path = keys::job(&job.id);
-            self.bytes += path.len() + CONDITION_FRAME_BYTES;
-            self.transaction.preconditions.push(Precondition { key: path, version: job.record.version });
+            let key = keys::job(&job.id);
+            self.bytes += key.len() + PRECONDITION_FRAME_BYTES;
+            self.transaction.preconditions.push(Precondition { key, version: job.record.version });
         }
     }
 
@@ -146,7 +146,7 @@
         self.transaction.writes.push(Write::delete(key));
     }
 
-    /// Removes a job's record. The condition on its version is added unless the transaction already has it.
+    /// Removes a job's record. The precondition on its version is added unless the transaction already has it.
     pub(super) fn drop_job(&mut self, job: &Job) {
         let key = keys::job(&job.id);
         if self.jobs.insert(job.id.clone()) {
@@ -156,10 +156,10 @@
         }
     }
 
-    /// The version that a key is required to have, or `Revision::ABSENT` for a key without a condition.
+    /// The version that a key is required to have, or `Revision::ABSENT` for a key without a precondition.
     pub(super) fn required_version(&self, key: &str) -> Revision {
-        let condition = self.transaction.preconditions.iter().find(|condition| condition.key == key);
-        condition.map_or(Revision::ABSENT, |condition| condition.version)
+        let precondition = self.transaction.preconditions.iter().find(|precondition| precondition.key == key);
+        precondition.map_or(Revision::ABSENT, |precondition| precondition.version)
     }
 
     /// Returns the marker: a written key whose version shows whether the transaction was committed, with its version
--- a/crates/core/src/leader/store/transaction/tests.rs
+++ b/crates/core/src/leader/store/transaction/tests.rs
@@ -5,9 +5,9 @@
 /// that were still being filled.
 #[test]
 fn reserved_pages_count_against_the_limits() {
-    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 24, conditions: 96 });
+    let mut builder = TransactionBuilder::new(TransactionLimits { writes: 24, preconditions: 96 });
     let has_space =
-        |builder: &TransactionBuilder, writes, bytes| builder.has_space_for(Space { writes, conditions: 2, bytes });
+        |builder: &TransactionBuilder, writes, bytes| builder.has_space_for(Space { writes, preconditions: 2, bytes });
     assert!(has_space(&builder, 1, MAX_BODY_BYTES * 2), "an oversized change is sent alone");
     builder.reserve_write();
     assert!(has_space(&builder, 1, TransactionBuilder::MAX_BYTES));
--- a/crates/core/src/leader/store/unreferenced.rs
+++ b/crates/core/src/leader/store/unreferenced.rs
@@ -7,8 +7,8 @@
 use shaleshunt_wire::Revision;
 use std::collections::BTreeMap;
 
-/// Transaction space for the removal of a submission part, including a condition on the job's record.
-const PART_REMOVAL_SPACE: Space = Space { writes: 1, conditions: 2, bytes: 400 };
+/// Transaction space for the removal of a submission part, including a precondition on the job's record.
+const PART_REMOVAL_SPACE: Space = Space { writes: 1, preconditions: 2, bytes: 400 };
 
 /// Records that are waiting to be removed. The first part of a submission is removed before the others, so that a late
 /// transaction that creates the job's record finds the first part missing and fails.
@@ -40,7 +40,7 @@
     }
 
     /// Removes the first part of each unreferenced submission, as far as there is space. The other parts are removed
-    /// later and without further conditions. Returns all parts of these submissions.
+    /// later and without further preconditions. Returns all parts of these submissions.
     pub(super) fn collect_submission_parts(
         &mut self,
         builder: &mut TransactionBuilder,
--- a/crates/core/src/leader/store/unreferenced/tests.rs
+++ b/crates/core/src/leader/store/unreferenced/tests.rs
@@ -9,7 +9,7 @@
 }
 
 fn builder(writes: usize) -> TransactionBuilder {
-    TransactionBuilder::new(TransactionLimits { writes, conditions: writes * 4 })
+    TransactionBuilder::new(TransactionLimits { writes, preconditions: writes * 4 })
 }
 
 fn dropped(builder: &TransactionBuilder) -> Vec<&str> {
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -109,11 +109,11 @@
     fn apply_changes(&mut self, ctx: &mut Context, reply: WatchReply) {
         for change in reply.changes {
             match change {
-                Change { set_key: Some(path), value: Some(value), version, .. } => {
-                    self.apply_job_record(ctx, &path, value, version);
+                Change { set_key: Some(key), value: Some(value), version, .. } => {
+                    self.apply_job_record(ctx, &key, value, version);
                 }
-                Change { deleted_key: Some(path), version, .. } => {
-                    let id = keys::job_id(&path);
+                Change { deleted_key: Some(key), version, .. } => {
+                    let id = keys::job_id(&key);
                     self.store.job_record_removed(id, version);
                     if self.jobs.get(id).is_some_and(|job| job.record.version < version) {
                         self.apply_job_removal(ctx, id);
@@ -212,7 +212,7 @@
         self.scheduler.request_pass();
     }
 
-    /// Reads a job's record again, after a condition on it failed.
+    /// Reads a job's record again, after a precondition on it failed.
     pub(crate) fn refresh_job_record(&mut self, ctx: &mut Context, id: Id) {
         let key = keys::job(&id);
         let wait = self.pending_request(LeaderRequest::ReadJobRecord(id));
