--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -2,7 +2,7 @@
 //! tells the others.
 
 use super::Controller;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_peer::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 
@@ -21,7 +21,7 @@
             return;
         }
         let now = self.ctx.now_ms();
-        let echoed_at = heartbeat.echo.sent_by(self.ctx.process_id(), now);
+        let echoed_at = heartbeat.echo.acknowledged_send_ms(self.ctx.process_id(), now);
         self.peers.views_mut().record(from, now, &heartbeat);
         self.ctx.peer_lease_reports.record(from, now, heartbeat.lease_extension_age_ms, echoed_at);
         if !heartbeat.is_leader {
@@ -32,7 +32,7 @@
         }
         if heartbeat.epoch > self.election.epoch() {
             if self.leader.as_ref().is_some_and(|leader| leader.epoch < heartbeat.epoch) {
-                self.step_down(StepDown::NewerLeader);
+                self.step_down(StepDownReason::NewerLeader);
             }
             self.election.follow(heartbeat.epoch, heartbeat.leader);
         }
--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -15,7 +15,7 @@
         .scheduling
         .jobs
         .values()
-        .filter(|job| !job.cancelled && job.scheduling.not_before <= now && job.waiting() > 0)
+        .filter(|job| !job.cancelled && job.scheduling.not_before_ms <= now && job.waiting_task_count() > 0)
         .filter(|job| wants_rented_machines(view, job, &mut fleet))
         .collect();
     demand.extend(view.arrivals.jobs());
@@ -52,7 +52,7 @@
     let machines = view.scheduling.machines.values();
     machines
         .filter(|machine| !machine.lifecycle.scale_in_wanted && allows(job, MachineKind::of(machine)))
-        .map(|machine| machine.capacity.total.times(&job.need, tasks_together))
+        .map(|machine| machine.capacity.total.fit_count(&job.need, tasks_together))
         .sum()
 }
 
@@ -68,7 +68,7 @@
     if fleet.of(view, job, tasks_together) < tasks_together {
         return true;
     }
-    let waited_s = view.scheduling.now.wall_ms.saturating_sub(job.scheduling.ready_at) as f64 / 1000.0;
+    let waited_s = view.scheduling.now.wall_ms.saturating_sub(job.scheduling.ready_at_ms) as f64 / 1000.0;
     !has_deadline && waited_s >= longest_wait_s(view, job)
 }
 
@@ -79,10 +79,10 @@
     let mut wait_s = tuning.scale_out_wait_s;
     let Some(objective) = view.scheduling.settings.objectives.get(&job.spec.class) else { return wait_s };
     // A machine must be up well within what the objective leaves.
-    if let Some(start_s) = objective.start() {
+    if let Some(start_s) = objective.shortest_start_s() {
         wait_s = wait_s.min(start_s * tuning.objective_share - boot_s);
     }
-    if let Some(finish_s) = objective.finish() {
+    if let Some(finish_s) = objective.shortest_finish_s() {
         let start_by_s = finish_s - view.scheduling.estimates.run_s(job);
         wait_s = wait_s.min(start_by_s * tuning.objective_share - boot_s);
     }
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -96,7 +96,7 @@
     /// Asks for a page of the list if one is due.
     pub(super) fn request_machine_list_page(&mut self, ctx: &mut Context) {
         if let Some(after) = self.autoscaler.machine_list.begin_page(ctx.now.monotonic_ms) {
-            let wait = self.wait(LeaderRequest::MachineList);
+            let wait = self.pending_request(LeaderRequest::MachineList);
             ctx.send_cloud(CloudRequest::List { after }, wait);
         }
     }
@@ -137,7 +137,7 @@
             .map(|machine| machine.id.clone())
             .collect();
         ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
-        self.store.record_owned_machines(&owned, ctx.limits.value_bytes());
+        self.store.record_owned_machines(&owned, ctx.limits.max_value_bytes());
         self.autoscaler.owned.determine(owned);
     }
 
@@ -149,7 +149,7 @@
             // silent; its return is answered 200 again.
             let mut machine = self.new_machine(ctx, &id, &listed.machine_type, &listed.zone, listed.spot, owned);
             let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64;
-            machine.rented_at = ctx.now.wall_ms.saturating_sub(age_ms);
+            machine.rented_at_ms = ctx.now.wall_ms.saturating_sub(age_ms);
             // Known by the list only: it is recorded when its agent is heard.
             self.fleet.machines.insert(machine);
         }
@@ -183,8 +183,8 @@
         if std::mem::replace(&mut self.autoscaler.capacity_checked, true) {
             return;
         }
-        let most = capacity::most_machines(&ctx.settings, catalog).unwrap_or(0);
-        for warning in capacity::too_small(&ctx.settings, most.max(owned as u32)) {
+        let most = capacity::max_machines(&ctx.settings, catalog).unwrap_or(0);
+        for warning in capacity::insufficient_settings(&ctx.settings, most.max(owned as u32)) {
             ctx.emit(Event::SettingTooSmall(warning));
         }
     }
--- a/crates/core/src/leader/commit.rs
+++ b/crates/core/src/leader/commit.rs
@@ -5,13 +5,13 @@
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
 use crate::leader::store::{
-    Changes, CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext,
+    CommitOutcome, CommitRequest, CommitStep, PlannedPlacement, RecordSources, Store, StoreContext, TransactionChanges,
     WriteUrgency,
 };
 use crate::leader::{Leader, LeaderRequest};
 use crate::model::{Id, PlacementState};
 use crate::records::FinalRecord;
-use crate::step_down::{ForeignWrite, StepDown};
+use crate::step_down::{ForeignWrite, StepDownReason};
 use shaleshunt_wire::Revision;
 
 fn store_context(ctx: &Context, epoch_version: Revision) -> StoreContext<'_> {
@@ -40,7 +40,7 @@
 
     /// Sends what is due, if nothing is under way.
     pub(super) fn commit(&mut self, ctx: &mut Context) {
-        let epoch_version = self.version;
+        let epoch_version = self.epoch_version;
         let (store, mut sources) = self.store_and_sources();
         if let Some(request) = store.next_request(&store_context(ctx, epoch_version), &mut sources) {
             self.send_commit_request(ctx, request);
@@ -48,7 +48,7 @@
     }
 
     fn send_commit_request(&self, ctx: &mut Context, request: CommitRequest) {
-        let wait = self.wait(LeaderRequest::Commit(request.step));
+        let wait = self.pending_request(LeaderRequest::Commit(request.step));
         ctx.send_kv(request.request, wait);
     }
 
@@ -61,43 +61,43 @@
     ) {
         if *step == CommitStep::Send {
             match &result {
-                Ok(KvReply::Committed(_)) => ctx.limits.carried_out(),
-                Err(RequestError::Throttled) => ctx.write_refused(),
+                Ok(KvReply::Committed(_)) => ctx.limits.record_commit(),
+                Err(RequestError::Throttled) => ctx.record_throttled_write(),
                 _ => {}
             }
         }
-        let outcome = self.store.handle_reply(&store_context(ctx, self.version), step, result);
+        let outcome = self.store.handle_reply(&store_context(ctx, self.epoch_version), step, result);
         self.handle_commit_outcome(ctx, outcome);
     }
 
     fn handle_commit_outcome(&mut self, ctx: &mut Context, outcome: CommitOutcome) {
         match outcome {
             CommitOutcome::Pending => {}
-            CommitOutcome::Ask(request) => self.send_commit_request(ctx, request),
+            CommitOutcome::SendRequest(request) => self.send_commit_request(ctx, request),
             CommitOutcome::Committed { changes, revision } => self.apply_committed(ctx, *changes, revision),
             CommitOutcome::Abandoned { changes, conflicting } => self.apply_abandoned(ctx, *changes, &conflicting),
             CommitOutcome::ForeignWrite(write) => self.look_at_foreign_write(ctx, write),
             CommitOutcome::TooLarge(reason) => self.handle_too_large(ctx, reason),
-            CommitOutcome::EpochOver => self.down = Some(StepDown::NewerEpoch),
+            CommitOutcome::EpochOver => self.step_down = Some(StepDownReason::NewerEpoch),
         }
     }
 
     /// The limits have fallen, so they are taken to be lower; the leader steps down if they can't be.
     fn handle_too_large(&mut self, ctx: &mut Context, reason: String) {
         ctx.emit(Event::TransactionRejected { reason });
-        if ctx.limits.too_large() {
+        if ctx.limits.reduce_sizes() {
             let outcome = self.store.limits_lowered();
             self.handle_commit_outcome(ctx, outcome);
         } else {
             self.store.discard_in_flight();
-            self.down = Some(StepDown::TransactionRejected);
+            self.step_down = Some(StepDownReason::TransactionRejected);
         }
     }
 
     /// A key that only the leader writes has changed. It steps down as soon as the log can say to what.
     fn look_at_foreign_write(&mut self, ctx: &mut Context, write: ForeignWrite) {
         let key = write.key.clone();
-        let wait = self.wait(LeaderRequest::ForeignWrite(write));
+        let wait = self.pending_request(LeaderRequest::ReadForeignWrite(write));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
@@ -108,11 +108,11 @@
             Ok(KvReply::Missing) => Some(Revision::ABSENT),
             _ => None,
         };
-        self.down = Some(StepDown::ForeignWrite(ForeignWrite { found, ..write }));
+        self.step_down = Some(StepDownReason::ForeignWrite(ForeignWrite { found, ..write }));
     }
 
     /// A transaction was carried out.
-    fn apply_committed(&mut self, ctx: &mut Context, changes: Changes, revision: Revision) {
+    fn apply_committed(&mut self, ctx: &mut Context, changes: TransactionChanges, revision: Revision) {
         let (store, mut sources) = self.store_and_sources();
         let committed = store.apply_committed(changes, revision, &mut sources);
         for placement in committed.placements {
@@ -132,7 +132,7 @@
         let Some(placement) = self.fleet.machines.get_mut(&machine).and_then(|m| m.placement_mut(placement_id)) else {
             return;
         };
-        placement.stage = PlacementState::Committed;
+        placement.state = PlacementState::Committed;
         if let Some(job) = self.jobs.get_mut(&placement.job) {
             job.tasks.commit_placement(placement.task, placement_id);
         }
@@ -166,7 +166,7 @@
 
     /// A transaction was given up. The jobs whose records conflicted are read again, and their
     /// placements are given up; all else waits to be written again.
-    fn apply_abandoned(&mut self, ctx: &mut Context, changes: Changes, conflicting: &[String]) {
+    fn apply_abandoned(&mut self, ctx: &mut Context, changes: TransactionChanges, conflicting: &[String]) {
         let now = ctx.now.monotonic_ms;
         let (store, mut sources) = self.store_and_sources();
         let abandoned = store.apply_abandoned(changes, conflicting, &mut sources);
@@ -176,14 +176,14 @@
         for planned in &abandoned.placements {
             self.give_up_placement(now, planned, &abandoned.stale_jobs);
         }
-        for id in abandoned.jobs_with_facts {
+        for id in abandoned.jobs_with_entries {
             if let Some(job) = self.jobs.get_mut(&id) {
                 job.writes.urgent = true;
             }
-            self.queue_write(now, &id);
+            self.queue_job_write(now, &id);
         }
         for id in &abandoned.ended_jobs {
-            self.queue_write(now, id);
+            self.queue_job_write(now, id);
         }
     }
 
@@ -191,7 +191,7 @@
     fn mark_stale(&mut self, ctx: &mut Context, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             job.record.stale = true;
-            self.refresh(ctx, id.clone());
+            self.refresh_job_record(ctx, id.clone());
         }
     }
 
@@ -200,31 +200,31 @@
         let machine = self.fleet.machines.get(&planned.machine);
         let placement = machine.and_then(|machine| machine.placement(planned.placement_id));
         let is_given_up = |stage, job| stage == PlacementState::Planned && stale.contains(job);
-        if let Some(placement) = placement.filter(|placement| is_given_up(placement.stage, &placement.job)) {
+        if let Some(placement) = placement.filter(|placement| is_given_up(placement.state, &placement.job)) {
             let job = placement.job.clone();
             self.release_unfinished(now, &planned.machine, planned.placement_id);
-            self.queue_write(now, &job);
+            self.queue_job_write(now, &job);
         }
     }
 
     /// Something about a task of a job is to be written.
-    pub(crate) fn record_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
+    pub(crate) fn record_task_change(&mut self, now: u64, id: &Id, task: u32, urgency: WriteUrgency) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.record_change(now, job, task, urgency);
         }
     }
 
     /// Queues what a job has to write, its end included.
-    pub(crate) fn queue_write(&mut self, now: u64, id: &Id) {
+    pub(crate) fn queue_job_write(&mut self, now: u64, id: &Id) {
         if let Some(job) = self.jobs.get_mut(id) {
             self.store.queue_write(now, job);
         }
     }
 
     /// Puts a machine into a block of its zone.
-    pub(crate) fn join_block(&mut self, ctx: &Context, id: &Id) {
+    pub(crate) fn assign_block(&mut self, ctx: &Context, id: &Id) {
         if let Some(machine) = self.fleet.machines.get_mut(id) {
-            self.store.join_block(machine, ctx.limits.block_machines());
+            self.store.join_block(machine, ctx.limits.machines_per_block());
         }
     }
 }
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -9,10 +9,10 @@
 
 use crate::controller::Context;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::store::SplitJobRead;
+use crate::leader::store::SplitSubmissionRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 use shaleshunt_wire::kv::{KeyValue, Page};
 
@@ -83,7 +83,7 @@
     scans_in_flight: u32,
     retries: Vec<ScanRetry>,
     submission_parts: Vec<KeyValue>,
-    split_records: Vec<SplitJobRead>,
+    split_records: Vec<SplitSubmissionRead>,
     pages: Vec<KeyValue>,
     blocks: Vec<KeyValue>,
     v0_1_machines: Vec<KeyValue>,
@@ -92,7 +92,7 @@
 
 impl Recovery {
     /// The record of a job was read whose submission is in parts.
-    pub(crate) fn add_split_record(&mut self, read: SplitJobRead) {
+    pub(crate) fn defer_split_submission(&mut self, read: SplitSubmissionRead) {
         self.split_records.push(read);
     }
 
@@ -119,7 +119,7 @@
     fn scan(&mut self, ctx: &mut Context, position: ScanPosition) {
         self.recovery.scans_in_flight += 1;
         let request = KvRequest::Scan { prefix: position.kind.prefix().into(), after: position.after.clone() };
-        let wait = self.wait(LeaderRequest::Load(position));
+        let wait = self.pending_request(LeaderRequest::ScanRecords(position));
         ctx.send_kv(request, wait);
     }
 
@@ -139,7 +139,7 @@
     ) {
         match result {
             Ok(KvReply::Page(page)) => self.handle_scan_page(ctx, position.kind, page),
-            Ok(_) => self.down = Some(StepDown::Unreadable),
+            Ok(_) => self.step_down = Some(StepDownReason::RecordsUnreadable),
             Err(_) => {
                 self.recovery.scans_in_flight -= 1;
                 let at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
@@ -149,7 +149,7 @@
     }
 
     fn handle_scan_page(&mut self, ctx: &mut Context, kind: RecordKind, page: Page) {
-        let last = page.pairs.last().map(|pair| pair.path.clone());
+        let last = page.pairs.last().map(|pair| pair.key.clone());
         if kind == RecordKind::Jobs {
             self.watch.begin_at(page.revision);
         }
@@ -166,34 +166,34 @@
 
     fn take_in_record(&mut self, ctx: &mut Context, kind: RecordKind, pair: KeyValue) {
         match kind {
-            RecordKind::Jobs => self.apply_job_record(ctx, &pair.path, pair.v, pair.version),
+            RecordKind::Jobs => self.apply_job_record(ctx, &pair.key, pair.value, pair.version),
             RecordKind::SubmissionParts => self.recovery.submission_parts.push(pair),
             RecordKind::TaskPages => self.recovery.pages.push(pair),
             RecordKind::MachineBlocks => self.recovery.blocks.push(pair),
             RecordKind::V01Outcomes => self.recovery.v0_1_outcomes.push(pair),
             RecordKind::V01Machines => self.recovery.v0_1_machines.push(pair),
             RecordKind::ScaleOuts => self.restore_scale_out(pair),
-            RecordKind::Cluster if pair.path.starts_with(keys::OWNED) => self.restore_owned_list(pair),
-            RecordKind::Cluster if pair.path == keys::CATALOG => self.restore_catalog(ctx, pair),
+            RecordKind::Cluster if pair.key.starts_with(keys::OWNED) => self.restore_owned_list(pair),
+            RecordKind::Cluster if pair.key == keys::CATALOG => self.restore_catalog(ctx, pair),
             RecordKind::Cluster => {}
         }
     }
 
     fn restore_scale_out(&mut self, pair: KeyValue) {
-        if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) {
-            self.autoscaler.scale_outs.load(request, pair.version);
+        if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.value) {
+            self.autoscaler.scale_outs.restore(request, pair.version);
         }
     }
 
     fn restore_owned_list(&mut self, pair: KeyValue) {
-        self.autoscaler.owned.load_part(serde_json::from_value(pair.v).unwrap_or_default());
-        self.store.restore_owned_list(pair.path, pair.version);
+        self.autoscaler.owned.load_part(serde_json::from_value(pair.value).unwrap_or_default());
+        self.store.restore_owned_list(pair.key, pair.version);
     }
 
     fn restore_catalog(&mut self, ctx: &mut Context, pair: KeyValue) {
         self.store.restore_catalog(pair.version);
         if ctx.catalog.is_none() {
-            ctx.catalog = serde_json::from_value(pair.v).ok();
+            ctx.catalog = serde_json::from_value(pair.value).ok();
         }
     }
 }
--- a/crates/core/src/leader/scheduler/candidates.rs
+++ b/crates/core/src/leader/scheduler/candidates.rs
@@ -6,7 +6,7 @@
 use shaleshunt_wire::user::Priority;
 
 /// Most placements on one machine: a heartbeat and its reply name each of them in one body.
-const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY / 128;
+const MAX_PLACEMENTS_PER_MACHINE: usize = shaleshunt_wire::MAX_BODY_BYTES / 128;
 
 /// A machine on which fewer than so many tasks of a job failed is avoided by that job; after more
 /// failures the fault is the job's own.
@@ -91,7 +91,7 @@
             candidates.push(filter.rate(machine));
         }
     }
-    view.work.examined(examined);
+    view.work.count_machines_examined(examined);
     candidates
 }
 
@@ -119,7 +119,7 @@
         let machines = self.view.machines;
         let cores = self.job.need.cores;
         match (self.search.max_candidates, self.emptiest_first) {
-            (None, _) => machines.with_cores(cores),
+            (None, _) => machines.with_free_cores(cores),
             (Some(_), true) => Box::new(machines.emptiest_first(cores)),
             (Some(_), false) => Box::new(machines.fullest_first(cores)),
         }
@@ -140,14 +140,14 @@
         let failed_on = &self.job.failures.machines;
         let failed_here = failed_on.len() < FAILED_MACHINES_AVOIDED && failed_on.contains(&machine.id);
         let on_probation = machine.health.quarantine_count > 0 && !machine.placements.is_empty();
-        let slow = machine.health.slow_until > self.view.now.monotonic_ms && !self.job.is_service();
+        let slow = machine.health.slow_until_ms > self.view.now.monotonic_ms && !self.job.is_service();
         failed_here || on_probation || slow
     }
 
     fn rate(&self, machine: &'a Machine) -> Candidate<'a> {
         let suspect = machine.health.quarantine_count > 0;
         let free = machine.free();
-        let fitting = if suspect { 1 } else { free.times(&self.job.need, i64::from(self.tasks)) as u32 };
+        let fitting = if suspect { 1 } else { free.fit_count(&self.job.need, i64::from(self.tasks)) as u32 };
         let tasks_of_job =
             if keeps_apart(self.job) { machine.placements.iter().filter(|p| p.job == self.job.id).count() } else { 0 };
         Candidate {
@@ -175,6 +175,6 @@
     if machine.images.contains(job.image) {
         return ImageState::Present;
     }
-    let being_fetched = machine.placements.iter().any(|p| p.running.is_none() && p.image == job.image);
+    let being_fetched = machine.placements.iter().any(|p| p.running_since_ms.is_none() && p.image == job.image);
     if being_fetched { ImageState::Fetching } else { ImageState::Absent }
 }
--- a/crates/core/src/leader/scheduler/preemption.rs
+++ b/crates/core/src/leader/scheduler/preemption.rs
@@ -59,7 +59,7 @@
     let behind_start = sample_start.map_or(Bound::Unbounded, Bound::Excluded);
     let machines = view.machines.range::<Id, _>((behind_start, Bound::Unbounded)).chain(view.machines.iter());
     for (id, machine) in machines.take(view.machines.len()) {
-        if sampled >= view.tuning.sample as u32 {
+        if sampled >= view.tuning.machine_sample_size as u32 {
             break;
         }
         last_examined = Some(id.clone());
@@ -95,7 +95,7 @@
     /// Whether the job may use this machine, once there is room.
     fn may_use(&self, machine: &Machine) -> bool {
         let now = self.view.now.monotonic_ms;
-        let slow = machine.health.slow_until > now && !self.job.is_service();
+        let slow = machine.health.slow_until_ms > now && !self.job.is_service();
         let image_missing = self.reason == PreemptionReason::ImageAbsent && !machine.images.contains(self.job.image);
         machine.is_schedulable(now, self.view.settings)
             && !slow
@@ -140,7 +140,7 @@
         let mut victims = Vec::new();
         for placement in machine.placements.iter().filter(|placement| placement.stop_grace_s.is_none()) {
             if self.is_preemptible(&placement.job) {
-                let run_ms = placement.running.map_or(0, |since| now.saturating_sub(since));
+                let run_ms = placement.running_since_ms.map_or(0, |since| now.saturating_sub(since));
                 victims.push(Victim { placement, run_ms });
             }
         }
@@ -185,7 +185,7 @@
 
 fn exceeds_guarantee(view: &SchedulingView, team: &str) -> bool {
     let used = view.scheduler.usage.of_team(team);
-    view.settings.teams.get(team).is_some_and(|quota| !quota.guarantees(&used))
+    view.settings.teams.get(team).is_some_and(|quota| !quota.within_guarantee(&used))
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/store/commit.rs
+++ b/crates/core/src/leader/store/commit.rs
@@ -4,7 +4,7 @@
 //! is sent again as it was while that key has not changed: whichever copy comes first counts.
 
 use super::Store;
-use super::changes::Changes;
+use super::changes::TransactionChanges;
 use super::sources::{RecordSources, StoreContext};
 use super::transaction::TransactionLimits;
 use super::write_budget::{WriteDemand, leader_share};
@@ -12,7 +12,7 @@
 use crate::records::keys;
 use crate::step_down::ForeignWrite;
 use shaleshunt_wire::Revision;
-use shaleshunt_wire::kv::{Condition, Transaction};
+use shaleshunt_wire::kv::{Precondition, Transaction};
 
 /// A transaction without an answer is tried again so many times in a heartbeat interval.
 const RETRIES_PER_HEARTBEAT: u64 = 60;
@@ -95,9 +95,9 @@
 /// The transaction under way. Nothing else is written before it is known what became of it.
 #[derive(Debug)]
 pub(super) struct InFlight {
-    changes: Changes,
+    changes: TransactionChanges,
     /// A key that it writes, and its version before.
-    marker: Condition,
+    marker: Precondition,
     copies: EarlierCopies,
     /// A request about it is under way.
     awaiting_reply: bool,
@@ -105,7 +105,7 @@
 
 impl InFlight {
     /// A transaction that is being sent; none if it has no writes.
-    fn new(changes: Changes) -> Option<InFlight> {
+    fn new(changes: TransactionChanges) -> Option<InFlight> {
         let marker = changes.builder.marker()?;
         Some(InFlight { changes, marker, copies: EarlierCopies::Answered, awaiting_reply: true })
     }
@@ -125,17 +125,17 @@
     }
 
     fn read_marker(&self) -> CommitRequest {
-        let key = self.marker.path.clone();
+        let key = self.marker.key.clone();
         CommitRequest { request: KvRequest::Get { key }, step: CommitStep::ReadMarker }
     }
 
     /// Asks whether the marker has a version while the epoch holds.
     fn compare_marker(&self, epoch_version: Revision, version: Revision) -> CommitRequest {
         let conditions = vec![
-            Condition { path: keys::EPOCH.into(), version: epoch_version },
-            Condition { path: self.marker.path.clone(), version },
+            Precondition { key: keys::EPOCH.into(), version: epoch_version },
+            Precondition { key: self.marker.key.clone(), version },
         ];
-        let request = KvRequest::Transaction(Transaction { conditions, writes: Vec::new() });
+        let request = KvRequest::Transaction(Transaction { preconditions: conditions, writes: Vec::new() });
         CommitRequest { request, step: CommitStep::CompareMarker(version) }
     }
 
@@ -172,11 +172,11 @@
     /// That is not known yet: [`Store::next_request`] goes on with it.
     Pending,
     /// The next request about it.
-    Ask(CommitRequest),
+    SendRequest(CommitRequest),
     /// It was carried out.
-    Committed { changes: Box<Changes>, revision: Revision },
+    Committed { changes: Box<TransactionChanges>, revision: Revision },
     /// It was not carried out and never will be; these keys conflicted.
-    Abandoned { changes: Box<Changes>, conflicting: Vec<String> },
+    Abandoned { changes: Box<TransactionChanges>, conflicting: Vec<String> },
     /// A key that only the leader writes was written by somebody else. Nothing more is sent.
     ForeignWrite(ForeignWrite),
     /// It is too large for limits that have fallen. [`Store::limits_lowered`] goes on with it, or
@@ -208,7 +208,7 @@
             (false, true) => WriteDemand::LeaderOnly,
             (false, false) => WriteDemand::Idle,
         };
-        ctx.limits.rate() * leader_share(demand, ctx.tuning.write_share)
+        ctx.limits.write_rate() * leader_share(demand, ctx.tuning.write_share)
     }
 
     fn begin_transaction(
@@ -217,11 +217,12 @@
         sources: &mut RecordSources,
         rate: f64,
     ) -> Option<CommitRequest> {
-        let writes = ctx.limits.ops().min(self.budget.whole_writes());
+        let writes = ctx.limits.max_writes().min(self.budget.whole_writes());
         if writes == 0 {
             return None;
         }
-        let mut changes = Changes::new(TransactionLimits { writes, conditions: ctx.limits.conditions() });
+        let mut changes =
+            TransactionChanges::new(TransactionLimits { writes, conditions: ctx.limits.max_preconditions() });
         changes.builder.require_epoch(ctx.epoch_version);
         self.collect_changes(ctx, sources, &mut changes, rate);
         let in_flight = InFlight::new(changes)?;
@@ -345,7 +346,7 @@
     fn keep(&mut self, mut in_flight: InFlight, request: CommitRequest) -> CommitOutcome {
         in_flight.awaiting_reply = true;
         self.in_flight = Some(in_flight);
-        CommitOutcome::Ask(request)
+        CommitOutcome::SendRequest(request)
     }
 
     /// Keeps the transaction and goes on with it after a while.
@@ -371,8 +372,8 @@
 
 /// Time from one transaction to the next.
 fn commit_gap_ms(ctx: &StoreContext, is_budget_scarce: bool) -> u64 {
-    let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.request_share).max(1.0);
-    let has_small_pages = ctx.limits.page_bytes() < ctx.settings.state.value_bytes() / 2;
+    let gap = 1000.0 / (ctx.settings.kv_rps * ctx.tuning.transaction_request_share).max(1.0);
+    let has_small_pages = ctx.limits.max_page_bytes() < ctx.settings.store_quota.max_value_bytes() / 2;
     let scarce_gap = gap * if has_small_pages { SCARCE_GAP_SMALL_PAGES } else { SCARCE_GAP };
     if is_budget_scarce { scarce_gap as u64 } else { gap as u64 }
 }
