--- a/crates/core/src/leader/scheduler/pass.rs
+++ b/crates/core/src/leader/scheduler/pass.rs
@@ -22,7 +22,7 @@
 /// Limit on preemption searches in one pass: a search costs processor time whether or not it succeeds.
 const MAX_PREEMPTION_SEARCHES_PER_PASS: u32 = 8;
 
-/// After this many failures and no success, a job is tried with one task at a time.
+/// After this many consecutive failures and no success, a job is tried with one task at a time.
 const FAILURES_BEFORE_SINGLE_TASK: u32 = 3;
 
 /// Results of the searches of one pass, and what is left of its limits.
