--- a/crates/load-test/src/agents.rs
+++ b/crates/load-test/src/agents.rs
@@ -79,7 +79,7 @@
                 fleet.counts.borrow_mut().redirects += 1;
                 client = new_client(HEARTBEAT_TIMEOUT);
                 tokio::time::sleep(pause).await;
-                server.agent.borrow_mut().turn_to(controller, fleet.now());
+                server.agent.borrow_mut().switch_controller(controller, fleet.now());
             }
         }
     }
@@ -97,7 +97,7 @@
         agent.advance(now, &JobFacts { jobs: &jobs, completed: &completed, failing: &BTreeSet::new() });
         fleet.counts.borrow_mut().leases_lost += agent.agent_epoch.0 - agent_epoch.0;
         agent.events.clear();
-        let heartbeat = agent.begin_heartbeat(now, interval.as_millis() as u64)?;
+        let heartbeat = agent.heartbeat_if_due(now, interval.as_millis() as u64)?;
         let id = agent.heartbeats.in_flight?;
         Some(DueHeartbeat { id, heartbeat: Heartbeat { endpoint: self.address.clone(), ..heartbeat } })
     }
@@ -105,7 +105,7 @@
     fn take_answer(&self, heartbeat: HeartbeatId, reply: HeartbeatReply) {
         let mut agent = self.agent.borrow_mut();
         self.fleet.heartbeat_answered(&agent.machine.id);
-        agent.take_answer(self.fleet.now(), heartbeat, reply, &self.fleet.jobs.borrow());
+        agent.handle_heartbeat_reply(self.fleet.now(), heartbeat, reply, &self.fleet.jobs.borrow());
     }
 
     fn take_commands(&self, body: &[u8]) -> Reply {
@@ -113,7 +113,8 @@
             return Reply { status: 400, body: Vec::new() };
         };
         self.fleet.counts.borrow_mut().calls += 1;
-        let outcome = self.agent.borrow_mut().take_commands(self.fleet.now(), commands, &self.fleet.jobs.borrow());
+        let outcome =
+            self.agent.borrow_mut().execute_direct_commands(self.fleet.now(), commands, &self.fleet.jobs.borrow());
         let (status, heartbeat) = match outcome {
             DirectCommandsReply::Executed(heartbeat) => (200, heartbeat),
             DirectCommandsReply::Fenced(heartbeat) => (409, heartbeat),
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -11,7 +11,7 @@
 
 impl ProcessId {
     /// The sender of a request whose answer is lost: no process ever has this identity.
-    pub fn without_answer(self) -> ProcessId {
+    pub fn discarding_reply(self) -> ProcessId {
         ProcessId { incarnation: 0, ..self }
     }
 }
--- a/crates/simulation/src/scenario/grammar.rs
+++ b/crates/simulation/src/scenario/grammar.rs
@@ -8,7 +8,7 @@
 use super::model::{Capacity, ExpectedLine, OwnedMachines, Scenario, StoredValue, TimedFault};
 use super::production_store;
 use super::words::Words;
-use crate::simulation::Version;
+use crate::simulation::ProgramVersion;
 use shaleshunt_core::settings::{ComputeAmount, StoreQuota, TeamQuota};
 use shaleshunt_wire::cloud::MachineType;
 use shaleshunt_wire::to_milli;
@@ -78,7 +78,7 @@
                     other => return Err(SyntaxError::unexpected("`start` or `finish`", other)),
                 }
             }
-            "previous-version" => site.version = Version::Previous,
+            "previous-version" => site.version = ProgramVersion::Previous,
             other => return Err(SyntaxError::unexpected("a kind of line", other)),
         }
         Ok(())
--- a/crates/simulation/src/scenario/grammar/fault.rs
+++ b/crates/simulation/src/scenario/grammar/fault.rs
@@ -4,8 +4,8 @@
 use crate::scenario::error::SyntaxError;
 use crate::scenario::words::{Words, parse_number};
 use crate::simulation::{
-    CloudFault, ControllerChoice, ControllerFault, CopyArrival, CutMessages, CutSide, Execution, Fault, JobFault,
-    LinkFault, MachineChoice, MachineFault, StoreFault,
+    CloudFault, ControllerChoice, ControllerFault, DuplicateArrival, Fault, JobFault, LinkFault, MachineChoice,
+    MachineFault, PartitionScope, PartitionedMessages, StoreFault, TransactionExecution,
 };
 
 /// Which faults there are, in the error about an unknown one.
@@ -44,31 +44,38 @@
             ControllerFault::Kill { controllers, restart_after_ms: words.seconds_as_ms("a duration")? }
         }
         "upgrade" => ControllerFault::Upgrade { controller: controller(words)?, restart_after_ms: duration(words)? },
-        "pause" => ControllerFault::Pause { controller: controller(words)?, for_ms: duration(words)? },
+        "pause" => ControllerFault::Pause { controller: controller(words)?, duration_ms: duration(words)? },
         "cut" => {
             let controller = controller(words)?;
             words.keyword("from")?;
             let side = cut_side(words)?;
-            ControllerFault::Cut { controller, side, for_ms: duration(words)?, messages: cut_messages(words) }
+            ControllerFault::Partition {
+                controller,
+                scope: side,
+                duration_ms: duration(words)?,
+                messages: cut_messages(words),
+            }
         }
         "cut-zone" => {
             let zone = words.text("a zone")?;
-            ControllerFault::CutZone { zone, for_ms: duration(words)?, messages: cut_messages(words) }
+            ControllerFault::PartitionZone { zone, duration_ms: duration(words)?, messages: cut_messages(words) }
         }
-        "refuse-peer-connections" => ControllerFault::RefusePeerConnections { for_ms: duration(words)? },
-        "refuse-direct-calls" => ControllerFault::RefuseDirectCalls { for_ms: duration(words)? },
+        "refuse-peer-connections" => ControllerFault::RefusePeerConnections { duration_ms: duration(words)? },
+        "refuse-direct-calls" => ControllerFault::RefuseDirectCalls { duration_ms: duration(words)? },
         _ => return Ok(None),
     }))
 }
 
 fn store_fault(name: &str, words: &mut Words) -> Result<Option<StoreFault>, SyntaxError> {
     Ok(Some(match name {
-        "store-down" => StoreFault::Stop { for_ms: duration(words)? },
-        "store-refuses" => StoreFault::RefuseController { controller: controller(words)?, for_ms: duration(words)? },
-        "slow-store" => StoreFault::Slow { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "store-down" => StoreFault::Outage { duration_ms: duration(words)? },
+        "store-refuses" => {
+            StoreFault::RefuseController { controller: controller(words)?, duration_ms: duration(words)? }
+        }
+        "slow-store" => StoreFault::Slow { duration_ms: duration(words)?, delay_ms: delay(words)? },
         "lose-transaction-answers" => StoreFault::LoseTransactionAnswers {
             percent: words.number("percent")?,
-            for_ms: duration(words)?,
+            duration_ms: duration(words)?,
             execution: execution(words)?,
         },
         "delay-transactions" => {
@@ -81,18 +88,26 @@
 
 fn link_fault(name: &str, words: &mut Words) -> Result<Option<LinkFault>, SyntaxError> {
     Ok(Some(match name {
-        "lose-messages-to" => LinkFault::LoseMessagesToAgents { machines: machines(words)?, for_ms: duration(words)? },
-        "lose-heartbeats-of" => LinkFault::LoseHeartbeats { machines: machines(words)?, for_ms: duration(words)? },
-        "delay-answers" => {
-            LinkFault::DelayAnswers { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
+        "lose-messages-to" => {
+            LinkFault::LoseMessagesToAgents { machines: machines(words)?, duration_ms: duration(words)? }
         }
-        "delay-commands" => {
-            LinkFault::DelayCommands { machines: machines(words)?, for_ms: duration(words)?, delay_ms: delay(words)? }
+        "lose-heartbeats-of" => LinkFault::LoseHeartbeats { machines: machines(words)?, duration_ms: duration(words)? },
+        "delay-answers" => LinkFault::DelayAnswers {
+            machines: machines(words)?,
+            duration_ms: duration(words)?,
+            delay_ms: delay(words)?,
+        },
+        "delay-commands" => LinkFault::DelayCommands {
+            machines: machines(words)?,
+            duration_ms: duration(words)?,
+            delay_ms: delay(words)?,
+        },
+        "copy-all-heartbeats" => {
+            LinkFault::DuplicateAllHeartbeats { duration_ms: duration(words)?, delay_ms: delay(words)? }
         }
-        "copy-all-heartbeats" => LinkFault::CopyAllHeartbeats { for_ms: duration(words)?, delay_ms: delay(words)? },
-        "copy-some-heartbeats" => LinkFault::CopySomeHeartbeats {
+        "copy-some-heartbeats" => LinkFault::DuplicateSomeHeartbeats {
             percent: words.number("percent")?,
-            for_ms: duration(words)?,
+            duration_ms: duration(words)?,
             arrival: copy_arrival(words)?,
         },
         _ => return Ok(None),
@@ -101,13 +116,13 @@
 
 fn machine_fault(name: &str, words: &mut Words) -> Result<Option<MachineFault>, SyntaxError> {
     Ok(Some(match name {
-        "hang" => MachineFault::Hang { machines: machines(words)?, for_ms: duration(words)? },
-        "fail-tasks" => MachineFault::FailTasks { machine: words.text("a machine")?, for_ms: duration(words)? },
+        "hang" => MachineFault::Hang { machines: machines(words)?, duration_ms: duration(words)? },
+        "fail-tasks" => MachineFault::FailTasks { machine: words.text("a machine")?, duration_ms: duration(words)? },
         "slow-machine" => {
             let machine = words.text("a machine")?;
-            let for_ms = duration(words)?;
+            let duration_ms = duration(words)?;
             words.keyword("factor")?;
-            MachineFault::Slow { machine, for_ms, factor: words.number("a factor")? }
+            MachineFault::Slow { machine, duration_ms, factor: words.number("a factor")? }
         }
         "lose" => MachineFault::Lose { machines: machines(words)? },
         "lose-machine-of" => MachineFault::LoseMachineOfTask { task: words.text("a task")? },
@@ -127,8 +142,8 @@
             zone: words.text("a zone")?,
             count: words.number("machines")?,
         },
-        "cloud-down" => CloudFault::Stop { for_ms: duration(words)? },
-        "delay-scale-out" => CloudFault::DelayScaleOut { for_ms: duration(words)?, delay_ms: delay(words)? },
+        "cloud-down" => CloudFault::Outage { duration_ms: duration(words)? },
+        "delay-scale-out" => CloudFault::DelayScaleOut { duration_ms: duration(words)?, delay_ms: delay(words)? },
         "fail-boots" => CloudFault::FailBoots { count: words.number("machines")? },
         _ => return Ok(None),
     }))
@@ -143,9 +158,9 @@
             JobFault::CancelRunning { count, hang_ms: words.seconds_as_ms("how long machines hang")? }
         }
         "cancel-completing" => {
-            JobFault::CancelCompleting { percent: words.number("percent")?, for_ms: duration(words)? }
+            JobFault::CancelCompleting { percent: words.number("percent")?, duration_ms: duration(words)? }
         }
-        "probe-all-controllers" => JobFault::ProbeAllControllers { for_ms: duration(words)? },
+        "probe-all-controllers" => JobFault::ProbeAllControllers { duration_ms: duration(words)? },
         _ => return Ok(None),
     }))
 }
@@ -185,38 +200,38 @@
     }
 }
 
-fn cut_side(words: &mut Words) -> Result<CutSide, SyntaxError> {
+fn cut_side(words: &mut Words) -> Result<PartitionScope, SyntaxError> {
     const EXPECTED: &str = "`store`, `agents`, `store-and-peers` or `everything`";
     match words.next(EXPECTED)? {
-        "store" => Ok(CutSide::Store),
-        "agents" => Ok(CutSide::Agents),
-        "store-and-peers" => Ok(CutSide::StoreAndPeers),
-        "everything" => Ok(CutSide::Everything),
+        "store" => Ok(PartitionScope::Store),
+        "agents" => Ok(PartitionScope::AgentsAndCloud),
+        "store-and-peers" => Ok(PartitionScope::StoreAndPeers),
+        "everything" => Ok(PartitionScope::Everything),
         other => Err(SyntaxError::unexpected(EXPECTED, other)),
     }
 }
 
 /// `held` at the end of the line
-fn cut_messages(words: &mut Words) -> CutMessages {
-    if words.take_if("held") { CutMessages::Held } else { CutMessages::Lost }
+fn cut_messages(words: &mut Words) -> PartitionedMessages {
+    if words.take_if("held") { PartitionedMessages::Held } else { PartitionedMessages::Lost }
 }
 
 /// `executed late` or `executed at-once`
-fn execution(words: &mut Words) -> Result<Execution, SyntaxError> {
+fn execution(words: &mut Words) -> Result<TransactionExecution, SyntaxError> {
     words.keyword("executed")?;
     match words.next("`late` or `at-once`")? {
-        "late" => Ok(Execution::Late),
-        "at-once" => Ok(Execution::AtOnce),
+        "late" => Ok(TransactionExecution::Late),
+        "at-once" => Ok(TransactionExecution::Immediate),
         other => Err(SyntaxError::unexpected("`late` or `at-once`", other)),
     }
 }
 
 /// `arriving late` or `arriving at-next-leader`
-fn copy_arrival(words: &mut Words) -> Result<CopyArrival, SyntaxError> {
+fn copy_arrival(words: &mut Words) -> Result<DuplicateArrival, SyntaxError> {
     words.keyword("arriving")?;
     match words.next("`late` or `at-next-leader`")? {
-        "late" => Ok(CopyArrival::Late),
-        "at-next-leader" => Ok(CopyArrival::AtNextLeader),
+        "late" => Ok(DuplicateArrival::Late),
+        "at-next-leader" => Ok(DuplicateArrival::AtNextLeader),
         other => Err(SyntaxError::unexpected("`late` or `at-next-leader`", other)),
     }
 }
--- a/crates/simulation/src/scenario/grammar/job.rs
+++ b/crates/simulation/src/scenario/grammar/job.rs
@@ -18,15 +18,16 @@
 pub(super) fn read(words: &mut Words) -> Result<Vec<PlannedJob>, SyntaxError> {
     let mut spec = default_job(words.text("a job")?);
     words.keyword("at")?;
-    let submit_at = words.seconds_as_ms("the time of submission")?;
-    let mut job = PlannedJob { spec: spec.clone(), submit_at, cancel_at: None, submit_when: SubmitWhen::default() };
+    let submit_at_ms = words.seconds_as_ms("the time of submission")?;
+    let mut job =
+        PlannedJob { spec: spec.clone(), submit_at_ms, cancel_at_ms: None, submit_when: SubmitWhen::default() };
     let mut copies = Copies { count: 1, interval_ms: 0 };
     while !words.is_empty() {
         match words.next("a property of a job")? {
             "copies" => copies.count = words.number("copies")?,
             "every" => copies.interval_ms = words.seconds_as_ms("the interval of copies")?,
-            "cancel" => job.cancel_at = Some(words.seconds_as_ms("the time of cancellation")?),
-            "submit-late" => job.submit_when = SubmitWhen::DependenciesOver,
+            "cancel" => job.cancel_at_ms = Some(words.seconds_as_ms("the time of cancellation")?),
+            "submit-late" => job.submit_when = SubmitWhen::DependenciesFinished,
             property => read_property(&mut spec, property, words)?,
         }
     }
@@ -82,7 +83,7 @@
     let name = |id: &str| if copies.count > 1 { format!("{id}-{number}") } else { id.to_string() };
     let dependency = |id: &String| id.strip_prefix(SHARED_DEPENDENCY).map_or_else(|| name(id), str::to_string);
     let mut copy = job.clone();
-    copy.submit_at += u64::from(number - 1) * copies.interval_ms;
+    copy.submit_at_ms += u64::from(number - 1) * copies.interval_ms;
     copy.spec.id = name(&job.spec.id);
     copy.spec.dependencies = job.spec.dependencies.iter().map(dependency).collect();
     copy
--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -1,7 +1,7 @@
 //! What a scenario says.
 
 use super::expectation::Expectation;
-use crate::simulation::{Fault, PlannedJob, Version};
+use crate::simulation::{Fault, PlannedJob, ProgramVersion};
 use shaleshunt_core::settings::{ServiceObjective, StoreQuota, TeamQuota};
 use shaleshunt_wire::cloud::MachineType;
 use std::collections::BTreeMap;
@@ -17,7 +17,7 @@
     pub(super) teams: BTreeMap<String, TeamQuota>,
     pub(super) objectives: BTreeMap<String, ServiceObjective>,
     pub(super) store: StoreSettings,
-    pub(super) version: Version,
+    pub(super) version: ProgramVersion,
 }
 
 /// What the key-value store grants.
@@ -123,7 +123,7 @@
                 requests_per_s: 0.0,
                 announced_limits: None,
             },
-            version: Version::Current,
+            version: ProgramVersion::Current,
         }
     }
 }
--- a/crates/simulation/src/scenario/production_store.rs
+++ b/crates/simulation/src/scenario/production_store.rs
@@ -34,8 +34,8 @@
     let is_cancelled = record["x"] == true;
     Some(PlannedJob {
         spec,
-        submit_at: FIRST_QUESTION_MS,
-        cancel_at: is_cancelled.then_some(FIRST_QUESTION_MS),
+        submit_at_ms: FIRST_QUESTION_MS,
+        cancel_at_ms: is_cancelled.then_some(FIRST_QUESTION_MS),
         submit_when: SubmitWhen::DependenciesAccepted,
     })
 }
--- a/crates/simulation/src/simulation/fault.rs
+++ b/crates/simulation/src/simulation/fault.rs
@@ -2,7 +2,7 @@
 
 mod duration;
 
-use super::network::{CutMessages, CutSide};
+use super::network::{PartitionScope, PartitionedMessages};
 use shaleshunt_core::settings::StoreQuota;
 
 /// How much later transactions without an answer are carried out.
@@ -34,16 +34,16 @@
 
 /// When transactions whose answers are lost are carried out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Execution {
+pub enum TransactionExecution {
     /// Like any other request.
-    AtOnce,
+    Immediate,
     /// 2 to 12 s late.
     Late,
 }
 
 /// When copies of heartbeats arrive.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CopyArrival {
+pub enum DuplicateArrival {
     /// 2 to 40 s late, at the controller of the original.
     Late,
     /// At every controller as soon as another one leads.
@@ -89,37 +89,37 @@
         /// Which.
         controller: ControllerChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// A controller is cut off.
-    Cut {
+    Partition {
         /// Which.
         controller: ControllerChoice,
         /// From what.
-        side: CutSide,
+        scope: PartitionScope,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// What becomes of messages.
-        messages: CutMessages,
+        messages: PartitionedMessages,
     },
     /// A zone is cut off from everything outside it.
-    CutZone {
+    PartitionZone {
         /// Which.
         zone: String,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// What becomes of messages.
-        messages: CutMessages,
+        messages: PartitionedMessages,
     },
     /// Controllers refuse each other's connections.
     RefusePeerConnections {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Controllers have no connection left for direct calls to agents.
     RefuseDirectCalls {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
 }
 
@@ -127,21 +127,21 @@
 #[derive(Debug, Clone)]
 pub enum StoreFault {
     /// The key-value store refuses every request.
-    Stop {
+    Outage {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// The key-value store refuses one controller.
     RefuseController {
         /// Which.
         controller: ControllerChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// The key-value store answers late.
     Slow {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How late.
         delay_ms: u64,
     },
@@ -150,9 +150,9 @@
         /// How many of a hundred.
         percent: u32,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// When they are carried out.
-        execution: Execution,
+        execution: TransactionExecution,
     },
     /// The next transactions of any controller are carried out late and get no answer.
     DelayTransactions {
@@ -176,21 +176,21 @@
         /// Which.
         machines: MachineChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Agents reach no controller, while direct commands reach them.
     LoseHeartbeats {
         /// Whose.
         machines: MachineChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Answers to heartbeats, and agents' answers to direct commands, arrive late.
     DelayAnswers {
         /// Whose.
         machines: MachineChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How late.
         delay_ms: u64,
     },
@@ -199,25 +199,25 @@
         /// Whose.
         machines: MachineChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How late.
         delay_ms: u64,
     },
     /// A copy of every heartbeat arrives late.
-    CopyAllHeartbeats {
+    DuplicateAllHeartbeats {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How late.
         delay_ms: u64,
     },
     /// Copies of some heartbeats arrive late.
-    CopySomeHeartbeats {
+    DuplicateSomeHeartbeats {
         /// How many of a hundred.
         percent: u32,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// When the copies arrive.
-        arrival: CopyArrival,
+        arrival: DuplicateArrival,
     },
 }
 
@@ -229,21 +229,21 @@
         /// Which.
         machines: MachineChoice,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Every task that starts on a machine fails.
     FailTasks {
         /// Its name.
         machine: String,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Tasks that start on a machine take longer.
     Slow {
         /// Its name.
         machine: String,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How many times as long the tasks take.
         factor: u32,
     },
@@ -279,14 +279,14 @@
         count: u32,
     },
     /// The cloud refuses every request.
-    Stop {
+    Outage {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Requests for machines are carried out late and get no answer.
     DelayScaleOut {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
         /// How late.
         delay_ms: u64,
     },
@@ -317,12 +317,12 @@
         /// How many of a hundred.
         percent: u32,
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
     /// Users look at a job at all controllers within milliseconds, and repeat its submission, when it
     /// was accepted, completed or cancelled; of the accepted jobs some are cancelled at once.
     ProbeAllControllers {
         /// For how long.
-        for_ms: u64,
+        duration_ms: u64,
     },
 }
--- a/crates/simulation/src/simulation/fault/duration.rs
+++ b/crates/simulation/src/simulation/fault/duration.rs
@@ -24,11 +24,11 @@
         match self {
             ControllerFault::Kill { restart_after_ms: ms, .. }
             | ControllerFault::Upgrade { restart_after_ms: ms, .. }
-            | ControllerFault::Pause { for_ms: ms, .. }
-            | ControllerFault::Cut { for_ms: ms, .. }
-            | ControllerFault::CutZone { for_ms: ms, .. }
-            | ControllerFault::RefusePeerConnections { for_ms: ms }
-            | ControllerFault::RefuseDirectCalls { for_ms: ms } => *ms,
+            | ControllerFault::Pause { duration_ms: ms, .. }
+            | ControllerFault::Partition { duration_ms: ms, .. }
+            | ControllerFault::PartitionZone { duration_ms: ms, .. }
+            | ControllerFault::RefusePeerConnections { duration_ms: ms }
+            | ControllerFault::RefuseDirectCalls { duration_ms: ms } => *ms,
         }
     }
 }
@@ -36,11 +36,11 @@
 impl StoreFault {
     fn duration_ms(&self) -> u64 {
         match self {
-            StoreFault::Stop { for_ms: ms }
-            | StoreFault::RefuseController { for_ms: ms, .. }
+            StoreFault::Outage { duration_ms: ms }
+            | StoreFault::RefuseController { duration_ms: ms, .. }
             | StoreFault::DelayTransactions { delay_ms: ms, .. } => *ms,
-            StoreFault::Slow { for_ms, delay_ms } => for_ms + delay_ms,
-            StoreFault::LoseTransactionAnswers { for_ms, .. } => for_ms + LATE_EXECUTION_MS.end,
+            StoreFault::Slow { duration_ms, delay_ms } => duration_ms + delay_ms,
+            StoreFault::LoseTransactionAnswers { duration_ms, .. } => duration_ms + LATE_EXECUTION_MS.end,
             StoreFault::LowerLimits { .. } => 0,
         }
     }
@@ -49,11 +49,12 @@
 impl LinkFault {
     fn duration_ms(&self) -> u64 {
         match self {
-            LinkFault::LoseMessagesToAgents { for_ms: ms, .. } | LinkFault::LoseHeartbeats { for_ms: ms, .. } => *ms,
-            LinkFault::DelayAnswers { for_ms, delay_ms, .. }
-            | LinkFault::DelayCommands { for_ms, delay_ms, .. }
-            | LinkFault::CopyAllHeartbeats { for_ms, delay_ms } => for_ms + delay_ms,
-            LinkFault::CopySomeHeartbeats { for_ms, .. } => for_ms + LATE_HEARTBEAT_MS.end,
+            LinkFault::LoseMessagesToAgents { duration_ms: ms, .. }
+            | LinkFault::LoseHeartbeats { duration_ms: ms, .. } => *ms,
+            LinkFault::DelayAnswers { duration_ms, delay_ms, .. }
+            | LinkFault::DelayCommands { duration_ms, delay_ms, .. }
+            | LinkFault::DuplicateAllHeartbeats { duration_ms, delay_ms } => duration_ms + delay_ms,
+            LinkFault::DuplicateSomeHeartbeats { duration_ms, .. } => duration_ms + LATE_HEARTBEAT_MS.end,
         }
     }
 }
@@ -61,9 +62,9 @@
 impl MachineFault {
     fn duration_ms(&self) -> u64 {
         match self {
-            MachineFault::Hang { for_ms: ms, .. }
-            | MachineFault::FailTasks { for_ms: ms, .. }
-            | MachineFault::Slow { for_ms: ms, .. }
+            MachineFault::Hang { duration_ms: ms, .. }
+            | MachineFault::FailTasks { duration_ms: ms, .. }
+            | MachineFault::Slow { duration_ms: ms, .. }
             | MachineFault::Reclaim { notice_ms: ms, .. } => *ms,
             MachineFault::Lose { .. } | MachineFault::LoseMachineOfTask { .. } => 0,
         }
@@ -74,8 +75,8 @@
     fn duration_ms(&self) -> u64 {
         match self {
             CloudFault::AddMachines { .. } | CloudFault::FailBoots { .. } => 0,
-            CloudFault::Stop { for_ms: ms } => *ms,
-            CloudFault::DelayScaleOut { for_ms, delay_ms } => for_ms + delay_ms,
+            CloudFault::Outage { duration_ms: ms } => *ms,
+            CloudFault::DelayScaleOut { duration_ms, delay_ms } => duration_ms + delay_ms,
         }
     }
 }
@@ -85,8 +86,8 @@
         match self {
             JobFault::FailEverywhere { .. } => 0,
             JobFault::CancelRunning { hang_ms: ms, .. }
-            | JobFault::CancelCompleting { for_ms: ms, .. }
-            | JobFault::ProbeAllControllers { for_ms: ms } => *ms,
+            | JobFault::CancelCompleting { duration_ms: ms, .. }
+            | JobFault::ProbeAllControllers { duration_ms: ms } => *ms,
         }
     }
 }
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -11,9 +11,9 @@
 /// Who awaits a controller's answer.
 pub(super) enum Requester {
     /// A user who follows a job.
-    User { job: String, asked_at: u64 },
+    User { job: String, asked_at_ms: u64 },
     /// A user who looks at a job at every controller.
-    Probe { job: String, asked_at: u64 },
+    Probe { job: String, asked_at_ms: u64 },
     /// An agent that has reported; nobody, if the heartbeat was a copy.
     Agent { agent: String, heartbeat: Option<HeartbeatId> },
 }
@@ -26,7 +26,7 @@
     /// Watches that went to the key-value store through a peer.
     relayed: BTreeSet<RequestKey>,
     /// To controllers.
-    awaited: BTreeMap<u64, Requester>,
+    requesters: BTreeMap<u64, Requester>,
     last_id: u64,
 }
 
@@ -40,11 +40,11 @@
         self.open.remove(&RequestKey { process, id })
     }
 
-    pub(super) fn relay(&mut self, request: RequestKey) {
+    pub(super) fn mark_relayed(&mut self, request: RequestKey) {
         self.relayed.insert(request);
     }
 
-    pub(super) fn end_relay(&mut self, request: RequestKey) -> bool {
+    pub(super) fn take_relayed(&mut self, request: RequestKey) -> bool {
         self.relayed.remove(&request)
     }
 
@@ -54,11 +54,11 @@
         FIRST_REQUEST_ID + self.last_id
     }
 
-    pub(super) fn await_answer(&mut self, id: u64, requester: Requester) {
-        self.awaited.insert(id, requester);
+    pub(super) fn register(&mut self, id: u64, requester: Requester) {
+        self.requesters.insert(id, requester);
     }
 
     pub(super) fn take_requester(&mut self, id: u64) -> Option<Requester> {
-        self.awaited.remove(&id)
+        self.requesters.remove(&id)
     }
 }
--- a/crates/simulation/src/trace_digest.rs
+++ b/crates/simulation/src/trace_digest.rs
@@ -21,14 +21,14 @@
 
 impl TraceDigest {
     /// Adds a command that a process is given, at a time in ms.
-    pub fn command(&mut self, now: u64, to: ProcessId, command: &Command) {
+    pub fn record_command(&mut self, now: u64, to: ProcessId, command: &Command) {
         self.record.begin("command", now, to);
         self.record.command(command);
         self.hash.update(&self.record.0);
     }
 
     /// Adds an effect that comes out of a process, at a time in ms. Log events are not counted.
-    pub fn effect(&mut self, now: u64, from: ProcessId, effect: &Effect) {
+    pub fn record_effect(&mut self, now: u64, from: ProcessId, effect: &Effect) {
         if matches!(effect, Effect::Log(..)) {
             return;
         }
