--- a/crates/simulation/src/agent.rs
+++ b/crates/simulation/src/agent.rs
@@ -1,4 +1,6 @@
-//! A simulated machine with its agent: it sends heartbeats, executes commands and runs tasks under a lease.
+//! A simulated machine and its agent, which sends heartbeats, executes commands and runs tasks under a machine lease.
+//!
+//! Times are milliseconds of simulated time since the start of the run, unless a name has another unit.
 
 mod commands;
 mod tasks;
@@ -10,134 +12,138 @@
 use shaleshunt_wire::{AgentEpoch, Attempt, FencingToken, Resources};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Least time between two heartbeats when something has changed, in ms.
+/// Minimum interval between two heartbeats when the agent's state has changed, in ms.
 const MIN_HEARTBEAT_INTERVAL_MS: u64 = 500;
 
-/// A machine as the cloud has handed it out.
+/// A machine as the cloud has granted it.
 #[derive(Debug, Clone)]
 pub struct Machine {
-    /// Name, which is also its address.
+    /// Name of the machine, which is also the address of its agent.
     pub id: String,
-    /// Name of its machine type.
+    /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which the machine runs.
     pub zone: String,
-    /// Whether it is a spot instance.
+    /// Whether the machine is a spot instance.
     pub spot: bool,
-    /// Capacity for tasks.
+    /// Resources available to tasks.
     pub capacity: Resources,
-    /// Speed at which images are fetched, in GB/s.
+    /// Throughput of image fetches, in GB/s.
     pub fetch_gb_per_s: f64,
 }
 
 /// An attempt to run a task on the machine.
 #[derive(Debug, Clone)]
 pub struct TaskAttempt {
-    /// Number of the attempt.
+    /// Number of the attempt among all attempts of the task.
     pub attempt: Attempt,
-    /// State.
+    /// State as heartbeats report it.
     pub status: TaskStatus,
-    /// Why it ended, if it has.
+    /// Why the attempt exited; `None` while the attempt has not exited.
     pub cause: Option<ExitCause>,
     demand: Resources,
     image: String,
-    /// When its image has been fetched.
+    /// When the fetch of the image completes, in ms.
     image_ready_at_ms: u64,
-    /// When it ends by itself.
+    /// When the task completes without a stop command, in ms; `None` before its start and for services.
     ends_at_ms: Option<u64>,
-    /// Whether it started while the machine failed every task.
+    /// Whether the attempt started under [`MachineFaults::fails_tasks_until_ms`] and therefore exits with an error.
     fails: bool,
 }
 
-/// What the checker learns of a machine.
+/// A change on a machine that the checker observes.
 #[derive(Debug, Clone)]
 pub enum TaskEvent {
-    /// An attempt runs on the machine, its image fetched.
+    /// An attempt has started to run, after the fetch of its image.
     Started {
         /// Name of the task.
         task: String,
         /// Number of the attempt.
         attempt: Attempt,
     },
-    /// An attempt is off the machine.
+    /// An attempt no longer runs on the machine.
     Stopped {
         /// Name of the task.
         task: String,
         /// Number of the attempt.
         attempt: Attempt,
     },
-    /// A task has completed.
+    /// A task has run to completion.
     Completed {
         /// Name of the task.
         task: String,
     },
 }
 
-/// Which heartbeat an answer belongs to.
+/// Identity of a heartbeat, by which its reply is matched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct HeartbeatId {
-    /// When the heartbeat was sent, in ms.
+    /// When the agent sent the heartbeat, in ms.
     pub sent_at_ms: u64,
-    /// Agent epoch in which it was sent.
+    /// Agent epoch in which the agent sent the heartbeat.
     pub agent_epoch: AgentEpoch,
-    /// Its number within the agent epoch.
+    /// Sequence number of the heartbeat within the agent epoch.
     pub sequence: u64,
 }
 
-/// What the agent does about its heartbeats.
+/// State of the agent's heartbeat loop.
 #[derive(Debug, Default)]
 pub struct HeartbeatState {
-    /// The heartbeat whose answer is awaited.
+    /// The heartbeat in flight, whose reply the agent awaits.
     pub in_flight: Option<HeartbeatId>,
-    /// When the next one is due, in ms.
+    /// When the next periodic heartbeat is due, in ms.
     pub next_at_ms: u64,
+    /// When the agent sent its last heartbeat, in ms.
     last_at_ms: u64,
+    /// Whether the state has changed since the last heartbeat, so that the next one is sent early.
     changed: bool,
 }
 
-/// Faults of the machine itself; times in ms.
+/// Injected faults of the machine itself.
 #[derive(Debug, Default)]
 pub struct MachineFaults {
-    /// Until when it neither runs nor talks.
+    /// End of a hang in ms, during which the agent neither runs nor communicates; 0 without one.
     pub hung_until_ms: u64,
-    /// Until when every task that starts fails.
+    /// Until when every task that starts fails, in ms; 0 without this fault.
     pub fails_tasks_until_ms: u64,
-    /// Until when tasks that start take longer.
+    /// Until when tasks that start run longer, in ms; 0 without this fault.
     pub slow_until_ms: u64,
-    /// How many times as long they take.
+    /// Factor by which the run time of slow tasks is multiplied.
     pub slow_factor: u32,
 }
 
-/// The agent and its machine.
+/// A machine and the agent on it.
 pub struct Agent {
-    /// The machine.
+    /// The machine on which the agent runs.
     pub machine: Machine,
-    /// Agent epoch: a new one begins when the lease has expired.
+    /// Current agent epoch; a new epoch begins when the machine lease expires.
     pub agent_epoch: AgentEpoch,
-    /// Reports sent in this agent epoch.
+    /// Number of heartbeats built in this agent epoch, including those in replies to direct commands.
     sequence: u64,
-    /// Highest fencing token seen.
+    /// Highest fencing token received from a controller.
     pub token: FencingToken,
-    /// Attempts by task.
+    /// Attempts on the machine, by name of the task; exited attempts stay until a controller has the agent forget them.
     pub tasks: BTreeMap<String, Vec<TaskAttempt>>,
+    /// Images that the machine has fetched.
     images: BTreeSet<String>,
-    /// When the last answered heartbeat was sent: the lease counts from there.
+    /// When the last answered heartbeat was sent, in ms: the machine lease counts from the send time.
     lease_renewed_at_ms: u64,
+    /// Duration of the machine lease, in ms.
     lease_ms: u64,
-    /// Its heartbeats.
+    /// State of the heartbeat loop.
     pub heartbeats: HeartbeatState,
-    /// Index of the controller that it reports to.
+    /// Index of the controller to which the agent sends its heartbeats.
     pub controller: usize,
-    /// Seconds until the machine is reclaimed, if that was announced.
+    /// Seconds until the cloud reclaims the machine; `None` without a preemption notice.
     pub preemption_notice_s: Option<f64>,
-    /// Faults of the machine.
+    /// Injected faults of the machine.
     pub faults: MachineFaults,
-    /// What has happened since the checker last looked.
+    /// Changes that have not been passed on to the checker yet, oldest first.
     pub events: Vec<TaskEvent>,
 }
 
 impl Agent {
-    /// An agent on a machine that has just booted.
+    /// Creates the agent of a machine that has just booted.
     pub fn new(machine: Machine, lease_ms: u64, now: u64) -> Agent {
         Agent {
             machine,
@@ -156,12 +162,12 @@
         }
     }
 
-    /// Whether the machine neither runs nor talks.
+    /// Whether an injected fault hangs the machine at `now`.
     pub fn hangs(&self, now: u64) -> bool {
         now < self.faults.hung_until_ms
     }
 
-    /// Capacity that no task takes.
+    /// Resources that no unfinished task uses.
     pub fn free(&self) -> Resources {
         let mut free = self.machine.capacity;
         for task in self.unfinished_tasks() {
@@ -174,7 +180,7 @@
         self.tasks.values().flatten().filter(|task| task.status != TaskStatus::Exited)
     }
 
-    /// The heartbeat as of now.
+    /// Builds a heartbeat with the current state and the next sequence number.
     pub fn heartbeat(&mut self) -> Heartbeat {
         self.sequence += 1;
         let mut tasks = Vec::new();
@@ -201,7 +207,7 @@
         }
     }
 
-    /// Sends a heartbeat if one is due; the next is due after `interval_ms`.
+    /// Returns a heartbeat to send if one is due and none is in flight; the next one is due after `interval_ms`.
     pub fn heartbeat_if_due(&mut self, now: u64, interval_ms: u64) -> Option<Heartbeat> {
         let changed = self.heartbeats.changed && now >= self.heartbeats.last_at_ms + MIN_HEARTBEAT_INTERVAL_MS;
         let due = now >= self.heartbeats.next_at_ms || changed;
@@ -215,7 +221,9 @@
         Some(heartbeat)
     }
 
-    /// Takes the answer to a heartbeat and executes its commands, unless the heartbeat is not the one in flight.
+    /// Renews the machine lease and executes the commands in the reply to the heartbeat in flight.
+    ///
+    /// Replies to other heartbeats, from an earlier agent epoch or with an older fencing token have no effect.
     pub fn handle_heartbeat_reply(
         &mut self,
         now: u64,
@@ -238,7 +246,7 @@
         }
     }
 
-    /// Gives up the heartbeat in flight, and turns to a controller, with the next one due at a time.
+    /// Abandons the heartbeat in flight and sends the next one to `controller`, at `next_at_ms`.
     pub fn switch_controller(&mut self, controller: usize, next_at_ms: u64) {
         self.heartbeats.in_flight = None;
         self.heartbeats.next_at_ms = next_at_ms;
--- a/crates/simulation/src/agent/commands.rs
+++ b/crates/simulation/src/agent/commands.rs
@@ -1,4 +1,4 @@
-//! Commands to an agent: run, stop and forget attempts.
+//! Execution of a controller's commands by an agent: run, stop and forget attempts.
 
 use super::{Agent, TaskAttempt, TaskEvent};
 use shaleshunt_core::io::DirectCommandsReply;
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 
 impl Agent {
-    /// Executes direct commands if their fencing token and agent epoch are current.
+    /// Executes direct commands, unless their fencing token is outdated or they are for another agent epoch.
     pub fn execute_direct_commands(
         &mut self,
         now: u64,
@@ -57,7 +57,7 @@
         self.tasks.entry(name).or_default().push(task);
     }
 
-    /// Why a task may not start here, if it may not.
+    /// Why the agent rejects a new attempt of a task; `None` if the attempt may start.
     fn rejection_cause(&self, name: &str, job: Option<&Submission>) -> Option<ExitCause> {
         let Some(spec) = job else { return Some(ExitCause::UnknownTask) };
         let attempts = self.tasks.get(name);
--- a/crates/simulation/src/agent/tasks.rs
+++ b/crates/simulation/src/agent/tasks.rs
@@ -1,25 +1,25 @@
-//! What time does to a machine: images arrive, tasks end, the lease expires.
+//! Changes on a machine over time: image fetches complete, tasks start and exit, the machine lease expires.
 
 use super::{Agent, MachineFaults, TaskAttempt, TaskEvent};
 use shaleshunt_wire::user::{JobKind, Submission};
 use shaleshunt_wire::worker::{ExitCause, TaskStatus, split_task_name};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Shortest run of a task, in seconds.
+/// Minimum run time of a task, in seconds.
 const MIN_RUN_TIME_S: f64 = 0.1;
 
-/// What an agent has to know of jobs to play their tasks.
+/// Properties of jobs that decide how an agent simulates their tasks.
 pub struct JobFacts<'a> {
-    /// Submissions by job.
+    /// Submissions, by name of the job.
     pub jobs: &'a BTreeMap<String, Submission>,
-    /// Names of the tasks that have completed.
+    /// Names of the tasks that have completed before: a further run ends as soon as it has started.
     pub completed: &'a BTreeSet<String>,
-    /// Jobs whose tasks fail everywhere.
+    /// Names of the jobs whose tasks fail on every machine.
     pub failing: &'a BTreeSet<String>,
 }
 
 impl Agent {
-    /// Lets time pass until `now`.
+    /// Advances the machine to `now`: expires the machine lease, then starts and ends tasks that are due.
     pub fn advance(&mut self, now: u64, facts: &JobFacts) {
         if now > self.lease_renewed_at_ms + self.lease_ms {
             self.expire_lease(now);
@@ -47,13 +47,13 @@
         }
     }
 
-    /// The machine is gone with all that is on it; what has happened until then.
+    /// Stops all tasks because the machine is gone; returns all changes that the checker has not observed.
     pub fn terminate(&mut self) -> Vec<TaskEvent> {
         self.stop_all_tasks();
         std::mem::take(&mut self.events)
     }
 
-    /// All tasks are stopped and a new agent epoch begins.
+    /// Stops all tasks and begins a new agent epoch.
     fn expire_lease(&mut self, now: u64) {
         self.stop_all_tasks();
         self.agent_epoch = self.agent_epoch.next();
--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -1,89 +1,91 @@
-//! A simulated cloud: machine types with limited capacity, and a list that lags behind.
+//! A simulated cloud with limited capacity for each offer and an eventually consistent list of machines.
+//!
+//! Times are milliseconds of simulated time since the start of the run, unless a name has another unit.
 
 use shaleshunt_core::RequestError;
 use shaleshunt_core::io::{CloudReply, CloudRequest};
 use shaleshunt_wire::cloud::{Catalog, ListPage, ListedMachine, ListedMachineStatus, ScaleOutRequest};
 use std::collections::BTreeMap;
 
-/// Machines on a page of the list unless another size is set: small, so that the scenarios play paging.
+/// Default number of machines on a page of the list; small, so that scenarios exercise paging.
 const DEFAULT_MACHINES_PER_PAGE: usize = 5;
-/// Least time between two states of the list, in ms.
+/// Minimum interval between two snapshots of the list of machines, in ms.
 const LIST_SNAPSHOT_INTERVAL_MS: u64 = 500;
-/// Share of a machine type's boot time after which the first machine of a request is up.
+/// Fraction of the machine type's boot time that the first machine of a scale-out request takes to boot.
 const FIRST_BOOT_FRACTION: f64 = 0.7;
-/// How much more of the boot time each further machine of the same request takes.
+/// Additional fraction of the boot time for each further machine of the same request.
 const BOOT_FRACTION_STEP: f64 = 0.1;
 
-/// Which machines can stand in for each other.
+/// A kind of machine that can be requested: all machines of an offer are interchangeable.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Offer {
     /// Name of the machine type.
     pub machine_type: String,
-    /// Zone.
+    /// Zone in which the machines run.
     pub zone: String,
-    /// Whether they are spot instances.
+    /// Whether the machines are spot instances.
     pub spot: bool,
 }
 
 impl Offer {
-    /// Machines that the cloud does not take back by itself.
+    /// The offer of machines that the cloud does not reclaim.
     pub fn on_demand(machine_type: &str, zone: &str) -> Offer {
         Offer { machine_type: machine_type.into(), zone: zone.into(), spot: false }
     }
 }
 
-/// A machine that the cloud has handed out.
+/// A machine that the cloud has granted and not taken back.
 #[derive(Debug, Clone)]
 pub struct Instance {
-    /// Name.
+    /// Name of the machine.
     pub id: String,
-    /// What was asked for.
+    /// Offer to which the machine belongs.
     pub offer: Offer,
-    /// When it was handed out, in ms.
+    /// When the cloud granted the machine, in ms.
     pub created_at_ms: u64,
-    /// When it is up, in ms; never if `None`.
+    /// When the boot completes, in ms; `None` if the machine never boots.
     pub up_at_ms: Option<u64>,
 }
 
-/// What a request did.
+/// Result of a request to the cloud.
 pub struct CloudOutcome {
-    /// The answer.
+    /// Reply to the requester.
     pub reply: Result<CloudReply, RequestError>,
-    /// Names of the machines that the request returned.
+    /// Names of the machines that the request scaled in.
     pub returned: Vec<String>,
 }
 
-/// The list of machines as it was at a time.
+/// The list of machines at one time.
 struct Snapshot {
     taken_at_ms: u64,
     machines: Vec<ListedMachine>,
 }
 
-/// The cloud.
+/// A simulated cloud.
 #[derive(Default)]
 pub struct Cloud {
-    /// Machine types.
+    /// Machine types that the cloud offers.
     pub catalog: Catalog,
-    /// Machines left of each offer.
+    /// Number of machines that can still be granted, by offer; none for an offer without an entry.
     pub capacity: BTreeMap<Offer, u32>,
-    /// Machines handed out, by name.
+    /// Machines that exist, by name.
     pub instances: BTreeMap<String, Instance>,
-    /// Machines of each request by its idempotency key.
+    /// Names of the machines granted to each scale-out request, by idempotency key.
     requests: BTreeMap<String, Vec<String>>,
     created_count: u32,
     snapshots: Vec<Snapshot>,
-    /// How old lists are, in ms.
+    /// Minimum age of the snapshot that a list request returns, in ms; 0 by default.
     pub list_lag_ms: u64,
-    /// Machines on a page of the list; 0 for the default.
+    /// Maximum number of machines on a page of the list; 0 selects the default, 5.
     pub page_size: usize,
-    /// Whether it refuses every request.
+    /// Whether the cloud refuses every request.
     pub down: bool,
-    /// How many of the next machines that are handed out never boot.
+    /// How many of the next machines granted by scale-out requests never boot.
     pub boot_failures_left: u32,
 }
 
 impl Cloud {
-    /// Hands out a machine that is up at `up_at_ms`; its name.
+    /// Creates a machine whose boot completes at `up_at_ms`, and returns its name.
     pub fn create(&mut self, now: u64, offer: Offer, up_at_ms: Option<u64>) -> String {
         self.created_count += 1;
         let id = format!("vm-{:06}", self.created_count);
@@ -91,7 +93,7 @@
         id
     }
 
-    /// Carries out a request.
+    /// Executes a request and returns its outcome.
     pub fn handle(&mut self, now: u64, request: CloudRequest) -> CloudOutcome {
         if self.down {
             return CloudOutcome { reply: Err(RequestError::Unavailable), returned: Vec::new() };
@@ -112,7 +114,7 @@
         CloudOutcome { reply: Ok(reply), returned }
     }
 
-    /// Hands out as many machines as there are; a repeated request gets its first answer again.
+    /// Grants the requested number of machines or as many as remain; a repeated request gets its first reply again.
     fn scale_out(&mut self, now: u64, request: ScaleOutRequest) -> CloudReply {
         if let Some(earlier) = self.requests.get(&request.request) {
             return CloudReply::ScaledOut(earlier.clone());
@@ -137,10 +139,10 @@
         CloudReply::ScaledOut(names)
     }
 
-    /// The page of the newest list that may be shown, after a name.
+    /// The page with the machines after a name, from the newest snapshot that is at least `list_lag_ms` old.
     fn list(&self, now: u64, after: &str) -> ListPage {
-        let shown = self.snapshots.iter().rev().find(|snapshot| snapshot.taken_at_ms + self.list_lag_ms <= now);
-        let listed = shown.map_or(&[][..], |snapshot| &snapshot.machines);
+        let snapshot = self.snapshots.iter().rev().find(|snapshot| snapshot.taken_at_ms + self.list_lag_ms <= now);
+        let listed = snapshot.map_or(&[][..], |snapshot| &snapshot.machines);
         let mut machines: Vec<ListedMachine> =
             listed.iter().filter(|machine| machine.id.as_str() > after).cloned().collect();
         let size = if self.page_size > 0 { self.page_size } else { DEFAULT_MACHINES_PER_PAGE };
@@ -149,29 +151,29 @@
         ListPage { machines, truncated }
     }
 
-    /// Takes a machine back, and its capacity with it.
+    /// Removes a machine and makes its capacity available again.
     pub fn release(&mut self, id: &str) {
         if let Some(instance) = self.instances.remove(id) {
             *self.capacity.entry(instance.offer).or_default() += 1;
         }
     }
 
-    /// Lets time pass until `now`: remembers what the list shows.
+    /// Advances the cloud to `now`: takes a snapshot of the machines and drops snapshots no longer needed.
     pub fn advance(&mut self, now: u64) {
         if self.snapshots.last().is_some_and(|last| now < last.taken_at_ms + LIST_SNAPSHOT_INTERVAL_MS) {
             return;
         }
         let machines = self.instances.values().map(|instance| instance.listed(now)).collect();
         self.snapshots.push(Snapshot { taken_at_ms: now, machines });
-        // What is older than the newest that may be shown is never shown again.
-        let may_be_shown = |snapshot: &Snapshot| snapshot.taken_at_ms + self.list_lag_ms <= now;
-        let shown = self.snapshots.iter().rposition(may_be_shown).unwrap_or(0);
-        self.snapshots.drain(..shown);
+        // Snapshots older than the newest one that may be listed are never listed again.
+        let may_be_listed = |snapshot: &Snapshot| snapshot.taken_at_ms + self.list_lag_ms <= now;
+        let newest = self.snapshots.iter().rposition(may_be_listed).unwrap_or(0);
+        self.snapshots.drain(..newest);
     }
 }
 
 impl Instance {
-    /// Whether it has booted.
+    /// Whether the machine has booted by `now`.
     pub fn is_up(&self, now: u64) -> bool {
         self.up_at_ms.is_some_and(|up_at_ms| up_at_ms <= now)
     }
--- a/crates/simulation/src/lib.rs
+++ b/crates/simulation/src/lib.rs
@@ -1,6 +1,8 @@
-//! A simulation of a whole site around the code that runs in production: stand-ins for the key-value
-//! store, the cloud, agents, users and the network in simulated time, the checker of the protocol's
-//! rules, and the runner of scenarios, which are small text files (see `scenarios/README.md`).
+//! Deterministic simulation of a whole site around the production controller code.
+//!
+//! The key-value store, the cloud, agents, users and the network are simulated in simulated time. A checker
+//! verifies the protocol's rules during a run, and a runner plays scenarios, which are small text files (see
+//! `scenarios/README.md`).
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
 
--- a/crates/simulation/src/process.rs
+++ b/crates/simulation/src/process.rs
@@ -1,16 +1,16 @@
-//! Identity of a controller process in a simulation.
+//! Identity of a simulated controller process.
 
-/// One run of one controller: a restart makes another process of the same controller.
+/// One process of one controller: each restart of a controller starts a new process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProcessId {
-    /// Index of the controller in its site.
+    /// Index of the controller in the site's list of controllers.
     pub controller: usize,
-    /// How often the controller had been started or killed when this process began; 0 for no process.
+    /// Number of starts and kills of the controller up to and including the start of this process; 0 for no process.
     pub incarnation: u32,
 }
 
 impl ProcessId {
-    /// The sender of a request whose answer is lost: no process ever has this identity.
+    /// The sender to put on a request whose reply is to be lost: no process ever has the returned identity.
     pub fn discarding_reply(self) -> ProcessId {
         ProcessId { incarnation: 0, ..self }
     }
--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -1,8 +1,10 @@
-//! A simulated site: controllers around the code that runs in production, and stand-ins of everything
-//! around them, driven by one queue of events in simulated time.
+//! Discrete-event simulation of a site: production controller code, and simulated services, agents, users and network.
 //!
-//! Each party has a module of its own. All chance comes from one generator, so a seed always gives
-//! the same run: the order in which numbers are drawn and events are scheduled must not change by accident.
+//! One event queue in simulated time drives all parties, each of which has a module of its own. All random numbers
+//! come from one seeded generator, so that a seed always gives the same run. A change to the order in which numbers
+//! are drawn or events are scheduled therefore changes every run.
+//!
+//! Times are milliseconds of simulated time since the start of the run, unless a name has another unit.
 
 mod agents;
 mod controllers;
@@ -45,39 +47,40 @@
 use users::Users;
 use window::TemporaryDelay;
 
-/// Time of day at the beginning, in ms since 1970.
+/// Wall-clock time at the start of the run, in ms since the Unix epoch.
 const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
-/// Interval at which all parties look at their clocks, in ms.
+/// Interval of the tick on which all parties act on elapsed time, in ms.
 const TICK_MS: u64 = 20;
-/// Interval between the starts of two controllers, in ms.
+/// Interval between the initial starts of two controllers, in ms.
 const CONTROLLER_START_INTERVAL_MS: u64 = 7;
-/// Interval at which the checker looks for jobs that wait though there is room, in ms.
+/// Interval at which the checker is told which jobs wait although a machine has room, in ms.
 const WAITING_JOBS_CHECK_INTERVAL_MS: u64 = 1_000;
-/// Share of the messages that take much longer.
+/// Fraction of messages with an additional delay of [`SLOW_MESSAGE_EXTRA_MS`].
 const SLOW_MESSAGE_FRACTION: f64 = 0.02;
-/// How much longer those take, in ms.
+/// Additional delay of a slow message, in ms.
 const SLOW_MESSAGE_EXTRA_MS: u64 = 150;
-/// How much the time of a message varies, in ms.
+/// Exclusive upper bound of the random part of a message's delay, in ms.
 const MAX_MESSAGE_JITTER_MS: u64 = 4;
 
-/// The cloud and the faults of its traffic.
+/// The simulated cloud and the injected faults of its traffic.
 struct CloudEndpoint {
     service: Cloud,
+    /// End of the cloud's outage, in ms; meaningful only while the cloud is down.
     down_until_ms: u64,
-    /// How much later requests for machines are carried out, their answers lost.
+    /// Delay after which scale-out requests are executed, with their replies lost.
     delayed_scale_out: TemporaryDelay,
 }
 
-/// What is recorded of a run.
+/// Counters and optional recordings of a run.
 #[derive(Default)]
 pub struct Recording {
-    /// Direct calls to agents that controllers have made.
+    /// Number of direct calls from controllers to agents.
     pub direct_calls: u32,
-    /// How often a leader took a zone for cut off.
+    /// How often a leader considered a zone unreachable.
     pub unreachable_zones: u32,
-    /// Lines of the log, if it is wanted.
+    /// Log lines of all parties; `None`, the default, records none.
     pub log: Option<Vec<String>>,
-    /// Digest of all commands and effects, if it is wanted.
+    /// Digest of all commands and effects; `None`, the default, computes none.
     pub trace_digest: Option<TraceDigest>,
 }
 
@@ -94,15 +97,17 @@
     users: Users,
     requests: Requests,
     fault_schedule: FaultSchedule,
-    /// The checker of the protocol's rules.
+    /// Checker of the protocol's rules.
     pub checker: Checker,
-    /// What is recorded besides.
+    /// Counters and recordings of the run.
     pub recording: Recording,
 }
 
 impl Simulation {
-    /// A site with a controller for each settings, which must not be empty; machines, users and faults are
-    /// added before it runs.
+    /// Creates a site with one controller for each element of `settings`, which must not be empty.
+    ///
+    /// Machines, users and faults are added before the run. The store's limits, the team quotas and the cancellation
+    /// time come from the first controller's settings.
     pub fn new(settings: Vec<Settings>, seed: u64) -> Simulation {
         let first = &settings[0];
         let mut store = KeyValueStore::default();
@@ -137,7 +142,7 @@
         simulation
     }
 
-    /// Runs until a time, in ms since the beginning.
+    /// Runs the simulation until `until_ms` since the start of the run.
     pub fn run_until(&mut self, until_ms: u64) {
         while let Some(event) = self.queue.next_until(until_ms) {
             self.handle(event);
@@ -199,7 +204,7 @@
         self.network.remove_ended_partitions(now);
     }
 
-    /// How long a message takes, in ms.
+    /// Draws the network delay of a message, in ms.
     fn network_delay_ms(&mut self) -> u64 {
         let slow = u64::from(self.random.random_bool(SLOW_MESSAGE_FRACTION)) * SLOW_MESSAGE_EXTRA_MS;
         1 + slow + self.random.random_range(0..MAX_MESSAGE_JITTER_MS)
@@ -220,7 +225,7 @@
         }
     }
 
-    /// Sets the version that a controller runs from its next start on.
+    /// Sets the program version that a controller runs from its next start on.
     pub fn set_version(&mut self, controller: usize, version: ProgramVersion) {
         self.controllers[controller].version = version;
     }
@@ -230,33 +235,33 @@
         &self.store.service
     }
 
-    /// The key-value store, to be changed before the simulation runs.
+    /// The key-value store, to configure before the run.
     pub fn store_mut(&mut self) -> &mut KeyValueStore {
         &mut self.store.service
     }
 
-    /// The cloud, to be changed before the simulation runs.
+    /// The cloud, to configure before the run.
     pub fn cloud_mut(&mut self) -> &mut Cloud {
         &mut self.cloud.service
     }
 
-    /// How many machines are up.
+    /// Number of machines whose agents run.
     pub fn running_machines(&self) -> usize {
         self.agents.running.len()
     }
 
-    /// How many controllers lead.
+    /// Number of controllers that are active leaders.
     pub fn leader_count(&self) -> usize {
         self.controllers.iter().filter(|controller| controller.is_leader()).count()
     }
 
-    /// How often a leader has been elected.
+    /// Current leader epoch, which is the number of elections so far.
     pub fn leader_epoch(&self) -> Epoch {
         let elections = self.store.service.entries_with_prefix("l/epoch");
         elections.iter().filter_map(|(_, value)| value["epoch"].as_u64()).map(Epoch).max().unwrap_or_default()
     }
 
-    /// How many keys with a prefix the key-value store holds.
+    /// Number of keys in the key-value store that start with `prefix`.
     pub fn key_count(&self, prefix: &str) -> usize {
         self.store.service.entries_with_prefix(prefix).len()
     }
--- a/crates/simulation/src/simulation/effects.rs
+++ b/crates/simulation/src/simulation/effects.rs
@@ -1,4 +1,4 @@
-//! What controllers want done: requests, messages to each other and answers.
+//! Execution of the controllers' effects: requests to services and agents, messages to peers and answers to requesters.
 
 use super::Simulation;
 use super::agents::REQUEST_TIMEOUT_IN_HEARTBEAT_INTERVALS;
@@ -11,7 +11,7 @@
 use shaleshunt_peer::Frame;
 use shaleshunt_wire::worker::DirectCommands;
 
-/// How many times as long controllers wait for the cloud as for other services.
+/// Factor between a controller's timeout for the cloud and its timeout for other requests.
 const CLOUD_TIMEOUT_FACTOR: u64 = 3;
 
 impl Simulation {
@@ -27,7 +27,7 @@
         }
     }
 
-    /// How long a controller waits for an answer, in ms.
+    /// Timeout of a controller's requests, in ms; a request to the cloud has [`CLOUD_TIMEOUT_FACTOR`] times as long.
     pub(super) fn request_timeout_ms(&self) -> u64 {
         (self.heartbeat_interval_s() * 1000.0 * REQUEST_TIMEOUT_IN_HEARTBEAT_INTERVALS) as u64
     }
@@ -60,8 +60,8 @@
         self.requests.open(from, id);
         let timeout_at = now + self.request_timeout_ms();
         if now < self.network.direct_calls_refused_until_ms {
-            let refused = Command::DirectCommands(id, Err(RequestError::LocalOverload));
-            self.queue.schedule(timeout_at, Event::Message { to: from, command: refused });
+            let overloaded = Command::DirectCommands(id, Err(RequestError::LocalOverload));
+            self.queue.schedule(timeout_at, Event::Message { to: from, command: overloaded });
             return;
         }
         self.queue.schedule(timeout_at, Event::RequestTimeout { from, id, kind: RequestKind::Agent });
@@ -83,7 +83,7 @@
             return;
         }
         let sender = self.controllers[from.controller].settings.node_name.clone();
-        // Encoded and decoded, as on the wire.
+        // Encodes and decodes the frame as a real connection does.
         let mut encoded = bytes::BytesMut::new();
         frame.encode(&mut encoded);
         if let Ok(Some(frame)) = Frame::decode(&mut encoded) {
@@ -92,7 +92,7 @@
         }
     }
 
-    /// An answer of the key-value store or the cloud goes back, `extra_delay` later on an open route.
+    /// Sends a reply of the key-value store or the cloud to a controller; `extra_delay_ms` applies to an open route.
     pub(super) fn reply_from_service(
         &mut self,
         to: ProcessId,
@@ -103,7 +103,7 @@
         let now = self.queue.now();
         let delay_ms = self.network_delay_ms();
         let route = self.network.external_route(now, to.controller, scope);
-        // A reply that was held back may come when the controller has given up.
+        // A reply that a partition holds back may arrive after the request has timed out.
         if let Some(at) = route.arrival(now, delay_ms, extra_delay_ms) {
             self.queue.schedule(at, Event::Message { to, command });
         }
@@ -111,9 +111,15 @@
 
     fn deliver_answer(&mut self, controller: usize, id: u64, answer: Answer) {
         match self.requests.take_requester(id) {
-            Some(Requester::Agent { agent, heartbeat }) => self.answer_agent(controller, &agent, heartbeat, answer),
-            Some(Requester::Probe { job, asked_at_ms }) => self.answer_probe(controller, &job, asked_at_ms, &answer),
-            Some(Requester::User { job, asked_at_ms }) => self.answer_user(controller, &job, asked_at_ms, &answer),
+            Some(Requester::Agent { agent, heartbeat }) => {
+                self.deliver_answer_to_agent(controller, &agent, heartbeat, answer)
+            }
+            Some(Requester::Probe { job, asked_at_ms }) => {
+                self.deliver_answer_to_probe(controller, &job, asked_at_ms, &answer)
+            }
+            Some(Requester::User { job, asked_at_ms }) => {
+                self.deliver_answer_to_user(controller, &job, asked_at_ms, &answer)
+            }
             None => {}
         }
     }
--- a/crates/simulation/src/simulation/event.rs
+++ b/crates/simulation/src/simulation/event.rs
@@ -1,4 +1,4 @@
-//! The events of a simulation and the queue that orders them.
+//! The events of a simulation and the queue that orders them by time.
 
 use crate::agent::HeartbeatId;
 use crate::process::ProcessId;
@@ -8,7 +8,7 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BinaryHeap;
 
-/// What a request that timed out had been sent to.
+/// Receiver of a controller's request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum RequestKind {
     Store,
@@ -16,10 +16,10 @@
     Agent,
 }
 
-/// Something that happens at a time.
+/// Something that happens at a simulated time.
 #[derive(Debug)]
 pub(super) enum Event {
-    /// All parties look at their clocks.
+    /// All parties act on the elapsed time.
     Tick,
     /// A request reaches the key-value store.
     StoreRequest { from: ProcessId, id: u64, request: KvRequest },
@@ -27,35 +27,36 @@
     CloudRequest { from: ProcessId, id: u64, request: CloudRequest },
     /// Direct commands reach an agent.
     AgentCommands { from: ProcessId, id: u64, agent: String, commands: DirectCommands },
-    /// A message reaches a controller.
+    /// A message from a service, agent or peer reaches a controller process.
     Message { to: ProcessId, command: Command },
-    /// A controller gives up waiting for the answer to a request.
+    /// A controller's request times out, unless a reply has closed the request.
     RequestTimeout { from: ProcessId, id: u64, kind: RequestKind },
-    /// A heartbeat reaches a controller; nobody awaits the answer to a copy.
+    /// A heartbeat reaches a controller; `reply_to` is `None` for a duplicate, whose reply no agent awaits.
     AgentHeartbeat { controller: usize, heartbeat: Heartbeat, reply_to: Option<HeartbeatId> },
-    /// The answer to a heartbeat reaches its agent after a delay.
+    /// A delayed reply to a heartbeat reaches its agent.
     HeartbeatAnswer { agent: String, heartbeat_id: HeartbeatId, reply: HeartbeatReply },
-    /// A controller starts.
+    /// The controller with this index starts.
     ControllerStart(usize),
-    /// A user takes the next step with a job.
+    /// The user of this job submits, queries or cancels the job.
     UserStep(String),
-    /// A user looks at a job at one controller.
+    /// A user sends a probe request for a job to one controller.
     UserProbe { job: String, controller: usize, request: ProbeRequest },
-    /// A fault begins, by its place in the schedule.
+    /// The fault with this index in the schedule begins.
     FaultBegins(usize),
 }
 
-/// What a user who looks at a job sends.
+/// Request with which a user probes the state of a job.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(super) enum ProbeRequest {
     Status,
-    /// The submission once more.
+    /// The job's submission, sent again.
     Resubmission,
 }
 
-/// An event with its time; of those at the same time, the first that was scheduled comes first.
+/// An event with its time; events at the same time are ordered as they were scheduled.
 struct ScheduledEvent {
     at_ms: u64,
+    /// Number of the event in the order of scheduling.
     sequence: u64,
     event: Event,
 }
@@ -86,7 +87,7 @@
     }
 }
 
-/// The clock of a simulation and the events to come.
+/// The clock of a simulation and its pending events.
 #[derive(Default)]
 pub(super) struct EventQueue {
     now: u64,
@@ -95,18 +96,18 @@
 }
 
 impl EventQueue {
-    /// Time since the beginning, in ms.
+    /// Simulated time since the start of the run, in ms.
     pub(super) fn now(&self) -> u64 {
         self.now
     }
 
-    /// Schedules an event, for now if its time has passed.
+    /// Schedules an event; an event whose time has passed is scheduled for now.
     pub(super) fn schedule(&mut self, at_ms: u64, event: Event) {
         self.scheduled_count += 1;
         self.events.push(Reverse(ScheduledEvent { at_ms: at_ms.max(self.now), sequence: self.scheduled_count, event }));
     }
 
-    /// The next event that comes no later than `until`; the clock moves to it.
+    /// Removes the next event that is due no later than `until_ms`, and advances the clock to the event's time.
     pub(super) fn next_until(&mut self, until_ms: u64) -> Option<Event> {
         if self.events.peek().is_none_or(|Reverse(next)| next.at_ms > until_ms) {
             return None;
@@ -116,7 +117,7 @@
         Some(next.event)
     }
 
-    /// Moves the clock on when no event is left until then.
+    /// Advances the clock when no pending event is due until `now`.
     pub(super) fn advance_clock_to(&mut self, now: u64) {
         self.now = now;
     }
--- a/crates/simulation/src/simulation/fault.rs
+++ b/crates/simulation/src/simulation/fault.rs
@@ -1,222 +1,222 @@
-//! The faults that a scenario can bring about, and how long each lasts. All times are in ms.
+//! The faults that a scenario can inject, and how long each lasts.
 
 mod duration;
 
 use super::network::{PartitionScope, PartitionedMessages};
 use shaleshunt_core::settings::StoreQuota;
 
-/// How much later transactions without an answer are carried out.
+/// Range of the delay of a late transaction whose answer is lost, in ms.
 pub(super) const LATE_EXECUTION_MS: std::ops::Range<u64> = 2_000..12_000;
-/// How much later copies of heartbeats arrive: at most well over a lease.
+/// Range of the delay of a late heartbeat duplicate, in ms; the end is well above the duration of a machine lease.
 pub(super) const LATE_HEARTBEAT_MS: std::ops::Range<u64> = 2_000..40_000;
 
-/// A controller that a fault concerns.
+/// The controller that a fault affects.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ControllerChoice {
-    /// By its index in the site.
+    /// The controller with this index in the site.
     Index(usize),
-    /// The one that leads when the fault begins; the first one if none does.
+    /// The unpaused leader when the fault begins; the first controller if there is none.
     Leader,
 }
 
-/// Machines that a fault concerns, chosen when it begins.
+/// The machines that a fault affects, selected when the fault begins.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MachineChoice {
-    /// One by name, whether it exists or not.
+    /// The machine with this name, whether or not it exists.
     Named(String),
-    /// All in a zone.
+    /// All machines in this zone.
     InZone(String),
-    /// So many, the first by name.
+    /// This many machines, the first ones in the order of names.
     First(usize),
-    /// Every so manyth by name, beginning with the first.
+    /// Every n-th machine in the order of names, beginning with the first.
     EveryNth(usize),
 }
 
-/// When transactions whose answers are lost are carried out.
+/// When a transaction whose answer is lost is executed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TransactionExecution {
-    /// Like any other request.
+    /// After the usual network delay.
     Immediate,
-    /// 2 to 12 s late.
+    /// After 2 to 12 s.
     Late,
 }
 
-/// When copies of heartbeats arrive.
+/// When the duplicate of a heartbeat arrives.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DuplicateArrival {
-    /// 2 to 40 s late, at the controller of the original.
+    /// After 2 to 40 s, at the controller that the original was sent to.
     Late,
-    /// At every controller as soon as another one leads.
+    /// At every controller, when another process becomes leader.
     AtNextLeader,
 }
 
-/// A fault of one of the simulated parties.
+/// A fault to inject.
 #[derive(Debug, Clone)]
 pub enum Fault {
-    /// A fault of controllers or of the network between them.
+    /// A fault of controllers, or of their connections.
     Controller(ControllerFault),
-    /// A fault of the key-value store or on the way to it.
+    /// A fault of the key-value store, or of the network between controllers and the store.
     Store(StoreFault),
-    /// A fault on the way between controllers and agents.
+    /// A fault of the network between controllers and agents.
     Link(LinkFault),
     /// A fault of machines.
     Machine(MachineFault),
     /// A fault of the cloud.
     Cloud(CloudFault),
-    /// A fault of a job, or something that users do at an awkward moment.
+    /// A fault of a job, or requests of users at times that provoke races.
     Job(JobFault),
 }
 
-/// A fault of controllers or of the network between them.
+/// A fault of controllers, or of their connections.
 #[derive(Debug, Clone)]
 pub enum ControllerFault {
-    /// Controllers are killed and start again.
+    /// Controllers are killed and restarted.
     Kill {
-        /// Which.
+        /// Controllers to kill.
         controllers: Vec<ControllerChoice>,
-        /// When they start again.
+        /// Delay between the kill and the restart, in ms.
         restart_after_ms: u64,
     },
-    /// A controller is killed and starts again with the current version.
+    /// A controller is killed and restarted with the current program version.
     Upgrade {
-        /// Which.
+        /// Affected controller.
         controller: ControllerChoice,
-        /// When it starts again.
+        /// Delay between the kill and the restart, in ms.
         restart_after_ms: u64,
     },
-    /// A controller process is paused while its clocks go on; messages to it wait.
+    /// A controller process is paused while its clocks advance; commands other than ticks are queued.
     Pause {
-        /// Which.
+        /// Affected controller.
         controller: ControllerChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// A controller is cut off.
+    /// A controller is partitioned from other parties.
     Partition {
-        /// Which.
+        /// Affected controller.
         controller: ControllerChoice,
-        /// From what.
+        /// Parties from which the controller is partitioned.
         scope: PartitionScope,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// What becomes of messages.
+        /// What happens to messages that cross the partition.
         messages: PartitionedMessages,
     },
-    /// A zone is cut off from everything outside it.
+    /// A zone is partitioned from all parties outside it.
     PartitionZone {
-        /// Which.
+        /// Zone to partition.
         zone: String,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// What becomes of messages.
+        /// What happens to messages that cross the partition.
         messages: PartitionedMessages,
     },
     /// Controllers refuse each other's connections.
     RefusePeerConnections {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Controllers have no connection left for direct calls to agents.
+    /// Controllers' direct calls to agents fail because no connection is free.
     RefuseDirectCalls {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
 }
 
-/// A fault of the key-value store or on the way to it.
+/// A fault of the key-value store, or of the network between controllers and the store.
 #[derive(Debug, Clone)]
 pub enum StoreFault {
     /// The key-value store refuses every request.
     Outage {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// The key-value store refuses one controller.
+    /// The key-value store refuses every request of one controller.
     RefuseController {
-        /// Which.
+        /// Affected controller.
         controller: ControllerChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// The key-value store answers late.
+    /// The key-value store's requests and replies are delayed.
     Slow {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How late.
+        /// Additional delay, in ms.
         delay_ms: u64,
     },
-    /// Some transactions get no answer.
+    /// The answers to some transactions are lost.
     LoseTransactionAnswers {
-        /// How many of a hundred.
+        /// Probability that a transaction is affected, in percent.
         percent: u32,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// When they are carried out.
+        /// When the affected transactions are executed.
         execution: TransactionExecution,
     },
-    /// The next transactions of any controller are carried out late and get no answer.
+    /// The next transactions of all controllers are executed late, and their answers are lost.
     DelayTransactions {
-        /// How many.
+        /// Number of transactions.
         count: u32,
-        /// How late.
+        /// Delay before each transaction is executed, in ms.
         delay_ms: u64,
     },
-    /// The key-value store lowers its limits for good.
+    /// The key-value store's limits are lowered for the rest of the run.
     LowerLimits {
-        /// What holds from then on.
+        /// The new limits.
         limits: StoreQuota,
     },
 }
 
-/// A fault on the way between controllers and agents.
+/// A fault of the network between controllers and agents.
 #[derive(Debug, Clone)]
 pub enum LinkFault {
-    /// Agents' heartbeats arrive, but neither answers nor commands reach the agents.
+    /// Neither replies nor commands reach the agents, while their heartbeats arrive.
     LoseMessagesToAgents {
-        /// Which.
+        /// Affected machines.
         machines: MachineChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Agents reach no controller, while direct commands reach them.
+    /// Heartbeats reach no controller, while direct commands reach the agents.
     LoseHeartbeats {
-        /// Whose.
+        /// Affected machines.
         machines: MachineChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Answers to heartbeats, and agents' answers to direct commands, arrive late.
+    /// Replies to heartbeats, and agents' replies to direct commands, are delayed.
     DelayAnswers {
-        /// Whose.
+        /// Affected machines.
         machines: MachineChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How late.
+        /// Additional delay, in ms.
         delay_ms: u64,
     },
-    /// Direct commands arrive late.
+    /// Direct commands are delayed.
     DelayCommands {
-        /// Whose.
+        /// Affected machines.
         machines: MachineChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How late.
+        /// Additional delay, in ms.
         delay_ms: u64,
     },
-    /// A copy of every heartbeat arrives late.
+    /// A duplicate of every heartbeat arrives late.
     DuplicateAllHeartbeats {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How late.
+        /// Additional delay, in ms.
         delay_ms: u64,
     },
-    /// Copies of some heartbeats arrive late.
+    /// Duplicates of some heartbeats arrive late.
     DuplicateSomeHeartbeats {
-        /// How many of a hundred.
+        /// Probability that a heartbeat is duplicated, in percent.
         percent: u32,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// When the copies arrive.
+        /// When the duplicates arrive.
         arrival: DuplicateArrival,
     },
 }
@@ -224,44 +224,44 @@
 /// A fault of machines.
 #[derive(Debug, Clone)]
 pub enum MachineFault {
-    /// Machines neither run nor talk.
+    /// Machines hang: their agents neither run nor communicate.
     Hang {
-        /// Which.
+        /// Affected machines.
         machines: MachineChoice,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
     /// Every task that starts on a machine fails.
     FailTasks {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Tasks that start on a machine take longer.
+    /// Tasks that start on a machine run longer.
     Slow {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How many times as long the tasks take.
+        /// Factor by which the tasks' run time is multiplied.
         factor: u32,
     },
-    /// Machines are gone without notice.
+    /// Machines fail without notice.
     Lose {
-        /// Which.
+        /// Affected machines.
         machines: MachineChoice,
     },
-    /// The machine that runs a task is gone without notice.
+    /// The machine that runs a task fails without notice.
     LoseMachineOfTask {
         /// Name of the task.
         task: String,
     },
-    /// A spot instance is reclaimed after a notice.
+    /// The cloud reclaims a spot instance after a preemption notice.
     Reclaim {
-        /// Its name.
+        /// Name of the machine.
         machine: String,
-        /// How long after the notice.
+        /// Time between the notice and the reclamation, in ms.
         notice_ms: u64,
     },
 }
@@ -269,60 +269,60 @@
 /// A fault of the cloud.
 #[derive(Debug, Clone)]
 pub enum CloudFault {
-    /// Machines appear that nobody asked for.
+    /// Machines appear that no scale-out request asked for.
     AddMachines {
-        /// Their type.
+        /// Machine type of the new machines.
         machine_type: String,
-        /// Their zone.
+        /// Zone of the new machines.
         zone: String,
-        /// How many.
+        /// Number of new machines.
         count: u32,
     },
     /// The cloud refuses every request.
     Outage {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Requests for machines are carried out late and get no answer.
+    /// Scale-out requests are executed late, and their replies are lost.
     DelayScaleOut {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// How late.
+        /// Additional delay, in ms.
         delay_ms: u64,
     },
-    /// The next machines that the cloud hands out never boot.
+    /// The next machines that scale-out requests grant never boot.
     FailBoots {
-        /// How many.
+        /// Number of machines.
         count: u32,
     },
 }
 
-/// A fault of a job, or something that users do at an awkward moment.
+/// A fault of a job, or requests of users at times that provoke races.
 #[derive(Debug, Clone)]
 pub enum JobFault {
     /// A job's tasks fail on every machine.
     FailEverywhere {
-        /// Its name.
+        /// Name of the job.
         job: String,
     },
-    /// Users cancel running jobs within a fifth of a second, and some machines under them hang.
+    /// Users cancel running jobs within 200 ms, while some of the machines that run them hang.
     CancelRunning {
-        /// How many jobs.
+        /// Number of jobs to cancel.
         count: usize,
-        /// How long the machines hang.
+        /// Duration of the hang, in ms; 0 for no hang.
         hang_ms: u64,
     },
-    /// Users cancel some jobs at the moment at which they complete.
+    /// Users cancel some jobs at the moment at which the last task completes.
     CancelCompleting {
-        /// How many of a hundred.
+        /// Probability that a job is cancelled, in percent.
         percent: u32,
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
-    /// Users look at a job at all controllers within milliseconds, and repeat its submission, when it
-    /// was accepted, completed or cancelled; of the accepted jobs some are cancelled at once.
+    /// When a job is accepted, completed or cancelled, its user sends status queries and the submission to all
+    /// controllers within milliseconds; some of the accepted jobs are cancelled at once.
     ProbeAllControllers {
-        /// For how long.
+        /// Duration of the fault, in ms.
         duration_ms: u64,
     },
 }
--- a/crates/simulation/src/simulation/fault/duration.rs
+++ b/crates/simulation/src/simulation/fault/duration.rs
@@ -1,4 +1,5 @@
-//! How long each fault lasts, with what it delays: the checker waits for calm.
+//! Duration of each fault including the messages that it delays. The checker's time limits start to count when all
+//! faults are over.
 
 use super::{
     CloudFault, ControllerFault, Fault, JobFault, LATE_EXECUTION_MS, LATE_HEARTBEAT_MS, LinkFault, MachineFault,
@@ -6,7 +7,7 @@
 };
 
 impl Fault {
-    /// How long it lasts, with what it delays, in ms.
+    /// Duration of the fault's effects including the messages that the fault delays, in ms.
     pub(in crate::simulation) fn duration_ms(&self) -> u64 {
         match self {
             Fault::Controller(fault) => fault.duration_ms(),
--- a/crates/simulation/src/simulation/inject.rs
+++ b/crates/simulation/src/simulation/inject.rs
@@ -1,4 +1,4 @@
-//! Where each fault takes effect.
+//! Injection of faults into the simulated parties.
 
 use super::controllers::ProgramVersion;
 use super::event::Event;
@@ -13,12 +13,12 @@
 #[derive(Default)]
 pub(super) struct FaultSchedule {
     faults: Vec<Fault>,
-    /// When all that have begun are over, in ms.
+    /// When the last of the faults that have begun ends, in ms.
     pub(super) last_end_ms: u64,
 }
 
 impl Simulation {
-    /// Adds a fault that begins at a time, in ms.
+    /// Schedules a fault to begin at the simulated time `at`, in ms.
     pub fn add_fault(&mut self, at: u64, fault: Fault) {
         let index = self.fault_schedule.faults.len();
         self.fault_schedule.faults.push(fault);
--- a/crates/simulation/src/simulation/network.rs
+++ b/crates/simulation/src/simulation/network.rs
@@ -1,6 +1,6 @@
-//! The network of a simulated site: which parties are cut off from each other.
+//! The network of a simulated site: the partitions between its parties.
 
-/// What a cut separates a controller from.
+/// The parties from which a partition separates a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionScope {
     /// The key-value store.
@@ -9,12 +9,12 @@
     AgentsAndCloud,
     /// The key-value store and the other controllers.
     StoreAndPeers,
-    /// Everything, other controllers and users too.
+    /// All other parties, including controllers and users.
     Everything,
 }
 
 impl PartitionScope {
-    /// Whether a cut on this side also separates from that one.
+    /// Whether a partition with this scope also separates the controller from the parties in `scope`.
     fn includes(self, scope: PartitionScope) -> bool {
         self == scope
             || self == PartitionScope::Everything
@@ -26,20 +26,20 @@
     }
 }
 
-/// What becomes of messages across a cut.
+/// What happens to messages that cross a partition.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PartitionedMessages {
-    /// They are lost.
+    /// Messages are lost.
     Lost,
-    /// They arrive when the cut ends.
+    /// Messages are held and arrive after the partition has ended.
     Held,
 }
 
-/// How a message gets from one party to another; of several cuts the last to end counts.
+/// Whether messages between two parties arrive. Of several partitions the one that ends last decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Route {
     Open,
-    /// Held until a time, in ms.
+    /// Messages are held until this time, in ms.
     HeldUntil(u64),
     Lost,
 }
@@ -49,8 +49,8 @@
         self == Route::Open
     }
 
-    /// When a message sent now arrives, if it does: `delay` after the route opens, and `extra_delay`
-    /// later on a route that is open.
+    /// When a message sent at `now` arrives, in ms; `None` if the message is lost. Messages arrive `delay_ms` after the
+    /// route opens; on an open route `extra_delay_ms` is added.
     pub(super) fn arrival(self, now: u64, delay_ms: u64, extra_delay_ms: u64) -> Option<u64> {
         match self {
             Route::Open => Some(now + delay_ms + extra_delay_ms),
@@ -68,40 +68,40 @@
     }
 }
 
-/// When a cut ends and what becomes of messages until then.
+/// When a partition ends, and what happens to messages until then.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PartitionEnd {
     pub(super) until_ms: u64,
     pub(super) messages: PartitionedMessages,
 }
 
-/// A controller that is cut off.
+/// A partition of a controller from other parties.
 struct ControllerPartition {
     controller: usize,
     scope: PartitionScope,
     end: PartitionEnd,
 }
 
-/// A zone that is cut off from everything outside it.
+/// A partition of a zone from all parties outside it.
 struct ZonePartition {
     zone: String,
     end: PartitionEnd,
 }
 
-/// The network.
+/// The simulated network.
 pub(super) struct Network {
-    /// Zones of the controllers.
+    /// Zone of each controller, by index.
     zones: Vec<String>,
     controller_partitions: Vec<ControllerPartition>,
     zone_partitions: Vec<ZonePartition>,
-    /// Until when controllers refuse each other's connections, in ms.
+    /// Until when controllers refuse each other's connections, in ms; 0 without this fault.
     pub(super) peer_connections_refused_until_ms: u64,
-    /// Until when controllers have no connection left for direct calls, in ms.
+    /// Until when controllers have no connection free for direct calls, in ms; 0 without this fault.
     pub(super) direct_calls_refused_until_ms: u64,
 }
 
 impl Network {
-    /// The network of a site with controllers in these zones.
+    /// Creates the network of a site; `zones` has the zone of each controller.
     pub(super) fn new(zones: Vec<String>) -> Network {
         Network {
             zones,
@@ -120,13 +120,13 @@
         self.zone_partitions.push(ZonePartition { zone, end });
     }
 
-    /// Forgets cuts that are over.
+    /// Removes partitions that have ended by `now`.
     pub(super) fn remove_ended_partitions(&mut self, now: u64) {
         self.controller_partitions.retain(|partition| now < partition.end.until_ms);
         self.zone_partitions.retain(|partition| now < partition.end.until_ms);
     }
 
-    /// The route between a controller and one of the parties in no zone: store, cloud or users.
+    /// The route between a controller and a party outside of all zones: the store, the cloud or a user.
     pub(super) fn external_route(&self, now: u64, controller: usize, scope: PartitionScope) -> Route {
         Route::across(
             self.controller_partition_ends(now, controller, scope)
@@ -134,13 +134,13 @@
         )
     }
 
-    /// The route between a controller and an agent in a zone, which is `None` for a machine that is gone.
+    /// The route between a controller and an agent; the agent's zone is `None` if the machine is gone.
     pub(super) fn agent_route(&self, now: u64, controller: usize, agent_zone: Option<&str>) -> Route {
-        let own = self.controller_partition_ends(now, controller, PartitionScope::AgentsAndCloud);
-        Route::across(own.chain(self.zone_partition_ends(now, controller, agent_zone)))
+        let controller_ends = self.controller_partition_ends(now, controller, PartitionScope::AgentsAndCloud);
+        Route::across(controller_ends.chain(self.zone_partition_ends(now, controller, agent_zone)))
     }
 
-    /// Whether two controllers reach each other.
+    /// Whether two controllers can communicate.
     pub(super) fn peers_connected(&self, now: u64, left: usize, right: usize) -> bool {
         let is_isolated = |controller: usize| {
             let mut partitions = self.controller_partitions.iter();
@@ -148,10 +148,11 @@
                 partition.controller == controller && partition.scope.includes_peers() && now < partition.end.until_ms
             })
         };
-        let zones_apart = self.zone_partition_ends(now, left, Some(&self.zones[right])).next().is_some();
-        now >= self.peer_connections_refused_until_ms && !zones_apart && !is_isolated(left) && !is_isolated(right)
+        let zones_partitioned = self.zone_partition_ends(now, left, Some(&self.zones[right])).next().is_some();
+        now >= self.peer_connections_refused_until_ms && !zones_partitioned && !is_isolated(left) && !is_isolated(right)
     }
 
+    /// The ends of the controller's partitions from the parties in `scope`.
     fn controller_partition_ends(
         &self,
         now: u64,
@@ -166,18 +167,20 @@
             .map(|partition| partition.end)
     }
 
-    /// Cuts of exactly one of two zones: a controller's, and that of the other party if it is in one.
+    /// The ends of zone partitions that separate a controller from another party: those of exactly one of the two
+    /// parties' zones. The other party's zone is `None` if the party is outside of all zones.
     fn zone_partition_ends<'a>(
         &'a self,
         now: u64,
         controller: usize,
-        other: Option<&'a str>,
+        other_zone: Option<&'a str>,
     ) -> impl Iterator<Item = PartitionEnd> + 'a {
-        let own = self.zones[controller].as_str();
+        let zone = self.zones[controller].as_str();
         let partitions = self.zone_partitions.iter();
         partitions
             .filter(move |partition| {
-                (partition.zone == own) != (other == Some(partition.zone.as_str())) && now < partition.end.until_ms
+                (partition.zone == zone) != (other_zone == Some(partition.zone.as_str()))
+                    && now < partition.end.until_ms
             })
             .map(|partition| partition.end)
     }
--- a/crates/simulation/src/simulation/previous_version.rs
+++ b/crates/simulation/src/simulation/previous_version.rs
@@ -1,11 +1,11 @@
-//! What the previous version of the program reads and writes: it knows no field that came later.
+//! Simulation of the previous program version, which neither reads nor writes the fields added since then.
 
 use serde_json::Value;
 use shaleshunt_core::io::{Command, Effect};
 use shaleshunt_core::{KvReply, KvRequest};
 use shaleshunt_wire::kv::Write;
 
-/// A command as the previous version understands it.
+/// Removes from a command what the previous version ignores.
 pub(super) fn filter_command(command: Command) -> Command {
     match command {
         Command::Kv(id, Ok(mut reply)) => {
@@ -28,7 +28,7 @@
     }
 }
 
-/// An effect as the previous version would have it.
+/// Removes from an effect what the previous version doesn't write.
 pub(super) fn filter_effect(effect: Effect) -> Effect {
     match effect {
         Effect::Kv(id, KvRequest::Transaction(mut transaction), via) => {
@@ -43,7 +43,8 @@
     }
 }
 
-/// Removes a submission's dependencies; a record in parts is none to the previous version.
+/// Removes a submission's dependencies and the fields of records that are split over several keys, which the
+/// previous version doesn't know.
 fn remove_later_fields(record: &mut Value) {
     if let Some(submission) = record.get_mut("s").and_then(Value::as_object_mut) {
         submission.remove("awaits");
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -1,31 +1,31 @@
-//! Requests under way: of controllers to the services around them, and of users and agents to controllers.
+//! Requests in flight: from controllers to services and agents, and from users and agents to controllers.
 
 use crate::agent::HeartbeatId;
 use crate::process::ProcessId;
 use crate::store::RequestKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers of requests to controllers begin here, apart from those that controllers give.
+/// First id of requests to controllers, above all request ids that controllers assign themselves.
 const FIRST_REQUEST_ID: u64 = 1 << 62;
 
-/// Who awaits a controller's answer.
+/// The party that awaits a controller's answer.
 pub(super) enum Requester {
-    /// A user who follows a job.
+    /// A user who submits, queries or cancels a job.
     User { job: String, asked_at_ms: u64 },
-    /// A user who looks at a job at every controller.
+    /// A user who probes a job at all controllers.
     Probe { job: String, asked_at_ms: u64 },
-    /// An agent that has reported; nobody, if the heartbeat was a copy.
+    /// An agent that has sent a heartbeat; `heartbeat` is `None` if the heartbeat was a duplicate, which nobody awaits.
     Agent { agent: String, heartbeat: Option<HeartbeatId> },
 }
 
-/// Requests under way.
+/// Requests in flight.
 #[derive(Default)]
 pub(super) struct Requests {
-    /// Of controllers, not yet answered.
+    /// Requests of controllers that have had neither a reply nor a timeout.
     open: BTreeSet<RequestKey>,
-    /// Watches that went to the key-value store through a peer.
+    /// Watches that a peer relays to the key-value store.
     relayed: BTreeSet<RequestKey>,
-    /// To controllers.
+    /// Requesters of the requests to controllers, by request id.
     requesters: BTreeMap<u64, Requester>,
     last_id: u64,
 }
@@ -35,7 +35,7 @@
         self.open.insert(RequestKey { process, id });
     }
 
-    /// Whether a controller's request was still open; it is not from now on.
+    /// Closes a controller's request; returns whether the request was open.
     pub(super) fn close(&mut self, process: ProcessId, id: u64) -> bool {
         self.open.remove(&RequestKey { process, id })
     }
@@ -44,11 +44,12 @@
         self.relayed.insert(request);
     }
 
+    /// Forgets that a watch is relayed; returns whether it was.
     pub(super) fn take_relayed(&mut self, request: RequestKey) -> bool {
         self.relayed.remove(&request)
     }
 
-    /// A number for a request to a controller.
+    /// Assigns the id of a request to a controller.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         FIRST_REQUEST_ID + self.last_id
--- a/crates/simulation/src/simulation/store_traffic.rs
+++ b/crates/simulation/src/simulation/store_traffic.rs
@@ -1,4 +1,4 @@
-//! Requests to the key-value store and its answers, with the faults on their way.
+//! Requests to the key-value store and replies from it, with the injected faults of their network paths.
 
 use super::Simulation;
 use super::event::{Event, RequestKind};
@@ -11,26 +11,28 @@
 use shaleshunt_core::io::Command;
 use shaleshunt_core::{KvRequest, RequestError};
 
-/// Some transactions get no answer.
+/// Injected fault that loses the answers to some transactions.
 pub(super) struct LostAnswers {
     pub(super) probability: TemporaryProbability,
     pub(super) execution: TransactionExecution,
 }
 
-/// The next transactions are carried out late and get no answer.
+/// Injected fault that executes the next transactions late and loses their answers.
 #[derive(Default)]
 pub(super) struct DelayedTransactions {
+    /// Number of transactions still to delay.
     pub(super) left: u32,
     pub(super) delay_ms: u64,
 }
 
-/// The key-value store and the faults of its traffic.
+/// The simulated key-value store and the injected faults of its traffic.
 pub(super) struct StoreEndpoint {
     pub(super) service: KeyValueStore,
+    /// End of the store's outage, in ms; meaningful only while the store is down.
     pub(super) down_until_ms: u64,
-    /// Until when it refuses each controller.
+    /// Until when the store refuses each controller, in ms, by index of the controller; 0 without this fault.
     pub(super) refused_until_ms: Vec<u64>,
-    /// How much later answers come; half of it on the way there.
+    /// Additional round-trip time of requests, half of it in each direction.
     pub(super) latency: TemporaryDelay,
     pub(super) lost_answers: LostAnswers,
     pub(super) delayed_transactions: DelayedTransactions,
@@ -61,7 +63,7 @@
         now < self.refused_until_ms[controller]
     }
 
-    /// How much later a message comes, one way.
+    /// Additional delay of a message to or from the store, in ms.
     fn extra_delay_ms(&self, now: u64) -> u64 {
         self.latency.at(now).unwrap_or(0) / 2
     }
@@ -98,7 +100,7 @@
         }
     }
 
-    /// For a transaction whose answer will be lost: when it is carried out, in ms from now.
+    /// Delay until the execution of a transaction whose answer is to be lost, in ms; `None` for other requests.
     fn lost_answer_delay_ms(&mut self, request: &KvRequest, delay_ms: u64) -> Option<u64> {
         if !matches!(request, KvRequest::Transaction(_)) {
             return None;
@@ -120,7 +122,7 @@
         }
     }
 
-    /// A request through a peer is served as the peer is.
+    /// Sends a request through a peer; the request is lost unless the peer is reachable and the store serves the peer.
     fn relay_to_store(&mut self, key: RequestKey, request: KvRequest, peer: usize, delay_ms: u64) {
         let now = self.queue.now();
         let served = !self.store.refuses(peer, now)
@@ -156,7 +158,7 @@
         self.reply_from_service(to, command, PartitionScope::Store, extra_delay_ms);
     }
 
-    /// Lets the store's time pass and sends the answers of watches.
+    /// Advances the store to the current time and sends the replies to watches.
     pub(super) fn answer_watches(&mut self) {
         let now = self.queue.now();
         for answer in self.store.service.advance(now) {
--- a/crates/simulation/src/simulation/window.rs
+++ b/crates/simulation/src/simulation/window.rs
@@ -1,6 +1,6 @@
-//! Faults of the network's timing that hold until a time, in ms.
+//! Values of injected faults that are in effect until a time.
 
-/// A delay that holds until a time.
+/// A delay that is in effect until `until_ms`; the default is never in effect.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TemporaryDelay {
     pub(super) until_ms: u64,
@@ -8,13 +8,13 @@
 }
 
 impl TemporaryDelay {
-    /// The delay at a time, if it holds then.
+    /// The delay in ms, if it is in effect at `now`.
     pub(super) fn at(self, now: u64) -> Option<u64> {
         (now < self.until_ms).then_some(self.delay_ms)
     }
 }
 
-/// A probability that holds until a time.
+/// A probability that is in effect until `until_ms`; the default is never in effect.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct TemporaryProbability {
     pub(super) until_ms: u64,
@@ -26,7 +26,7 @@
         TemporaryProbability { until_ms, probability: f64::from(percent) / 100.0 }
     }
 
-    /// The probability at a time, if it holds then.
+    /// The probability, if it is in effect at `now`.
     pub(super) fn at(self, now: u64) -> Option<f64> {
         (now < self.until_ms).then_some(self.probability)
     }
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -1,4 +1,6 @@
-//! A simulated consensus-backed key-value store: keys with revisions, leases, watches and transactions.
+//! A simulated consensus-backed key-value store with versioned keys, leases, watches and transactions.
+//!
+//! Times are milliseconds of simulated time since the start of the run, unless a name has another unit.
 
 mod rate_limit;
 mod transaction;
@@ -12,28 +14,28 @@
 use shaleshunt_wire::kv::{Change, KeyValue, Page, WatchReply};
 use std::collections::BTreeMap;
 
-/// Keys on a page unless another size is set: small, so that the scenarios play paging.
+/// Default number of keys on a page of a scan; small, so that scenarios exercise paging.
 const DEFAULT_KEYS_PER_PAGE: usize = 8;
 
-/// Identity of a request: who sent it, and its number there.
+/// Identity of a request among the requests of all processes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestKey {
-    /// The process that sent it.
+    /// Process that sent the request.
     pub process: ProcessId,
-    /// Number that the process gave it.
+    /// Request id, unique within the process.
     pub id: u64,
 }
 
-/// The answer to a watch.
+/// Reply to a watch request.
 #[derive(Debug)]
 pub struct WatchAnswer {
-    /// The request that it answers.
+    /// The watch request that is answered.
     pub request: RequestKey,
-    /// The answer.
+    /// The changes, which are empty if the watch reached its deadline.
     pub reply: KvReply,
 }
 
-/// A watch that waits for changes.
+/// An open watch, which waits for changes after a revision to keys with a prefix.
 #[derive(Debug)]
 struct Watch {
     request: RequestKey,
@@ -42,7 +44,7 @@
     until_ms: u64,
 }
 
-/// A stored value.
+/// The value of a key, the revision of its last write and the lease that the key is bound to.
 #[derive(Debug)]
 struct Entry {
     value: Value,
@@ -50,26 +52,26 @@
     lease: Option<u64>,
 }
 
-/// A lease, in ms.
+/// A lease: its keys are deleted when it expires.
 #[derive(Debug)]
 struct Lease {
     expires_at_ms: u64,
     ttl_ms: u64,
 }
 
-/// The store.
+/// A simulated key-value store.
 #[derive(Default)]
 pub struct KeyValueStore {
-    /// Longest value, most writes in a transaction, and writes a second with bursts of one second's
-    /// worth. What is stored already may be longer.
+    /// Maximum length of a value, maximum writes in a transaction, and writes per second with bursts of up to one
+    /// second's writes. Values that were stored under a higher limit stay.
     pub limits: StoreQuota,
-    /// Requests a second, with bursts of one second's worth; 0 for no limit.
+    /// Maximum requests per second, with bursts of up to one second's requests; 0, the default, for no limit.
     pub requests_per_s: f64,
-    /// Most keys on a page; 0 for the default.
+    /// Maximum number of keys on a page of a scan; 0 selects the default, 8.
     pub page_size: usize,
-    /// Whether it refuses every request.
+    /// Whether the store refuses every request.
     pub down: bool,
-    /// Requests that were rejected as too large.
+    /// Number of transactions rejected because they exceed the limits.
     pub rejections: u32,
     write_rate: RateLimit,
     request_rate: RateLimit,
@@ -82,7 +84,7 @@
 }
 
 impl KeyValueStore {
-    /// Carries out a request; `None` for a watch that waits, which [`KeyValueStore::advance`] answers.
+    /// Executes a request; `None` for a watch, which [`KeyValueStore::advance`] answers later.
     pub fn handle(&mut self, now: u64, key: RequestKey, request: KvRequest) -> Option<Result<KvReply, RequestError>> {
         if self.down {
             return Some(Err(RequestError::Unavailable));
@@ -138,7 +140,7 @@
         KvReply::Done
     }
 
-    /// Ends a lease and deletes its keys, all at one revision.
+    /// Removes a lease and deletes its keys, all at one revision.
     fn end_lease(&mut self, id: u64) {
         if self.leases.remove(&id).is_none() {
             return;
@@ -151,7 +153,7 @@
         }
     }
 
-    /// Puts a key there from the beginning.
+    /// Stores a key without preconditions or limits, as part of the state at the start of a run.
     pub fn put(&mut self, key: &str, value: Value) {
         self.revision = self.revision.next();
         self.set(key.into(), value, None);
@@ -174,10 +176,11 @@
         }
     }
 
-    /// Lets time lease until `now`: leases expire, and watches with changes or at their end are answered.
+    /// Advances the store to `now`: expires leases and returns the replies to watches with changes or past their
+    /// deadline.
     pub fn advance(&mut self, now: u64) -> Vec<WatchAnswer> {
         if self.down {
-            // After an outage every lease has its full time again; open watches stay open.
+            // Leases restart with their full duration after an outage; open watches stay open.
             for lease in self.leases.values_mut() {
                 lease.expires_at_ms = now + lease.ttl_ms;
             }
@@ -204,7 +207,7 @@
         answers
     }
 
-    /// The keys with a prefix and their values.
+    /// The keys that start with `prefix`, with their values.
     pub fn entries_with_prefix(&self, prefix: &str) -> Vec<(String, Value)> {
         let found = self.entries.iter().filter(|(key, _)| key.starts_with(prefix));
         found.map(|(key, entry)| (key.clone(), entry.value.clone())).collect()
@@ -218,7 +221,7 @@
 }
 
 impl Watch {
-    /// The changes after the revision that it begins with, of the keys with its prefix.
+    /// The changes that the watch reports: those after its start revision to keys with its prefix.
     fn matching_changes(&self, changes: &[Change]) -> Vec<Change> {
         let first = changes.partition_point(|change| change.version <= self.after);
         let has_prefix = |change: &&Change| {
--- a/crates/simulation/src/store/rate_limit.rs
+++ b/crates/simulation/src/store/rate_limit.rs
@@ -1,6 +1,6 @@
-//! A rate limit with bursts of one second's worth.
+//! A token-bucket rate limit whose capacity is one second's rate.
 
-/// What has been taken and not yet been given back by time.
+/// The tokens in use: acquired and not refilled since then.
 #[derive(Debug, Default)]
 pub(super) struct RateLimit {
     used: f64,
@@ -8,10 +8,12 @@
 }
 
 impl RateLimit {
-    /// Takes an amount at a rate per second; whether it was there. Nothing is taken otherwise.
+    /// Acquires `amount` tokens at a refill rate of `per_s` per second; acquires none if fewer are available.
+    ///
+    /// Returns whether the tokens were acquired.
     pub(super) fn try_acquire(&mut self, now: u64, amount: f64, per_s: f64) -> bool {
-        let restored = now.saturating_sub(self.updated_at_ms) as f64 / 1000.0 * per_s;
-        self.used = (self.used - restored).max(0.0);
+        let refilled = now.saturating_sub(self.updated_at_ms) as f64 / 1000.0 * per_s;
+        self.used = (self.used - refilled).max(0.0);
         self.updated_at_ms = now;
         if amount > 0.0 && self.used + amount > per_s {
             return false;
--- a/crates/simulation/src/store/transaction.rs
+++ b/crates/simulation/src/store/transaction.rs
@@ -1,4 +1,4 @@
-//! Transactions: compare-and-swap on the revisions of several keys.
+//! Transactions: writes of several keys under preconditions on the versions of keys.
 
 use super::KeyValueStore;
 use serde_json::Value;
@@ -44,7 +44,7 @@
             || transaction.writes.iter().any(is_long)
     }
 
-    /// The keys whose revision is another than the transaction expects.
+    /// The keys whose version differs from the version in the transaction's precondition.
     fn failed_preconditions(&self, transaction: &Transaction) -> Vec<String> {
         let revision = |key: &str| self.entries.get(key).map_or(Revision::ABSENT, |entry| entry.revision);
         let failed =
@@ -52,7 +52,7 @@
         failed.map(|precondition| precondition.key.clone()).collect()
     }
 
-    /// Every lease must exist, and every write needs a condition on its key.
+    /// Rejects writes under an unknown lease and writes of a key without a precondition on the key.
     fn validate_writes(&self, transaction: &Transaction) -> Result<(), RequestError> {
         let without_lease =
             |write: &Write| matches!(write, Write::Set { lease: Some(lease), .. } if !self.leases.contains_key(lease));
