--- a/crates/simulation/src/simulation.rs
+++ b/crates/simulation/src/simulation.rs
@@ -16,9 +16,9 @@
 mod previous_version;
 mod requests;
 mod store_traffic;
+mod temporary;
 mod users;
 mod waiting_jobs;
-mod window;
 
 pub use controllers::ProgramVersion;
 pub use fault::{
@@ -44,8 +44,8 @@
 use shaleshunt_core::{Settings, Tuning};
 use shaleshunt_wire::Epoch;
 use store_traffic::StoreEndpoint;
+use temporary::TemporaryDelay;
 use users::Users;
-use window::TemporaryDelay;
 
 /// Wall-clock time at the start of the run, in ms since the Unix epoch.
 const WALL_CLOCK_START_MS: u64 = 1_700_000_000_000;
--- a/crates/simulation/src/simulation/agents.rs
+++ b/crates/simulation/src/simulation/agents.rs
@@ -5,7 +5,7 @@
 use super::fault::{DuplicateArrival, LATE_HEARTBEAT_MS, MachineChoice};
 use super::network::Route;
 use super::requests::Requester;
-use super::window::{TemporaryDelay, TemporaryProbability};
+use super::temporary::{TemporaryDelay, TemporaryProbability};
 use crate::agent::{Agent, HeartbeatId, JobFacts, Machine, TaskEvent};
 use crate::cloud::Instance;
 use crate::process::ProcessId;
--- a/crates/simulation/src/simulation/inject.rs
+++ b/crates/simulation/src/simulation/inject.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::fault::{CloudFault, ControllerFault, Fault, JobFault, LinkFault, MachineChoice, MachineFault, StoreFault};
 use super::network::PartitionEnd;
-use super::window::{TemporaryDelay, TemporaryProbability};
+use super::temporary::{TemporaryDelay, TemporaryProbability};
 use super::{Simulation, agents::AgentLink};
 use crate::cloud::Offer;
 use shaleshunt_wire::worker::TaskStatus;
--- a/crates/simulation/src/simulation/store_traffic.rs
+++ b/crates/simulation/src/simulation/store_traffic.rs
@@ -4,7 +4,7 @@
 use super::event::{Event, RequestKind};
 use super::fault::{LATE_EXECUTION_MS, TransactionExecution};
 use super::network::PartitionScope;
-use super::window::{TemporaryDelay, TemporaryProbability};
+use super::temporary::{TemporaryDelay, TemporaryProbability};
 use crate::process::ProcessId;
 use crate::store::{KeyValueStore, RequestKey};
 use rand::Rng;
--- a/crates/simulation/src/simulation/users.rs
+++ b/crates/simulation/src/simulation/users.rs
@@ -4,7 +4,7 @@
 use super::event::{Event, ProbeRequest};
 use super::network::PartitionScope;
 use super::requests::Requester;
-use super::window::TemporaryProbability;
+use super::temporary::TemporaryProbability;
 use crate::agent::Agent;
 use rand::Rng;
 use shaleshunt_core::io::{Answer, Command};
