--- a/crates/core/src/model/agent.rs
+++ b/crates/core/src/model/agent.rs
@@ -1,60 +1,62 @@
-//! The agent on a machine, as heartbeats and commands show it.
+//! The leader's view of the agent on a machine, built from heartbeats and from the results of commands.
 
 use shaleshunt_wire::worker::ExitCause;
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, FencingToken};
 
-/// Place of a heartbeat among all of a machine: later ones compare greater.
+/// Position of a heartbeat in the sequence of all heartbeats of one machine: later heartbeats compare greater.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HeartbeatOrder {
-    /// The agent that sent it.
+    /// Epoch of the agent that sent the heartbeat.
     pub agent_epoch: AgentEpoch,
-    /// Its number among that agent's.
+    /// Sequence number within the agent epoch.
     pub sequence: u64,
 }
 
-/// A task that a machine reports and that has no placement there.
+/// A task in a heartbeat for which the leader has no placement on that machine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnexpectedTask {
-    /// The task's name as reported.
+    /// Task name as reported.
     pub task: String,
-    /// Attempt.
+    /// Attempt at the task, as reported.
     pub attempt: Attempt,
-    /// Why it ended, if it has.
+    /// Exit cause; absent while the task has not ended.
     pub exit: Option<ExitCause>,
 }
 
-/// The agent on a machine, as heartbeats and commands show it.
+/// State of the agent on a machine, as known from heartbeats and from the results of commands.
 #[derive(Debug, Default)]
 pub struct Agent {
-    /// Address, empty until known.
+    /// Address for direct calls; empty until known.
     pub endpoint: String,
-    /// Its incarnation: placements for an earlier one are gone.
+    /// Agent epoch of the newest accepted heartbeat. Placements for an earlier epoch no longer exist.
     pub epoch: AgentEpoch,
-    /// When this leader last received a heartbeat (ms, monotonic).
+    /// When this leader last received a heartbeat (ms, monotonic); absent before the first one.
     pub last_heartbeat_ms: Option<u64>,
-    /// The last heartbeat's place among all.
+    /// Position of the newest accepted heartbeat.
     last_heartbeat_order: HeartbeatOrder,
-    /// A heartbeat under this leader's current fencing token has come.
+    /// Whether a heartbeat has shown this leader's current fencing token.
     pub token_confirmed: bool,
-    /// Added to the leader epoch's fencing token when a command's fate is unknown.
+    /// Counter in the fencing token, next to the leader epoch; incremented when the result of a command is unknown.
     token_counter: u64,
-    /// The answer to the last heartbeat held a `run`, and no later heartbeat has come.
+    /// The reply to the last heartbeat contained a `run` command, and no later heartbeat has been received.
     pub reply_may_start_tasks: bool,
-    /// Commands in a row of which nothing was seen: it reports, but may not hear us.
+    /// Consecutive commands without any sign of arrival. The machine may send heartbeats that arrive while commands to
+    /// it are lost.
     pub unacknowledged_commands: u32,
-    /// No machine in its zone can be heard.
+    /// Whether the machine's zone is partitioned.
     pub partitioned: bool,
-    /// Tasks of the last heartbeat that have ended or that are not known here.
+    /// Tasks of the last heartbeat that have ended or that have no placement here.
     pub unexpected_tasks: Vec<UnexpectedTask>,
 }
 
 impl Agent {
-    /// Whether a heartbeat is no newer than one taken already, so that it tells nothing.
+    /// Whether the heartbeat is no newer than one already accepted, or comes from an earlier agent epoch. Such a
+    /// heartbeat carries no information.
     pub fn is_outdated(&self, heartbeat: HeartbeatOrder) -> bool {
         self.last_heartbeat_ms.is_some() && heartbeat <= self.last_heartbeat_order || heartbeat.agent_epoch < self.epoch
     }
 
-    /// A heartbeat has come, which [`Agent::is_outdated`] does not call outdated.
+    /// Records a heartbeat that [`Agent::is_outdated`] does not reject.
     pub fn record_heartbeat(&mut self, heartbeat: HeartbeatOrder, now: u64) {
         self.epoch = heartbeat.agent_epoch;
         self.last_heartbeat_order = heartbeat;
@@ -62,12 +64,12 @@
         self.partitioned = false;
     }
 
-    /// The fencing token that commands of a leader carry.
+    /// The fencing token for commands of the given leader epoch.
     pub fn token(&self, leader: Epoch) -> FencingToken {
         FencingToken::new(leader, self.token_counter)
     }
 
-    /// The agent has shown the current token; false if it had before.
+    /// Records that the agent has shown the current token. Returns false if it was confirmed before.
     pub fn confirm_token(&mut self) -> bool {
         if self.token_confirmed {
             return false;
@@ -77,24 +79,24 @@
         true
     }
 
-    /// Makes the agent refuse commands that may still be on their way: the token is raised, and
-    /// nothing is released or forgotten until a heartbeat confirms the new one.
+    /// Raises the fencing token, so that the agent refuses commands that may still be in flight. No placement is
+    /// released and no task forgotten until a heartbeat confirms the new token.
     pub fn raise_token(&mut self) {
         self.token_counter += 1;
         self.token_confirmed = false;
     }
 
-    /// A command has arrived at the agent.
+    /// Records that a command arrived at the agent.
     pub fn record_acknowledged_command(&mut self) {
         self.unacknowledged_commands = 0;
     }
 
-    /// A command was not seen to arrive.
+    /// Records a command whose arrival is unknown.
     pub fn record_unacknowledged_command(&mut self) {
         self.unacknowledged_commands = self.unacknowledged_commands.saturating_add(1);
     }
 
-    /// Whether it can be called: its address and epoch are known.
+    /// Whether the agent's address and epoch are known, so that a direct call can be made.
     pub fn can_be_called(&self) -> bool {
         !self.endpoint.is_empty() && self.epoch > AgentEpoch::NONE
     }
--- a/crates/core/src/model/direct_call.rs
+++ b/crates/core/src/model/direct_call.rs
@@ -1,78 +1,80 @@
-//! The direct call to a machine's agent: at most one is under way.
+//! The direct call to a machine's agent. At most one is in flight per machine.
 
 use crate::request_id::RequestId;
 
-/// Why an agent is called.
+/// Purpose of a direct call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallPurpose {
-    /// To send it commands.
+    /// Send commands to the agent.
     SendCommands,
-    /// To hear whether it lives and has seen the fencing token.
+    /// Check that the agent is alive and has seen the current fencing token.
     ConfirmToken,
 }
 
-/// A direct call under way.
+/// A direct call in flight.
 #[derive(Debug)]
 pub struct CallInFlight {
-    /// The request.
+    /// Identifier of the request.
     pub request: RequestId,
-    /// Why it was made.
+    /// Why the call was made.
     pub purpose: CallPurpose,
-    /// It holds commands.
+    /// Whether the call carries commands.
     pub has_commands: bool,
-    /// Placements of which a `run` left with it for the first time, and with nothing since.
+    /// Placements whose first `run` command is in this call and has been sent no other way since. They can be released
+    /// if the call was never sent.
     pub first_starts: Vec<u64>,
-    /// Something is to be sent as soon as it is over.
+    /// Whether another call is needed as soon as this one ends.
     pub follow_up_needed: bool,
 }
 
-/// The direct call to a machine's agent.
+/// Direct-call state of a machine's agent.
 #[derive(Debug, Default)]
 pub struct DirectCall {
     in_flight: Option<CallInFlight>,
-    /// No call before this time (ms, monotonic), since an earlier one failed.
+    /// No call is made before this time (ms, monotonic), because an earlier call failed; 0 without a failure.
     not_before: u64,
 }
 
 impl DirectCall {
-    /// The call under way.
+    /// The call in flight, if any.
     pub fn in_flight(&self) -> Option<&CallInFlight> {
         self.in_flight.as_ref()
     }
 
-    /// Whether no call is under way.
+    /// Whether no call is in flight.
     pub fn is_idle(&self) -> bool {
         self.in_flight.is_none()
     }
 
-    /// Until when no call is to be made after an earlier one failed.
+    /// Earliest time of the next call (ms, monotonic), set after a failed call.
     pub fn not_before(&self) -> u64 {
         self.not_before
     }
 
-    /// A call has been made.
+    /// Records a call that was made.
     pub fn begin(&mut self, call: CallInFlight) {
         self.in_flight = Some(call);
     }
 
-    /// Ends the call under way if it is that request.
+    /// Ends the call in flight and returns it, if it is the call of this request.
     pub fn finish(&mut self, request: RequestId) -> Option<CallInFlight> {
         self.in_flight.take_if(|call| call.request == request)
     }
 
-    /// No call is to be made before this time.
+    /// Forbids calls before `time_ms` (monotonic).
     pub fn back_off_until(&mut self, time: u64) {
         self.not_before = time;
     }
 
-    /// Something is to be sent once the call under way is over.
+    /// Requests another call after the call in flight, if there is one.
     pub fn request_follow_up_call(&mut self) {
         if let Some(call) = &mut self.in_flight {
             call.follow_up_needed = true;
         }
     }
 
-    /// A `run` leaves by another way: it no longer counts as one that left with the call alone.
+    /// Removes a placement from the first starts of the call in flight: its `run` command was also sent in a heartbeat
+    /// reply, so it may arrive even if the call fails.
     pub fn remove_first_start(&mut self, placement_id: u64) {
         if let Some(call) = &mut self.in_flight {
             call.first_starts.retain(|id| *id != placement_id);
--- a/crates/core/src/model/image_cache.rs
+++ b/crates/core/src/model/image_cache.rs
@@ -1,25 +1,26 @@
-//! Images on a machine's disk.
+//! Images in a machine's disk cache.
 
-/// An image on a machine's disk.
+/// A cached image.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct CachedImage {
-    /// Its number.
+    /// Number of the image (see `ImageNames`).
     pub image: u32,
-    /// Its size.
+    /// Size in GB.
     pub size_gb: f64,
 }
 
-/// Images on a machine's disk, the most recently used last.
+/// Images on a machine's disk, least recently used first.
 #[derive(Debug, Clone, Default)]
 pub struct ImageCache(Vec<CachedImage>);
 
 impl ImageCache {
-    /// Whether an image is held.
+    /// Whether the image is cached.
     pub fn contains(&self, image: u32) -> bool {
         self.0.iter().any(|cached| cached.image == image)
     }
 
-    /// Notes that an image was used, forgetting the least recently used beyond `disk_gb`.
+    /// Marks an image as most recently used, and evicts the least recently used images beyond `disk_gb`. The image
+    /// itself is never evicted.
     pub fn touch(&mut self, image: u32, size_gb: f64, disk_gb: f64) {
         self.0.retain(|cached| cached.image != image);
         self.0.push(CachedImage { image, size_gb });
@@ -28,14 +29,14 @@
         }
     }
 
-    /// Notes an image that is held for all that is known, unless it was known to be.
+    /// Adds an image that is assumed to be cached, unless it is present already. Evicts nothing.
     pub fn add_if_absent(&mut self, image: u32, size_gb: f64) {
         if !self.contains(image) {
             self.0.push(CachedImage { image, size_gb });
         }
     }
 
-    /// The images, the least recently used first.
+    /// The cached images, least recently used first.
     pub fn iter(&self) -> impl Iterator<Item = &CachedImage> {
         self.0.iter()
     }
--- a/crates/core/src/model/job.rs
+++ b/crates/core/src/model/job.rs
@@ -1,4 +1,4 @@
-//! An unfinished job: what was submitted, how far its tasks are, what is to be written about it.
+//! An unfinished job: its submission, the progress of its tasks and its unwritten changes.
 
 use super::{Id, TaskProgress};
 use crate::records::JobRecord;
@@ -9,86 +9,85 @@
 /// An unfinished job.
 #[derive(Debug)]
 pub struct Job {
-    /// Name.
+    /// Name of the job.
     pub id: Id,
-    /// What was submitted, without its dependencies.
+    /// The submission, without its dependencies.
     pub spec: Submission,
-    /// Room that a task takes.
+    /// Resources that one task takes.
     pub need: Resources,
-    /// Number of its image.
+    /// Number of the job's image (see `ImageNames`).
     pub image: u32,
-    /// When it was accepted (ms, time of day).
+    /// When the job was accepted (ms, wall clock).
     pub accepted_at_ms: u64,
-    /// It has been cancelled.
+    /// Whether the job has been cancelled.
     pub cancelled: bool,
-    /// Jobs that it depends on and of which no committed outcome is known to be done. While there is
-    /// one, no task of it may be placed.
+    /// Dependencies without a committed outcome of done. While the set is not empty, no task of the job may be placed.
     pub open_dependencies: BTreeSet<Id>,
-    /// Its record in the state service.
+    /// State of the job's record in the key-value store.
     pub record: JobRecordState,
-    /// How far its tasks are.
+    /// Progress of the job's tasks.
     pub tasks: TaskProgress,
-    /// What is to be written about it.
+    /// Changes that are not yet written to the store.
     pub writes: PendingWrites,
-    /// What decides its place in the queue.
+    /// Inputs to the job's place in the queue.
     pub scheduling: SchedulingState,
-    /// What failed.
+    /// Failures of the job's tasks.
     pub failures: JobFailures,
 }
 
-/// What is known of a job's record in the state service.
+/// State of a job's record in the key-value store.
 #[derive(Debug)]
 pub struct JobRecordState {
-    /// Version of the record.
+    /// Version of the record's key.
     pub version: Revision,
-    /// The cancellation has a key of its own, written with the record.
+    /// Whether the cancellation has a key of its own, written together with the record.
     pub has_cancellation_key: bool,
-    /// The record changed and has not been read again: nothing may be placed.
+    /// Whether the record changed and has not been read again. No task may be placed until then.
     pub stale: bool,
 }
 
-/// What waits to be written about a job.
+/// Changes of a job that are not yet written to the store.
 #[derive(Debug, Default)]
 pub struct PendingWrites {
-    /// Tasks with an unwritten fact, and how new that fact is.
+    /// Tasks with an unwritten change, each with the number of its newest change; higher is newer.
     pub tasks: BTreeMap<u32, u64>,
-    /// A new placement is among them, which nothing may follow before it is committed.
+    /// Whether a new placement is among the changes. Its start command must wait for the commit.
     pub urgent: bool,
-    /// Since when its end waits to be written.
+    /// Since when the end of the job waits to be written (ms, monotonic); absent while the job has not ended.
     pub ended_at_ms: Option<u64>,
-    /// It is among the jobs whose outcomes wait to be written.
+    /// Whether the job is in the queue of deferred outcomes.
     pub deferred: bool,
-    /// By task, the page with the last fact about it, 0 for none; empty before the first.
+    /// Task page that holds the newest written change, by task number; 0 for none. Empty before the first write.
     pub page_of_task: Vec<u32>,
 }
 
-/// What decides a job's place in the queue.
+/// Inputs to a job's place in the queue.
 #[derive(Debug)]
 pub struct SchedulingState {
-    /// Nothing is placed before this time.
+    /// No task is placed before this time (ms, monotonic).
     pub not_before_ms: u64,
-    /// Its tasks go to rented machines.
+    /// Whether the job's tasks are offloaded to rented machines.
     pub offloaded: bool,
-    /// When its last dependency was done, or else when it was accepted: all times but the deadline
-    /// count from here.
+    /// When the last dependency completed, or the job was accepted if it has none (ms, wall clock). All waiting times
+    /// count from here; the deadline counts from acceptance.
     pub ready_at_ms: u64,
-    /// When it has to be done for the sake of jobs that depend on it.
+    /// Latest end that the deadlines of dependent jobs allow (ms, wall clock); absent if none of them has a deadline.
     pub inherited_deadline_ms: Option<u64>,
-    /// Its priority, or that of a job that depends on it if that is higher.
+    /// The job's own priority, or that of a dependent job if higher.
     pub priority: Priority,
 }
 
 /// Failures of a job's tasks.
 #[derive(Debug, Default)]
 pub struct JobFailures {
-    /// How many since a task last succeeded.
+    /// Failures since a task last succeeded.
     pub count: u32,
-    /// Machines on which tasks failed at any time.
+    /// Machines on which any task of the job has failed so far.
     pub machines: BTreeSet<Id>,
 }
 
 impl Job {
-    /// A job from its record.
+    /// Builds a job from its record.
     pub fn new(mut rec: JobRecord, version: Revision) -> Job {
         let dependencies = std::mem::take(&mut rec.submission.dependencies);
         Job {
@@ -113,27 +112,27 @@
         }
     }
 
-    /// Whether it runs until cancelled.
+    /// Whether the job is a service, which runs until cancelled.
     pub fn is_service(&self) -> bool {
         self.spec.kind == JobKind::Service
     }
 
-    /// Whether its tasks run together or not at all.
+    /// Whether the job is a gang, whose tasks run all together or not at all.
     pub fn is_gang(&self) -> bool {
         self.spec.kind == JobKind::Gang
     }
 
-    /// The first task that is neither done nor placed, from `from` on.
+    /// The first task from `from` on that is neither done nor placed.
     pub fn next_free_task(&self, from: u32) -> Option<u32> {
         self.tasks.next_free_task(from)
     }
 
-    /// Whether it waits for other jobs.
+    /// Whether the job still waits for dependencies.
     pub fn is_blocked(&self) -> bool {
         !self.open_dependencies.is_empty()
     }
 
-    /// Tasks neither done nor placed that may be placed.
+    /// Number of tasks that are neither done nor placed; 0 while the job waits for dependencies.
     pub fn waiting_task_count(&self) -> u32 {
         if self.is_blocked() {
             return 0;
@@ -141,28 +140,28 @@
         self.tasks.free_count()
     }
 
-    /// Whether all tasks are done.
+    /// Whether all tasks are done; never true for a service.
     pub fn is_complete(&self) -> bool {
         !self.is_service() && self.tasks.done_count() >= self.spec.tasks
     }
 
-    /// Most tasks that may be in one zone.
+    /// Maximum number of tasks in one zone.
     pub fn max_tasks_per_zone(&self) -> u32 {
         if self.spec.spread_zones { self.spec.tasks.div_ceil(2) } else { u32::MAX }
     }
 
-    /// Deadline as time of day: its own, or what the jobs that depend on it leave.
+    /// Deadline (ms, wall clock): the earlier of the job's own and the one inherited from dependent jobs.
     pub fn deadline(&self) -> Option<u64> {
         let own = self.spec.deadline_s.map(|d| self.accepted_at_ms + (d * 1000.0) as u64);
         own.into_iter().chain(self.scheduling.inherited_deadline_ms).min()
     }
 
-    /// Notes that a task is done; false if that was known. Its placement has been released.
+    /// Marks a task as done, after its placement was released. Returns false if the task was done already.
     pub fn mark_done(&mut self, task: u32) -> bool {
         self.tasks.mark_done(task)
     }
 
-    /// Whether it has ended: all tasks done, or cancelled and proven off all machines.
+    /// Whether the job has ended: all tasks are done, or the job is cancelled and all its placements are proven gone.
     pub fn has_ended(&self) -> bool {
         self.is_complete() || self.cancelled && !self.tasks.has_placements()
     }
--- a/crates/core/src/model/machine.rs
+++ b/crates/core/src/model/machine.rs
@@ -1,58 +1,58 @@
-//! A machine: what it is, what it holds, what its agent has said and been told.
+//! A machine: its attributes, its placements and the state of its agent.
 
 use super::{Agent, DirectCall, Id, ImageCache, MachineHealth, Placement};
 use crate::settings::Settings;
 use crate::time::Timestamp;
 use shaleshunt_wire::Resources;
 
-/// A machine that let so many commands in a row pass unseen gets no tasks until it shows one: its
-/// heartbeats may arrive while nothing reaches it.
-const MOST_UNACKNOWLEDGED_COMMANDS: u32 = 1;
+/// A machine with this many consecutive unacknowledged commands gets no tasks until it acknowledges one, because its
+/// heartbeats may arrive while commands to it are lost.
+const UNACKNOWLEDGED_COMMANDS_LIMIT: u32 = 1;
 
 /// A machine.
 #[derive(Debug)]
 pub struct Machine {
-    /// Name.
+    /// Name of the machine.
     pub id: Id,
-    /// Its type's name in the catalog.
+    /// Name of the machine type in the catalog.
     pub machine_type: String,
-    /// Zone, empty while only a placement's record names the machine.
+    /// Zone; empty while the machine is known only from the record of a placement.
     pub zone: String,
-    /// A spot instance, which the cloud may take away.
+    /// Whether the machine is a spot instance, which the cloud may preempt.
     pub spot: bool,
-    /// Owned: never returned for idleness.
+    /// Whether the machine is owned. An owned machine is never returned because it is idle.
     pub owned: bool,
-    /// When it was rented (ms, time of day).
+    /// When the machine was rented (ms, wall clock).
     pub rented_at_ms: u64,
-    /// Its room, and what placements take of it.
+    /// Total resources and the part that placements use.
     pub capacity: Capacity,
-    /// Tasks on it, from the plan until they are proven gone.
+    /// Placements on the machine, from planning until they are proven gone.
     pub placements: Vec<Placement>,
-    /// Images that it holds.
+    /// Images on the machine's disk.
     pub images: ImageCache,
-    /// Its record in the state service.
+    /// State of the machine's record in the key-value store.
     pub record: MachineRecordState,
-    /// The agent that runs on it.
+    /// The machine's agent.
     pub agent: Agent,
-    /// The direct call to the agent.
+    /// Direct-call state of the agent.
     pub call: DirectCall,
-    /// How well tasks run on it.
+    /// Failure history and quarantine.
     pub health: MachineHealth,
-    /// Its way out of the fleet.
+    /// Usage and removal state.
     pub lifecycle: Lifecycle,
 }
 
-/// A machine's room.
+/// Resources of a machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Capacity {
-    /// All of it.
+    /// Total resources.
     pub total: Resources,
-    /// What placements take.
+    /// Resources that placements use.
     pub used: Resources,
 }
 
 impl Capacity {
-    /// Room left.
+    /// Resources that no placement uses.
     pub fn free(&self) -> Resources {
         Resources {
             cores: self.total.cores - self.used.cores,
@@ -62,34 +62,34 @@
     }
 }
 
-/// What is known of a machine's record in the state service.
+/// State of a machine's record in the key-value store.
 #[derive(Debug, Default)]
 pub struct MachineRecordState {
-    /// The block that holds it.
+    /// Number of the machine block with the record; absent if no block has it.
     pub block: Option<u32>,
-    /// It is committed: tasks may be placed on the machine.
+    /// Whether the record is committed. Tasks may be placed only on a machine with a committed record.
     pub committed: bool,
 }
 
-/// A machine's use and its way out of the fleet.
+/// Usage and removal state of a machine.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
-    /// The cloud takes it away at this time (ms, monotonic).
+    /// When the cloud takes the machine away (ms, monotonic); absent without a preemption notice.
     pub preemption_at_ms: Option<u64>,
-    /// Its return is wanted or under way.
+    /// Whether the machine is to be returned to the cloud, or its return is in flight.
     pub scale_in_wanted: bool,
-    /// The request to return it is under way.
+    /// Whether a request to return the machine is in flight.
     pub scale_in_requested: bool,
-    /// It has been seen in the cloud's list.
+    /// Whether the cloud's machine list has shown the machine.
     pub listed: bool,
-    /// When its room was last counted on for work waiting or expected.
+    /// When the autoscaler last counted on the machine's free resources for waiting or expected work (ms, monotonic).
     pub needed_at_ms: u64,
-    /// Without placements since this time.
+    /// Since when the machine has had no placements (ms, monotonic).
     pub idle_since_ms: u64,
 }
 
 impl Machine {
-    /// A machine of which nothing is known yet.
+    /// A machine of which only the name is known.
     pub fn new(id: Id, now: Timestamp) -> Machine {
         Machine {
             id,
@@ -109,35 +109,36 @@
         }
     }
 
-    /// Whether it answers and may get tasks.
-    pub fn is_schedulable(&self, now: u64, set: &Settings) -> bool {
+    /// Whether the machine may get tasks: it is responsive, recorded, not partitioned, not in quarantine and not about
+    /// to leave.
+    pub fn is_schedulable(&self, now: u64, settings: &Settings) -> bool {
         self.record.committed
-            && self.agent.unacknowledged_commands < MOST_UNACKNOWLEDGED_COMMANDS
+            && self.agent.unacknowledged_commands < UNACKNOWLEDGED_COMMANDS_LIMIT
             && !self.agent.partitioned
-            && self.is_responsive(now, set)
+            && self.is_responsive(now, settings)
             && !self.lifecycle.scale_in_wanted
             && self.lifecycle.preemption_at_ms.is_none()
             && now >= self.health.quarantined_until_ms
     }
 
-    /// Whether it has sent a heartbeat lately.
-    pub fn is_responsive(&self, now: u64, set: &Settings) -> bool {
-        let patience = set.heartbeat_interval_ms() * 2 + set.heartbeat_interval_ms() / 2;
-        self.agent.last_heartbeat_ms.is_some_and(|heard| now.saturating_sub(heard) < patience)
+    /// Whether the machine's address is known and its last heartbeat is less than 2.5 heartbeat intervals old.
+    pub fn is_responsive(&self, now: u64, settings: &Settings) -> bool {
+        let timeout_ms = settings.heartbeat_interval_ms() * 2 + settings.heartbeat_interval_ms() / 2;
+        self.agent.last_heartbeat_ms.is_some_and(|at| now.saturating_sub(at) < timeout_ms)
             && !self.agent.endpoint.is_empty()
     }
 
-    /// Room left.
+    /// Resources that no placement uses.
     pub fn free(&self) -> Resources {
         self.capacity.free()
     }
 
-    /// A placement by its number.
+    /// Looks up a placement by its number.
     pub fn placement(&self, placement_id: u64) -> Option<&Placement> {
         self.placements.iter().find(|placement| placement.placement_id == placement_id)
     }
 
-    /// A placement by its number, to change it.
+    /// Looks up a placement by its number, for changes.
     pub fn placement_mut(&mut self, placement_id: u64) -> Option<&mut Placement> {
         self.placements.iter_mut().find(|placement| placement.placement_id == placement_id)
     }
--- a/crates/core/src/model/mod.rs
+++ b/crates/core/src/model/mod.rs
@@ -1,11 +1,10 @@
-//! Jobs, machines and placements, as the leader knows them. Nothing here knows who uses it.
+//! Data model of the leader: jobs, machines, placements and their invariants. These types depend on no other part of
+//! the leader.
 //!
-//! - [`Job`] and [`Machine`] group what belongs together in small structs. A task on a machine is a
-//!   [`Placement`] there and a [`TaskPlacement`] at its job; `leader/placements.rs` keeps the two the
-//!   same.
-//! - [`TaskProgress`], [`DirectCall`] and [`ImageCache`] keep what must hold between their fields:
-//!   these are private.
-//! - Times are in milliseconds, monotonic unless said otherwise.
+//! - [`Job`] and [`Machine`] group related fields in small structs. A placement is stored twice: as a [`Placement`] at
+//!   its machine and as a [`TaskPlacement`] at its job. `leader/placements.rs` keeps both in step.
+//! - [`TaskProgress`], [`DirectCall`] and [`ImageCache`] have private fields, because invariants hold between them.
+//! - Times are in milliseconds on the monotonic clock, unless the field says otherwise.
 
 mod agent;
 mod direct_call;
@@ -33,5 +32,5 @@
 
 use std::sync::Arc;
 
-/// A job's or machine's name.
+/// Name of a job or a machine.
 pub type Id = Arc<str>;
--- a/crates/core/src/model/placement.rs
+++ b/crates/core/src/model/placement.rs
@@ -1,16 +1,16 @@
-//! A task on a machine, as the machine and as its job see it.
+//! A placement, as stored at its machine and at its job.
 
 use super::Id;
 use shaleshunt_wire::{AgentEpoch, Attempt, Resources};
 
-/// How far a placement is. It is planned, then committed; the rest is as its machine shows it.
+/// State of a placement. The leader plans and commits it; the later states are reported by the machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PlacementState {
-    /// Not committed: nothing may leave.
+    /// Not committed yet. No command for it may be sent.
     Planned,
-    /// Committed; no heartbeat has shown it.
+    /// Committed, and not yet shown by a heartbeat.
     Committed,
-    /// Waiting for its image.
+    /// Waiting for the image or for the other tasks of the gang.
     Fetching,
     /// Running.
     Running,
@@ -25,46 +25,46 @@
     }
 }
 
-/// A task on a machine, from the plan until it is proven gone.
+/// A task on a machine, from planning until it is proven gone.
 #[derive(Debug, Clone)]
 pub struct Placement {
-    /// The job.
+    /// Name of the job.
     pub job: Id,
-    /// Number of the task in the job.
+    /// Number of the task in its job.
     pub task: u32,
-    /// The attempt at the task.
+    /// Attempt at the task.
     pub attempt: Attempt,
-    /// The agent epoch that it is for: gone in any newer one.
+    /// Agent epoch that the placement is for. A newer agent epoch proves the placement gone.
     pub agent_epoch: AgentEpoch,
-    /// Its number inside this process.
+    /// Identifier of the placement within this process.
     pub placement_id: u64,
-    /// Room that it takes.
+    /// Resources that the task takes.
     pub need: Resources,
-    /// Number of its image.
+    /// Number of the task's image (see `ImageNames`).
     pub image: u32,
-    /// How far it is.
+    /// Current state.
     pub state: PlacementState,
-    /// Whether a command to start it may have left.
+    /// Whether a command to start the task may have been sent.
     pub start_sent: bool,
-    /// When it was planned (ms, monotonic).
+    /// When the placement was planned (ms, monotonic).
     pub planned_at_ms: u64,
-    /// When it was first seen running (ms, monotonic).
+    /// When the task was first seen running (ms, monotonic); absent before.
     pub running_since_ms: Option<u64>,
-    /// It is to stop, with this time to save a checkpoint.
+    /// Time to save a checkpoint, in seconds, if the task is to stop; absent otherwise.
     pub stop_grace_s: Option<f64>,
 }
 
-/// Where a task of a job is.
+/// Location of a task of a job.
 #[derive(Debug, Clone)]
 pub struct TaskPlacement {
-    /// The machine.
+    /// Name of the machine.
     pub machine: Id,
-    /// The placement's number inside this process.
+    /// Identifier of the placement within this process.
     pub placement_id: u64,
-    /// The attempt at the task.
+    /// Attempt at the task.
     pub attempt: Attempt,
-    /// The agent epoch that it is for.
+    /// Agent epoch that the placement is for.
     pub agent_epoch: AgentEpoch,
-    /// It is not committed yet.
+    /// Whether the placement is not committed yet.
     pub planned: bool,
 }
--- a/crates/core/src/model/samples.rs
+++ b/crates/core/src/model/samples.rs
@@ -1,4 +1,4 @@
-//! Jobs, machines and placements for unit tests.
+//! Sample jobs, machines and placements for unit tests.
 
 use super::{CallInFlight, CallPurpose, Job, Machine, Placement, PlacementState};
 use crate::records::JobRecord;
@@ -6,20 +6,20 @@
 use shaleshunt_wire::user::{JobKind, Priority, Submission};
 use shaleshunt_wire::{AgentEpoch, Attempt, Epoch, Resources, Revision};
 
-/// An agent's epoch, which sample placements are for.
+/// Agent epoch of the sample placements.
 pub(crate) const AGENT_EPOCH: AgentEpoch = AgentEpoch(5);
 
-/// An attempt of the first leader.
+/// An attempt that the leader of epoch 1 made.
 pub(crate) fn attempt(number: u64) -> Attempt {
     Attempt::new(Epoch(1), number)
 }
 
-/// A machine of which nothing is known.
+/// A machine of which only the name is known.
 pub(crate) fn machine(name: &str) -> Machine {
     Machine::new(name.into(), Timestamp { monotonic_ms: 1, wall_ms: 1 })
 }
 
-/// A direct call that holds commands is under way to a machine.
+/// Begins a direct call to the machine that carries commands.
 pub(crate) fn begin_call(machine: &mut Machine) {
     machine.call.begin(CallInFlight {
         request: 1,
@@ -30,7 +30,7 @@
     });
 }
 
-/// Attempt 9 at task 3 of job `wk-1`; its start command has left unless it is only planned.
+/// Attempt 9 at task 3 of job `wk-1`. The start command counts as sent unless the placement is only planned.
 pub(crate) fn placement(state: PlacementState) -> Placement {
     Placement {
         job: "wk-1".into(),
@@ -48,7 +48,7 @@
     }
 }
 
-/// Job `wk-1` with so many tasks that need 1 CPU and 60 s.
+/// Job `wk-1` with the given number of tasks, each of 1 CPU and 60 s.
 pub(crate) fn job(tasks: u32) -> Job {
     let submission = Submission {
         id: "wk-1".into(),
--- a/crates/core/src/model/task_set.rs
+++ b/crates/core/src/model/task_set.rs
@@ -1,15 +1,15 @@
 //! A compact set of task numbers, and its text form in the records of version 0.1.
 
-/// Task numbers in a word of the set.
+/// Task numbers per word of the set.
 const WORD_BITS: u32 = u64::BITS;
 
-/// Task numbers in a character of the text form.
+/// Task numbers per character of the text form.
 const CHARACTER_BITS: u32 = 6;
 
-/// The character for no task at all; the others follow it in the order of their bits.
+/// The character with no bit set. The other characters follow in the order of their bits.
 const FIRST_CHARACTER: u8 = b'0';
 
-/// Stands for a backslash, which JSON would escape.
+/// Replaces the backslash, which JSON would escape.
 const BACKSLASH_SUBSTITUTE: u8 = b'!';
 
 /// A set of task numbers below a limit.
@@ -28,7 +28,7 @@
         self.0.get(index).is_some_and(|word| word & mask != 0)
     }
 
-    /// Adds a task; false if it was in the set or is beyond its limit.
+    /// Adds a task. Returns false if it was in the set already or is not below the limit.
     pub fn insert(&mut self, task: u32) -> bool {
         let (index, mask) = position(task);
         let Some(word) = self.0.get_mut(index).filter(|word| **word & mask == 0) else { return false };
@@ -44,12 +44,12 @@
         }
     }
 
-    /// How many tasks are in the set.
+    /// Number of tasks in the set.
     pub fn count(&self) -> u32 {
         self.0.iter().map(|word| word.count_ones()).sum()
     }
 
-    /// `len` numbers from `first` on as text, six of them a character.
+    /// Encodes `len` numbers from `first` on as text, six numbers per character.
     pub fn encode(&self, first: u32, len: u32) -> String {
         let end = first + len;
         let limit = (self.0.len() as u32 * WORD_BITS).max(first);
@@ -63,8 +63,7 @@
             .collect()
     }
 
-    /// Adds what [`TaskSet::encode`] wrote of the numbers from `first` on. Other characters say
-    /// nothing.
+    /// Adds the numbers that [`TaskSet::encode`] wrote from `first` on. Unknown characters are ignored.
     pub fn decode(&mut self, first: u32, text: &str) {
         for (index, character) in text.bytes().enumerate() {
             let character = if character == BACKSLASH_SUBSTITUTE { b'\\' } else { character };
@@ -79,7 +78,7 @@
     }
 }
 
-/// Where a task is in the set: the index of its word, and its bit there.
+/// Position of a task in the set: index of the word, and bit mask within the word.
 fn position(task: u32) -> (usize, u64) {
     ((task / WORD_BITS) as usize, 1 << (task % WORD_BITS))
 }
