--- a/crates/core/src/leader/fleet/calls.rs
+++ b/crates/core/src/leader/fleet/calls.rs
@@ -1,9 +1,10 @@
-//! Direct calls to be made: at once, at a time, or to confirm the fencing token.
+//! Queue of direct calls: at once, at a later time, or to confirm the fencing token.
 
 use crate::model::{Id, Machine};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Machines to be called.
+/// Machines to call. At most `max_in_flight` token confirmations are in flight at a time (see
+/// [`CallQueue::next_unconfirmed`]).
 #[derive(Debug, Default)]
 pub(crate) struct CallQueue {
     due: BTreeSet<Id>,
@@ -12,22 +13,22 @@
     confirmations_in_flight: u32,
 }
 
-/// What is to be done about a machine that is to be sent something.
+/// How to proceed with a machine that needs a direct call.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum CallDecision {
-    /// Call it now.
+    /// Call the machine now.
     Call,
-    /// Once the call under way is over.
+    /// Call the machine after the call in flight.
     AfterCurrentCall,
-    /// At this time, since an earlier call failed.
+    /// Call the machine at this time (ms, monotonic), because an earlier call failed.
     Later(u64),
-    /// Its zone is cut off: what has not left would only wait, so it is released.
+    /// Release unsent placements, because the machine's zone is partitioned and they would only wait.
     ReleaseUnsent,
-    /// It has never been heard, so there is nobody to call.
+    /// Make no call, because the agent's address or epoch is unknown.
     AgentUnknown,
 }
 
-/// Decides how to send something to a machine.
+/// Decides when to call a machine.
 pub(crate) fn decide_call(machine: &Machine, now: u64) -> CallDecision {
     if !machine.call.is_idle() {
         CallDecision::AfterCurrentCall
@@ -43,49 +44,53 @@
 }
 
 impl CallQueue {
-    /// A machine is to be sent something at once.
+    /// Queues a machine for a call at once.
     pub(crate) fn call_soon(&mut self, machine: Id) {
         self.due.insert(machine);
     }
 
-    /// A machine is to be sent something at this time.
-    pub(crate) fn call_at(&mut self, time: u64, machine: Id) {
-        self.later.insert((time, machine));
+    /// Queues a machine for a call at the given time (ms, monotonic).
+    pub(crate) fn call_at(&mut self, time_ms: u64, machine: Id) {
+        self.later.insert((time_ms, machine));
     }
 
-    /// Takes the machines out that are to be called now.
+    /// Removes and returns the machines to call now.
     pub(crate) fn take_due(&mut self, now: u64) -> BTreeSet<Id> {
-        while self.later.first().is_some_and(|(time, _)| *time <= now) {
+        while self.later.first().is_some_and(|(time_ms, _)| *time_ms <= now) {
             self.due.extend(self.later.pop_first().map(|(_, machine)| machine));
         }
         std::mem::take(&mut self.due)
     }
 
-    /// A machine is to be asked to confirm the fencing token.
+    /// Queues a machine for a confirmation of the fencing token.
     pub(crate) fn confirm_token(&mut self, machine: Id) {
         self.unconfirmed.push_back(machine);
     }
 
-    /// These machines, and no others, are to be asked to confirm the fencing token.
+    /// Replaces the queue of machines that are to confirm the fencing token.
     pub(crate) fn set_unconfirmed(&mut self, machines: impl Iterator<Item = Id>) {
         self.unconfirmed = machines.collect();
     }
 
-    /// The next machine to be asked to confirm the fencing token that still needs it, if fewer than
-    /// `most` are being asked.
-    pub(crate) fn next_unconfirmed(&mut self, most: u32, needs_it: impl Fn(&str) -> bool) -> Option<Id> {
-        if self.confirmations_in_flight >= most {
+    /// Removes and returns the next machine that still needs to confirm the fencing token, if fewer than
+    /// `max_in_flight` confirmations are in flight. Drops those that need none.
+    pub(crate) fn next_unconfirmed(
+        &mut self,
+        max_in_flight: u32,
+        needs_confirmation: impl Fn(&str) -> bool,
+    ) -> Option<Id> {
+        if self.confirmations_in_flight >= max_in_flight {
             return None;
         }
-        std::iter::from_fn(|| self.unconfirmed.pop_front()).find(|id| needs_it(id))
+        std::iter::from_fn(|| self.unconfirmed.pop_front()).find(|id| needs_confirmation(id))
     }
 
-    /// A machine has been asked to confirm the fencing token.
+    /// Records that a machine was asked to confirm the fencing token.
     pub(crate) fn confirmation_started(&mut self) {
         self.confirmations_in_flight += 1;
     }
 
-    /// A machine has answered, or never will.
+    /// Records that a confirmation was answered or cannot be any more.
     pub(crate) fn confirmation_ended(&mut self) {
         self.confirmations_in_flight -= 1;
     }
--- a/crates/core/src/leader/fleet/commands.rs
+++ b/crates/core/src/leader/fleet/commands.rs
@@ -1,31 +1,31 @@
-//! Which commands a machine needs now. Each can be repeated, so they are worked out anew every time.
+//! The commands that a machine currently needs. Commands are idempotent, so they are derived anew each time.
 
 use crate::model::{Machine, Placement, PlacementState, UnexpectedTask};
 use shaleshunt_wire::worker::{TaskCommand, split_task_name};
 
-/// Most commands in one message, so that no line grows too long.
-const MOST_COMMANDS: usize = 300;
+/// Maximum number of commands in one message, to bound its size.
+const MAX_COMMANDS_PER_MESSAGE: usize = 300;
 
-/// How commands get to a machine.
+/// Channel by which commands reach a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CommandChannel {
-    /// With the reply to a heartbeat, which has shown what of earlier commands did not arrive.
+    /// In the reply to a heartbeat, which has shown which earlier commands did not arrive.
     HeartbeatReply,
-    /// By a direct call. It repeats nothing: what was lost shows in a heartbeat.
+    /// By a direct call. No command is repeated on this channel, because a heartbeat shows which were lost.
     DirectCall,
 }
 
 /// Commands for a machine.
 #[derive(Debug, Default, PartialEq)]
 pub(crate) struct MachineCommands {
-    /// Those to send.
+    /// Commands to send.
     pub commands: Vec<TaskCommand>,
-    /// Placements that are started, by number.
+    /// Placements with a start command, by their number.
     pub starts: Vec<u64>,
 }
 
-/// The commands that a machine needs. `outcome_pending` tells of a job's task whether its outcome
-/// still waits to be committed.
+/// The commands that a machine currently needs. `outcome_pending` tells whether the outcome of a job's task still waits
+/// for its commit.
 pub(crate) fn commands_for(
     machine: &Machine,
     channel: CommandChannel,
@@ -51,23 +51,23 @@
             None => {}
         }
     }
-    // Stops come first: what they free may be needed by what is started.
+    // Stops come first, because the starts may need the resources that they free.
     let mut commands = stops;
     commands.extend(others);
-    commands.truncate(MOST_COMMANDS);
+    commands.truncate(MAX_COMMANDS_PER_MESSAGE);
     MachineCommands { commands, starts }
 }
 
-/// The command that a placement needs: a start, a stop or none.
+/// The command that a placement needs, if any: a start or a stop.
 fn placement_command(placement: &Placement, channel: CommandChannel) -> Option<TaskCommand> {
     let task = || format!("{}/{}", placement.job, placement.task);
     let attempt = placement.attempt;
     let stop = |grace_period_s| Some(TaskCommand::Stop { task: task(), attempt, grace_period_s });
     match (placement.state, placement.stop_grace_s) {
         (PlacementState::Fetching | PlacementState::Running, Some(grace_period_s)) => stop(grace_period_s),
-        // It saves already; only a stop at once says more.
+        // The task saves a checkpoint already; only a stop without a grace period changes anything.
         (PlacementState::Checkpointing, Some(0.0)) => stop(0.0),
-        // Not seen yet: if the command to start it arrives, the stop behind it ends it.
+        // No heartbeat has shown the task yet. If its start command arrives, the stop after it ends the task.
         (PlacementState::Committed, Some(_)) => stop(0.0),
         (PlacementState::Committed, None) if !placement.start_sent || channel == CommandChannel::HeartbeatReply => {
             Some(TaskCommand::Run { task: task(), attempt })
@@ -76,7 +76,7 @@
     }
 }
 
-/// The command for a task that has no placement: a stop, or once it has ended to forget it.
+/// The command for a task without a placement: a stop, or a forget once the task has ended.
 fn unexpected_task_command(
     machine: &Machine,
     unexpected: &UnexpectedTask,
@@ -87,11 +87,11 @@
     if unexpected.exit.is_none() {
         return machine.agent.token_confirmed.then_some(TaskCommand::Stop { task, attempt, grace_period_s: 0.0 });
     }
-    // Only with the reply to a heartbeat and no direct call under way: then no `run` of that attempt
-    // can still arrive, since earlier replies have been taken or dropped.
-    let no_start_under_way = channel == CommandChannel::HeartbeatReply && machine.call.is_idle();
+    // A task may be forgotten only in the reply to a heartbeat and without a direct call in flight. Then no `run` of
+    // that attempt can still arrive, because earlier replies have been processed or dropped.
+    let no_start_in_flight = channel == CommandChannel::HeartbeatReply && machine.call.is_idle();
     let pending = || split_task_name(&task).is_some_and(|(job, number)| outcome_pending(job, number));
-    (no_start_under_way && !pending()).then(|| TaskCommand::Forget { task: task.clone(), attempt })
+    (no_start_in_flight && !pending()).then(|| TaskCommand::Forget { task: task.clone(), attempt })
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -1,136 +1,136 @@
-//! Whether it is the machine or the job that fails.
+//! Decides whether a failed task is the fault of the machine or of the job.
 //!
-//! Machines that fail everything are told from jobs that fail everywhere: a job of which other tasks
-//! have run for longer elsewhere is fine, so it is the machine; it is put in quarantine, then tried
-//! with one task. A job that failed on several machines without any such sign is held back and
-//! counts against no machine. With dozens of machines failing at once, a large job fails many times
-//! before its first task ends.
+//! If other tasks of the job have run for longer elsewhere, the job is healthy and the machine is at fault. The machine
+//! goes into quarantine and is then tried with one task. A job that failed on several machines without any such sign is
+//! held back, and its failures count against no machine. The sign matters when dozens of machines fail at once: a large
+//! job then fails many times before its first task ends.
 
 use crate::leader::fleet::machines::MachineIndex;
 use crate::model::{Job, MachineHealth, Placement, TaskPlacement};
 
-/// A job that failed on so many machines, or so many times, fails often.
-const OFTEN_MACHINES: usize = 3;
-const OFTEN_FAILURES: u32 = 6;
+/// A job counts as failing often after failures on this many machines, or after this many failures.
+const FREQUENT_FAILURE_MACHINES: usize = 3;
+const FREQUENT_FAILURES: u32 = 6;
 
-/// Failures of tasks of so many jobs in a row are the machine's fault.
-const FAILED_JOBS: usize = 2;
+/// Consecutive failures of tasks of this many jobs are the machine's fault.
+const MIN_FAILED_JOBS: usize = 2;
 
-/// A broken job's pause begins at so small a part of a quarantine, and doubles at most so many times.
-const FIRST_PAUSE_PART: f64 = 8.0;
-const MOST_DOUBLINGS: u32 = 4;
+/// The first pause of a broken job is a quarantine divided by this, and doubles at most `MAX_PAUSE_DOUBLINGS` times.
+const FIRST_PAUSES_PER_QUARANTINE: f64 = 8.0;
+const MAX_PAUSE_DOUBLINGS: u32 = 4;
 
-/// Failures from which on a broken job's pause doubles, and up to which they are counted.
-const FIRST_DOUBLING: u32 = 3;
-const COUNTED_FAILURES: u32 = 8;
+/// The pause of a broken job doubles with each failure after the first `FAILURES_BEFORE_DOUBLING`; failures beyond
+/// `MAX_COUNTED_FAILURES` do not count.
+const FAILURES_BEFORE_DOUBLING: u32 = 3;
+const MAX_COUNTED_FAILURES: u32 = 8;
 
-/// What a failure tells of its job.
+/// Assessment of a job after a failure of one of its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobDiagnosis {
-    /// Its tasks do well elsewhere.
+    /// Its tasks run well elsewhere.
     Healthy,
-    /// It has not failed often.
+    /// It has not failed often enough to tell.
     Unknown,
-    /// It fails often, but some of its tasks run on machines where none failed.
+    /// It fails often, but some of its tasks run on machines where none has failed.
     Suspect,
     /// It fails everywhere.
     Broken,
 }
 
-/// What a failure tells of its machine.
+/// Assessment of a machine after a failure of one of its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum MachineDiagnosis {
-    /// Nothing yet.
+    /// Not enough failures to tell.
     Unknown,
-    /// It fails tasks that would do well elsewhere.
+    /// It fails tasks that would run well elsewhere.
     Failing,
 }
 
-/// A task of the job that failed, on another machine.
+/// Evidence from another placement of the job whose task failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SiblingTaskEvidence {
-    /// It has run for longer than the failed one had.
+    /// Whether the task is on another machine and has run for longer than the failed one had.
     pub outlasted: bool,
-    /// It runs, on a machine where none of the job's tasks failed.
+    /// Whether the task runs on a machine where none of the job's tasks has failed.
     pub runs_on_healthy_machine: bool,
 }
 
-/// What is known of a job when one of its tasks has failed, that failure included.
+/// Failure history of a job, including the current failure.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct JobFailureEvidence {
-    /// A task of it is done.
+    /// Whether any task of the job is done.
     pub any_done: bool,
-    /// Machines on which tasks failed.
+    /// Number of machines on which tasks of the job have failed.
     pub failed_machines: usize,
-    /// Failures since a task succeeded.
+    /// Failures since a task of the job last succeeded.
     pub failures: u32,
 }
 
-/// Judges a job of which a task failed, given its other tasks that are on machines.
+/// Assesses a job after a failure of one of its tasks, from its failure history and its other placements.
 pub(crate) fn diagnose_job(
     job: JobFailureEvidence,
-    mates: impl Iterator<Item = SiblingTaskEvidence> + Clone,
+    siblings: impl Iterator<Item = SiblingTaskEvidence> + Clone,
 ) -> JobDiagnosis {
-    if job.any_done || mates.clone().any(|mate| mate.outlasted) {
+    if job.any_done || siblings.clone().any(|sibling| sibling.outlasted) {
         return JobDiagnosis::Healthy;
     }
-    let often = job.failed_machines >= OFTEN_MACHINES || job.failures >= OFTEN_FAILURES;
-    if !often {
+    let fails_often = job.failed_machines >= FREQUENT_FAILURE_MACHINES || job.failures >= FREQUENT_FAILURES;
+    if !fails_often {
         return JobDiagnosis::Unknown;
     }
-    // Tasks that have only just begun elsewhere are no sign that the job is sound, but a job of
-    // which some run is not called broken: a large one loses many tasks at once to a few machines.
-    let some_run = mates.clone().any(|mate| mate.runs_on_healthy_machine);
-    if some_run { JobDiagnosis::Suspect } else { JobDiagnosis::Broken }
+    // Tasks that have only just started elsewhere do not show that the job is healthy. But a job with running tasks is
+    // not called broken either, because a large job can lose many tasks at once to a few machines.
+    let any_running = siblings.clone().any(|sibling| sibling.runs_on_healthy_machine);
+    if any_running { JobDiagnosis::Suspect } else { JobDiagnosis::Broken }
 }
 
-/// Judges a machine on which a task failed. Its health already counts the failure, unless that is
-/// the job's fault.
+/// Assesses a machine after a failed task. `health` already counts the failure, unless the job is broken.
 pub(crate) fn diagnose_machine(health: &MachineHealth, job: JobDiagnosis) -> MachineDiagnosis {
     let failing = match job {
         JobDiagnosis::Broken => false,
         JobDiagnosis::Healthy => true,
         JobDiagnosis::Unknown | JobDiagnosis::Suspect => {
-            health.quarantine_count > 0 || health.failed_job_count() >= FAILED_JOBS
+            health.quarantine_count > 0 || health.failed_job_count() >= MIN_FAILED_JOBS
         }
     };
     if failing { MachineDiagnosis::Failing } else { MachineDiagnosis::Unknown }
 }
 
-/// For how long a broken job is held back after so many failures, given the length of a machine's
-/// quarantine; both in ms.
+/// How long a broken job is held back after this many failures, in ms. `quarantine_ms` is the length of a machine's
+/// first quarantine.
 pub(crate) fn broken_job_pause_ms(failures: u32, quarantine_ms: f64) -> f64 {
-    let doublings = (failures.min(COUNTED_FAILURES) - FIRST_DOUBLING).min(MOST_DOUBLINGS);
-    quarantine_ms / FIRST_PAUSE_PART * f64::from(1u32 << doublings)
+    let doublings = (failures.min(MAX_COUNTED_FAILURES) - FAILURES_BEFORE_DOUBLING).min(MAX_PAUSE_DOUBLINGS);
+    quarantine_ms / FIRST_PAUSES_PER_QUARANTINE * f64::from(1u32 << doublings)
 }
 
-/// A task that failed.
+/// A failed task.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct FailedTask<'a> {
-    /// The machine that it was on.
+    /// The machine that it ran on.
     pub machine: &'a str,
-    /// For how long it had run, with allowance for late heartbeats, in ms.
+    /// How long it had run, in ms, with an allowance for late heartbeats.
     pub ran_ms: u64,
 }
 
-/// What the placements of a job's other tasks tell.
+/// Evidence from the placements of a job.
 pub(crate) fn sibling_task_evidence<'a>(
     job: &'a Job,
     failed: FailedTask<'a>,
     machines: &'a MachineIndex,
     now: u64,
 ) -> impl Iterator<Item = SiblingTaskEvidence> + Clone + 'a {
-    job.tasks.placements().map(move |mate| {
-        let running_since = placement_of(mate, machines).and_then(|placement| placement.running_since_ms);
+    job.tasks.placements().map(move |sibling| {
+        let running_since_ms = placement_of(sibling, machines).and_then(|placement| placement.running_since_ms);
         SiblingTaskEvidence {
-            outlasted: *mate.machine != *failed.machine && running_since.is_some_and(|at| now - at > failed.ran_ms),
-            runs_on_healthy_machine: running_since.is_some() && !job.failures.machines.contains(&mate.machine),
+            outlasted: *sibling.machine != *failed.machine
+                && running_since_ms.is_some_and(|at| now - at > failed.ran_ms),
+            runs_on_healthy_machine: running_since_ms.is_some() && !job.failures.machines.contains(&sibling.machine),
         }
     })
 }
 
-fn placement_of<'a>(mate: &TaskPlacement, machines: &'a MachineIndex) -> Option<&'a Placement> {
-    machines.get(&mate.machine)?.placement(mate.placement_id)
+fn placement_of<'a>(sibling: &TaskPlacement, machines: &'a MachineIndex) -> Option<&'a Placement> {
+    machines.get(&sibling.machine)?.placement(sibling.placement_id)
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/fleet/heartbeat_effects.rs
+++ b/crates/core/src/leader/fleet/heartbeat_effects.rs
@@ -1,4 +1,4 @@
-//! What a heartbeat's findings change on its machine and in the progress of jobs.
+//! Applies the findings of a heartbeat to its machine and to the progress of jobs.
 
 use crate::leader::fleet::reconciliation::Finding;
 use crate::model::{Id, Job, Machine, Placement, PlacementState};
@@ -8,27 +8,27 @@
 /// A placement whose task has ended.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct EndedPlacement {
-    /// Its number.
+    /// Number of the placement.
     pub placement_id: u64,
-    /// Why it ended.
+    /// Exit cause.
     pub cause: ExitCause,
 }
 
-/// What is left to be done about a heartbeat's findings.
+/// What the leader still has to do after the findings were applied.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct FindingEffects {
     /// Placements proven gone by a newer agent epoch.
     pub earlier_agent_epoch: Vec<u64>,
-    /// Placements proven gone by their absence.
+    /// Placements proven gone because the heartbeat lacks them.
     pub absent: Vec<u64>,
-    /// Placements proven ended.
+    /// Placements whose tasks are proven ended.
     pub ended: Vec<EndedPlacement>,
-    /// A start command has been lost and is to be sent again.
+    /// Whether a start command was lost and must be sent again.
     pub start_lost: bool,
 }
 
-/// Applies what a heartbeat tells of each placement of a machine, in their order, and returns what
-/// is to be released. `disk_gb` is how much the machine's disk holds.
+/// Applies one finding per placement of the machine, in the order of the placements, and returns which of them to
+/// release. `disk_gb` is the capacity of the machine's disk.
 pub(crate) fn apply_findings(
     machine: &mut Machine,
     jobs: &mut BTreeMap<Id, Job>,
@@ -49,7 +49,7 @@
             }
             Finding::Present(state) => {
                 let first_run = placement.running_since_ms.is_none() && state.is_running();
-                if let Some(job) = advance(placement, state, jobs, now).filter(|_| first_run) {
+                if let Some(job) = update_state(placement, state, jobs, now).filter(|_| first_run) {
                     machine.images.touch(job.image, job.spec.image_gb, disk_gb);
                 }
             }
@@ -59,25 +59,24 @@
     effects
 }
 
-/// Takes over the state that a machine shows of a placement. Returns its job if that makes the task
-/// begin or cease to run.
-fn advance<'a>(
+/// Updates a placement to the state in the heartbeat. Returns its job if the task thereby starts or stops running.
+fn update_state<'a>(
     placement: &mut Placement,
     state: PlacementState,
     jobs: &'a mut BTreeMap<Id, Job>,
     now: u64,
 ) -> Option<&'a Job> {
-    let ran = placement.state.is_running();
+    let was_running = placement.state.is_running();
     placement.start_sent = true;
     placement.state = state;
     if state == PlacementState::Running && placement.running_since_ms.is_none() {
         placement.running_since_ms = Some(now);
     }
-    if ran == state.is_running() {
+    if was_running == state.is_running() {
         return None;
     }
     let job = jobs.get_mut(&placement.job)?;
-    if ran {
+    if was_running {
         job.tasks.placement_paused();
     } else {
         job.tasks.placement_started();
--- a/crates/core/src/leader/fleet/images.rs
+++ b/crates/core/src/leader/fleet/images.rs
@@ -1,8 +1,8 @@
-//! Images by number, so that machines and jobs need not hold their names.
+//! Numbers for image names, so that machines and jobs need not store the names.
 
 use std::collections::HashMap;
 
-/// Numbers of images, in the order in which they became known to this leader.
+/// Image numbers, in the order in which this leader first saw the names.
 #[derive(Debug, Default)]
 pub(crate) struct ImageNames {
     names: Vec<String>,
@@ -10,7 +10,7 @@
 }
 
 impl ImageNames {
-    /// The number of an image, a new one if it was not known.
+    /// The number of an image; assigns a new one to an unknown name.
     pub(crate) fn number(&mut self, name: &str) -> u32 {
         if let Some(number) = self.numbers.get(name) {
             return *number;
@@ -21,7 +21,7 @@
         number
     }
 
-    /// The name of an image, empty for a number that was not given out.
+    /// The name of an image; empty for an unassigned number.
     pub(crate) fn name(&self, number: u32) -> &str {
         self.names.get(number as usize).map_or("", String::as_str)
     }
--- a/crates/core/src/leader/fleet/machines.rs
+++ b/crates/core/src/leader/fleet/machines.rs
@@ -1,24 +1,24 @@
-//! The machines that a leader knows, and which of them have room left.
+//! The leader's machines, indexed by free CPUs.
 //!
-//! A pass over the queue asks for machines with room many times a second. In a busy fleet few have any, so
-//! machines are also kept by the CPUs that they have free: what is asked then grows with those, not with
-//! the fleet.
+//! Scheduling passes ask for machines with free capacity many times a second. In a busy fleet few machines have any, so
+//! the index makes the cost of a query grow with the number of those machines and not with the fleet.
 
 use crate::model::{Id, Machine, Placement};
 use shaleshunt_wire::Resources;
 use std::collections::{BTreeMap, BTreeSet};
 use std::ops::Deref;
 
-/// Machines are looked up one by one if at most one in so many qualifies; else all are gone through, which
-/// takes less for each.
-const LOOK_UP_BELOW: usize = 4;
+/// A query uses the index if at most one machine in this many qualifies. Otherwise it scans all machines, which costs
+/// less per machine than a lookup by name.
+const MACHINES_PER_INDEX_LOOKUP: usize = 4;
 
-/// The machines by name. What a machine has room for changes only through here.
+/// Machines by name. A machine's capacity and placements may change only through this type, which keeps the index by
+/// free CPUs consistent.
 #[derive(Debug, Default)]
 pub(crate) struct MachineIndex {
     machines: BTreeMap<Id, Machine>,
-    /// Machines by their free CPUs, in thousandths.
-    by_free: BTreeMap<i64, BTreeSet<Id>>,
+    /// Machine names by free CPUs, in thousandths of a CPU.
+    by_free_cores: BTreeMap<i64, BTreeSet<Id>>,
 }
 
 impl Deref for MachineIndex {
@@ -37,31 +37,31 @@
         self.machines.values_mut()
     }
 
-    /// Adds a machine, in place of one of the same name.
+    /// Adds a machine; replaces a machine of the same name.
     pub(crate) fn insert(&mut self, machine: Machine) {
         let (id, free) = (machine.id.clone(), machine.free().cores);
         if let Some(old) = self.machines.insert(id.clone(), machine) {
-            self.remove_free(&id, old.free().cores);
+            self.remove_from_index(&id, old.free().cores);
         }
-        self.by_free.entry(free).or_default().insert(id);
+        self.by_free_cores.entry(free).or_default().insert(id);
     }
 
     pub(crate) fn remove(&mut self, id: &str) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
-        self.remove_free(id, machine.free().cores);
+        self.remove_from_index(id, machine.free().cores);
         Some(machine)
     }
 
-    /// Puts a placement on a machine, which takes room there. Returns the machine, if it is known.
+    /// Adds a placement to a machine and reserves its resources. Returns the machine; `None` if it is unknown.
     pub(crate) fn add_placement(&mut self, id: &str, placement: Placement) -> Option<&Machine> {
         let need = placement.need;
-        self.change(id, |machine| machine.capacity.used.add(&need, 1));
+        self.update_capacity(id, |machine| machine.capacity.used.add(&need, 1));
         let machine = self.machines.get_mut(id)?;
         machine.placements.push(placement);
         Some(machine)
     }
 
-    /// Takes a placement off a machine, by its number; its room is free again.
+    /// Removes a placement from a machine, by its number, and frees its resources.
     pub(crate) fn remove_placement(&mut self, id: &str, placement_id: u64, now: u64) -> Option<Placement> {
         let machine = self.machines.get_mut(id)?;
         let at = machine.placements.iter().position(|placement| placement.placement_id == placement_id)?;
@@ -69,22 +69,22 @@
         if machine.placements.is_empty() {
             machine.lifecycle.idle_since_ms = now;
         }
-        self.change(id, |machine| machine.capacity.used.add(&placement.need, -1));
+        self.update_capacity(id, |machine| machine.capacity.used.add(&placement.need, -1));
         Some(placement)
     }
 
-    /// All the room that a machine has became known.
+    /// Sets the total resources of a machine, once they are known.
     pub(crate) fn set_capacity(&mut self, id: &str, resources: Resources) {
-        self.change(id, |machine| machine.capacity.total = resources);
+        self.update_capacity(id, |machine| machine.capacity.total = resources);
     }
 
-    /// The room of machines by their type became known.
-    pub(crate) fn set_capacities(&mut self, room_of: impl Fn(&str) -> Option<Resources>) {
+    /// Sets the total resources of all machines of known type. `resources_of` returns those of a machine type.
+    pub(crate) fn set_capacities(&mut self, resources_of: impl Fn(&str) -> Option<Resources>) {
         let changed: Vec<(Id, Resources)> = self
             .machines
             .values()
             .filter_map(|m| {
-                room_of(&m.machine_type)
+                resources_of(&m.machine_type)
                     .filter(|resources| *resources != m.capacity.total)
                     .map(|resources| (m.id.clone(), resources))
             })
@@ -94,56 +94,56 @@
         }
     }
 
-    fn change(&mut self, id: &str, change: impl FnOnce(&mut Machine)) {
+    fn update_capacity(&mut self, id: &str, change: impl FnOnce(&mut Machine)) {
         let Some(machine) = self.machines.get_mut(id) else { return };
         let before = machine.free().cores;
         change(machine);
         let after = machine.free().cores;
         if before != after {
             let id = machine.id.clone();
-            self.remove_free(&id, before);
-            self.by_free.entry(after).or_default().insert(id);
+            self.remove_from_index(&id, before);
+            self.by_free_cores.entry(after).or_default().insert(id);
         }
     }
 
-    fn remove_free(&mut self, id: &str, free: i64) {
-        if let Some(ids) = self.by_free.get_mut(&free) {
+    fn remove_from_index(&mut self, id: &str, free: i64) {
+        if let Some(ids) = self.by_free_cores.get_mut(&free) {
             ids.remove(id);
             if ids.is_empty() {
-                self.by_free.remove(&free);
+                self.by_free_cores.remove(&free);
             }
         }
     }
 
-    /// How many machines have so many CPUs free.
+    /// Number of machines with at least this many free CPUs (in thousandths).
     pub(crate) fn count_with_free_cores(&self, cores: i64) -> usize {
-        self.by_free.range(cores..).map(|(_, ids)| ids.len()).sum()
+        self.by_free_cores.range(cores..).map(|(_, ids)| ids.len()).sum()
     }
 
-    /// Machines that have so many CPUs free, in no order that matters.
+    /// Machines with at least this many free CPUs, in no defined order.
     pub(crate) fn with_free_cores(&self, cores: i64) -> Box<dyn Iterator<Item = &Machine> + '_> {
-        if self.count_with_free_cores(cores) * LOOK_UP_BELOW <= self.machines.len() {
+        if self.count_with_free_cores(cores) * MACHINES_PER_INDEX_LOOKUP <= self.machines.len() {
             Box::new(self.fullest_first(cores))
         } else {
             Box::new(self.machines.values().filter(move |m| m.free().cores >= cores))
         }
     }
 
-    /// Machines that have so many CPUs free, those with the fewest first.
+    /// Machines with at least this many free CPUs, the ones with the fewest free CPUs first.
     pub(crate) fn fullest_first(&self, cores: i64) -> impl Iterator<Item = &Machine> + '_ {
-        self.by_free.range(cores..).flat_map(|(_, ids)| ids).filter_map(|id| self.machines.get(id))
+        self.by_free_cores.range(cores..).flat_map(|(_, ids)| ids).filter_map(|id| self.machines.get(id))
     }
 
-    /// Machines that have so many CPUs free, those with the most first.
+    /// Machines with at least this many free CPUs, the ones with the most free CPUs first.
     pub(crate) fn emptiest_first(&self, cores: i64) -> impl Iterator<Item = &Machine> + '_ {
-        self.by_free.range(cores..).rev().flat_map(|(_, ids)| ids).filter_map(|id| self.machines.get(id))
+        self.by_free_cores.range(cores..).rev().flat_map(|(_, ids)| ids).filter_map(|id| self.machines.get(id))
     }
 
-    /// Whether the order by free CPUs is that of the machines.
+    /// Whether the index by free CPUs agrees with the machines.
     pub(crate) fn is_consistent(&self) -> bool {
-        let kept: usize = self.by_free.values().map(BTreeSet::len).sum();
-        let found = |m: &Machine| self.by_free.get(&m.free().cores).is_some_and(|ids| ids.contains(&m.id));
-        kept == self.machines.len() && self.machines.values().all(found)
+        let indexed_count: usize = self.by_free_cores.values().map(BTreeSet::len).sum();
+        let is_indexed = |m: &Machine| self.by_free_cores.get(&m.free().cores).is_some_and(|ids| ids.contains(&m.id));
+        indexed_count == self.machines.len() && self.machines.values().all(is_indexed)
     }
 }
 
--- a/crates/core/src/leader/fleet/machines/tests.rs
+++ b/crates/core/src/leader/fleet/machines/tests.rs
@@ -17,13 +17,13 @@
 }
 
 #[test]
-fn machines_with_room_are_found_as_tasks_come_and_go() {
+fn machines_with_free_cores_are_found_as_placements_are_added_and_removed() {
     let mut fleet = MachineIndex::default();
     for number in 0..100 {
         fleet.insert(machine(number, 16.0));
     }
     let need = Resources::new(4.0, 0.0, 1.0);
-    // Fill all but the last two, one of these in part.
+    // Fills all machines but the last two, and one of these in part.
     for number in 0..99 {
         for placement_id in 0..if number == 98 { 2 } else { 4 } {
             fleet.add_placement(&format!("vm-{number:06}"), placement(placement_id, need));
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn room_that_becomes_known_counts_at_once() {
+fn capacity_counts_as_soon_as_it_is_known() {
     let mut fleet = MachineIndex::default();
     fleet.insert(Machine { machine_type: "f".into(), ..machine(1, 0.0) });
     fleet.insert(machine(2, 8.0));
@@ -51,15 +51,16 @@
     assert_eq!(fleet.count_with_free_cores(resources.cores), 0);
     fleet.set_capacities(|machine_type| (machine_type == "f").then_some(resources));
     assert_eq!(names(fleet.with_free_cores(resources.cores)), ["vm-000001"]);
-    // One that comes again under the same name replaces the other.
+    // A machine that is inserted again under the same name replaces the old one.
     fleet.insert(machine(1, 4.0));
     assert_eq!(fleet.count_with_free_cores(1), 2);
     assert!(fleet.is_consistent());
 }
 
-/// A change of room that does not go through here would be found.
+/// Guards against changes of capacity that bypass the index: machines would then be found with too little free
+/// capacity, or not at all.
 #[test]
-fn an_inconsistent_order_is_noticed() {
+fn a_change_that_bypasses_the_index_is_detected() {
     let mut fleet = MachineIndex::default();
     fleet.insert(machine(1, 16.0));
     if let Some(m) = fleet.get_mut("vm-000001") {
@@ -69,7 +70,7 @@
 }
 
 #[test]
-fn a_machine_is_idle_from_when_its_last_placement_is_removed() {
+fn a_machine_is_idle_since_its_last_placement_was_removed() {
     let mut fleet = MachineIndex::default();
     fleet.insert(machine(1, 16.0));
     let need = Resources::new(4.0, 0.0, 1.0);
--- a/crates/core/src/leader/fleet/mod.rs
+++ b/crates/core/src/leader/fleet/mod.rs
@@ -1,14 +1,14 @@
-//! The machines that a leader knows: what they hold, what their agents say, what these are told.
+//! The leader's machines: their capacity and placements, the heartbeats from their agents, and the commands to them.
 //!
-//! [`Fleet`] owns the machines, the names of their images, the queue of direct calls and what is
-//! known of each zone's heartbeats. Its parts keep:
-//! - a machine's room changes only through [`machines::MachineIndex`], which finds machines by it;
-//! - at most one direct call to a machine is under way ([`crate::model::DirectCall`]);
-//! - a placement is given up only on a proof, as listed in [`reconciliation`].
+//! [`Fleet`] owns the machines, the names of their images, the queue of direct calls and the heartbeat state of each
+//! zone. Invariants:
+//! - A machine's capacity changes only through [`machines::MachineIndex`], which is indexed by free CPUs.
+//! - At most one direct call to a machine is in flight ([`crate::model::DirectCall`]).
+//! - A placement is released only on proof that it is gone; [`reconciliation`] lists the proofs.
 //!
-//! Decisions are functions from machines and jobs to typed results: [`reconciliation`],
-//! [`commands`], [`health`], [`slow_machines`], [`partitions`], [`lease_expiry`]. The leader carries
-//! them out, since that touches jobs, the store and the queue too. Nothing here knows of these.
+//! Decisions are functions from machines and jobs to typed results: [`reconciliation`], [`commands`], [`health`],
+//! [`slow_machines`], [`partitions`], [`lease_expiry`]. The leader carries them out, because that also changes jobs,
+//! the store and the queue, on which this module does not depend.
 
 pub(crate) mod calls;
 pub(crate) mod commands;
@@ -30,21 +30,21 @@
 use crate::leader::fleet::reachability::Reachability;
 use crate::model::{CallPurpose, Id, Machine};
 
-/// The machines, and what is to be told them.
+/// The machines and the state that is needed to talk to them.
 #[derive(Debug)]
 pub(crate) struct Fleet {
-    /// The machines.
+    /// Machines by name.
     pub(crate) machines: MachineIndex,
-    /// Images by number.
+    /// Image names by number.
     pub(crate) images: ImageNames,
-    /// Direct calls to be made.
+    /// Direct calls to make.
     pub(crate) calls: CallQueue,
-    /// What zones' heartbeats show.
+    /// Heartbeat state of each zone.
     pub(crate) reachability: Reachability,
 }
 
 impl Fleet {
-    /// A fleet without machines.
+    /// Creates a fleet without machines.
     pub(crate) fn new(now: u64) -> Fleet {
         Fleet {
             machines: MachineIndex::default(),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Removes a machine that is proven gone, with the call to it that may be under way.
+    /// Removes a machine that is proven gone. A token confirmation in flight to the machine counts as ended.
     pub(crate) fn remove(&mut self, id: &str) -> Option<Machine> {
         let machine = self.machines.remove(id)?;
         if machine.call.in_flight().is_some_and(|call| call.purpose == CallPurpose::ConfirmToken) {
@@ -63,17 +63,17 @@
         Some(machine)
     }
 
-    /// All machines that can be called are asked to confirm the fencing token, some at a time.
+    /// Queues every machine that can be called for a confirmation of the fencing token.
     pub(crate) fn confirm_all_tokens(&mut self) {
-        let reachable = self.machines.values().filter(|machine| machine.agent.can_be_called());
-        self.calls.set_unconfirmed(reachable.map(|machine| machine.id.clone()));
+        let callable = self.machines.values().filter(|machine| machine.agent.can_be_called());
+        self.calls.set_unconfirmed(callable.map(|machine| machine.id.clone()));
     }
 
-    /// The next machine to be asked to confirm the fencing token, if fewer than `most` are being
-    /// asked. Those that have shown it meanwhile, or that are called already, are passed over.
-    pub(crate) fn next_to_confirm(&mut self, most: u32) -> Option<Id> {
+    /// The next machine to ask for a confirmation of the fencing token, if fewer than `max_in_flight` confirmations are
+    /// in flight. Skips machines that have confirmed meanwhile and machines with a call in flight.
+    pub(crate) fn next_to_confirm(&mut self, max_in_flight: u32) -> Option<Id> {
         let machines = &self.machines;
-        self.calls.next_unconfirmed(most, |id| {
+        self.calls.next_unconfirmed(max_in_flight, |id| {
             machines.get(id).is_some_and(|machine| {
                 !machine.agent.token_confirmed && machine.call.is_idle() && machine.agent.can_be_called()
             })
--- a/crates/core/src/leader/fleet/probes.rs
+++ b/crates/core/src/leader/fleet/probes.rs
@@ -1,16 +1,16 @@
-//! Rented machines whose heartbeats are overdue, which are asked whether they live: one that was
-//! taken without notice is found out in half the time that its silence alone would need.
+//! Probes of rented machines with overdue heartbeats. A probe finds a machine that was preempted without notice in half
+//! the time that the missing heartbeats alone would need.
 
 use crate::leader::fleet::Fleet;
-use crate::leader::fleet::reachability::latest_heartbeat_after;
+use crate::leader::fleet::reachability::heartbeat_overdue_after_ms;
 use crate::model::{Id, Machine};
 
 impl Fleet {
-    /// Looks for machines whose heartbeats are overdue, and returns those to ask. Where many are
-    /// overdue at once it is the network, or us: then none is asked.
-    pub(crate) fn machines_to_probe(&mut self, now: u64, interval: u64) -> Vec<Id> {
+    /// Looks for machines with overdue heartbeats and returns those to probe. If many are overdue at once, the network
+    /// or this controller is at fault, and none is probed.
+    pub(crate) fn machines_to_probe(&mut self, now: u64, interval_ms: u64) -> Vec<Id> {
         let overdue: Vec<&Machine> =
-            self.machines.values().filter(|machine| is_overdue(machine, now, interval)).collect();
+            self.machines.values().filter(|machine| is_overdue(machine, now, interval_ms)).collect();
         self.reachability.set_overdue(overdue.len(), self.machines.len());
         if !self.reachability.few_overdue() {
             return Vec::new();
@@ -19,9 +19,9 @@
     }
 }
 
-fn is_overdue(machine: &Machine, now: u64, interval: u64) -> bool {
-    let silent_for = machine.agent.last_heartbeat_ms.map(|heard| now.saturating_sub(heard));
-    silent_for.is_some_and(|silence| silence > latest_heartbeat_after(interval))
+fn is_overdue(machine: &Machine, now: u64, interval_ms: u64) -> bool {
+    let elapsed_ms = machine.agent.last_heartbeat_ms.map(|at| now.saturating_sub(at));
+    elapsed_ms.is_some_and(|elapsed| elapsed > heartbeat_overdue_after_ms(interval_ms))
         && !machine.lifecycle.scale_in_wanted
         && !machine.agent.partitioned
 }
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -1,57 +1,63 @@
-//! What zones' heartbeats show: when a zone was last heard, and which zones are cut off.
+//! Heartbeat state of zones: when each zone last sent a heartbeat, and which zones are partitioned.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A heartbeat comes at the latest so many hundredths of the interval after the one before: a
-/// quarter late, and some time on its way.
-const LATEST_HEARTBEAT: u64 = 130;
+/// Latest arrival of a heartbeat after the one before, in percent of the interval: it may be sent a quarter of an
+/// interval late and needs some time to arrive.
+const LATEST_HEARTBEAT_PERCENT: u64 = 130;
 
-/// Checks of silent machines come so many times in a heartbeat interval.
+/// Checks for missing heartbeats per heartbeat interval.
 const CHECKS_PER_INTERVAL: u64 = 8;
 
-/// For how long a machine may be silent before its heartbeat is overdue.
-pub(crate) fn latest_heartbeat_after(interval: u64) -> u64 {
-    interval * LATEST_HEARTBEAT / 100
+/// Time without a heartbeat after which a machine's heartbeat is overdue, in ms.
+pub(crate) fn heartbeat_overdue_after_ms(interval_ms: u64) -> u64 {
+    interval_ms * LATEST_HEARTBEAT_PERCENT / 100
 }
 
-/// A zone's heartbeats.
+/// Heartbeats of a zone.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ZoneActivity {
-    /// When the last one came, or later while a new leader gives the zone time to be heard.
+    /// When the last heartbeat arrived (ms, monotonic). Lies in the future while a new leader still waits for the
+    /// zone's machines.
     pub last_heartbeat_ms: u64,
-    /// How many machines send them.
+    /// Number of machines that send heartbeats.
     pub machines: u32,
 }
 
-/// What zones' heartbeats show.
+/// Heartbeat state of all zones.
 #[derive(Debug)]
 pub(crate) struct Reachability {
     zones: BTreeMap<String, ZoneActivity>,
     partitioned_zones: BTreeSet<String>,
     few_overdue: bool,
-    next_check: u64,
+    next_check_ms: u64,
 }
 
 impl Reachability {
-    /// That of a leader that has heard nobody.
+    /// State of a leader that has received no heartbeats.
     pub(crate) fn new(now: u64) -> Reachability {
-        Reachability { zones: BTreeMap::new(), partitioned_zones: BTreeSet::new(), few_overdue: false, next_check: now }
+        Reachability {
+            zones: BTreeMap::new(),
+            partitioned_zones: BTreeSet::new(),
+            few_overdue: false,
+            next_check_ms: now,
+        }
     }
 
-    /// Whether a check of silent machines is due; the next one is due an eighth of an interval later.
-    pub(crate) fn take_due_check(&mut self, now: u64, interval: u64) -> bool {
-        let due = now >= self.next_check;
+    /// Whether a check for missing heartbeats is due. If so, the next one is due an eighth of an interval later.
+    pub(crate) fn take_due_check(&mut self, now: u64, interval_ms: u64) -> bool {
+        let due = now >= self.next_check_ms;
         if due {
-            self.next_check = now + interval / CHECKS_PER_INTERVAL;
+            self.next_check_ms = now + interval_ms / CHECKS_PER_INTERVAL;
         }
         due
     }
 
-    /// A machine in this zone has been heard.
+    /// Records a heartbeat from a machine in the zone.
     pub(crate) fn record_zone_heartbeat(&mut self, zone: &str, now: u64) {
         match self.zones.get_mut(zone) {
-            // Later than now while a new leader gives the zone time to be heard: one machine that
-            // answers at once does not end that for the others, who only just change over.
+            // The recorded time is in the future while a new leader waits for the zone. One machine that sends a
+            // heartbeat at once does not end the wait for the others, which are only just switching to the new leader.
             Some(activity) => activity.last_heartbeat_ms = activity.last_heartbeat_ms.max(now),
             None => {
                 self.zones.insert(zone.to_string(), ZoneActivity { last_heartbeat_ms: now, machines: 1 });
@@ -59,32 +65,31 @@
         }
     }
 
-    /// A machine of this zone is known from its record: the zone has until this time to be heard.
-    pub(crate) fn expect_machine(&mut self, zone: &str, until: u64) {
+    /// Expects heartbeats from a machine that is known from its record. The zone counts as heard until `until_ms`.
+    pub(crate) fn expect_machine(&mut self, zone: &str, until_ms: u64) {
         let activity =
-            self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heartbeat_ms: until, machines: 0 });
+            self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heartbeat_ms: until_ms, machines: 0 });
         activity.machines += 1;
     }
 
-    /// So many machines of each zone have been heard lately; none of a zone that is not named.
+    /// Sets the number of machines per zone that sent a heartbeat recently; 0 for a zone that is not in the map.
     pub(crate) fn set_machine_counts(&mut self, counts: &BTreeMap<&str, u32>) {
         for (zone, activity) in &mut self.zones {
             activity.machines = counts.get(zone.as_str()).copied().unwrap_or(0);
         }
     }
 
-    /// Each zone's heartbeats.
+    /// Heartbeat state by zone.
     pub(crate) fn zones(&self) -> &BTreeMap<String, ZoneActivity> {
         &self.zones
     }
 
-    /// Whether nobody in a zone can be heard though others are.
+    /// Whether the zone is partitioned: none of its machines sends heartbeats while other zones' machines do.
     pub(crate) fn is_partitioned(&self, zone: &str) -> bool {
         self.partitioned_zones.contains(zone)
     }
 
-    /// These zones, and no others, are cut off. Returns those that were not before, or nothing if
-    /// all is as it was.
+    /// Sets the partitioned zones. Returns those that are newly partitioned, or `None` if nothing changed.
     pub(crate) fn set_partitioned_zones(&mut self, zones: BTreeSet<String>) -> Option<Vec<String>> {
         if zones == self.partitioned_zones {
             return None;
@@ -94,12 +99,13 @@
         Some(new)
     }
 
-    /// Whether the machines whose heartbeats are overdue are few: then it is them and not us.
+    /// Whether only few machines have overdue heartbeats. If so, the machines are at fault; otherwise the network or
+    /// this controller may be.
     pub(crate) fn few_overdue(&self) -> bool {
         self.few_overdue
     }
 
-    /// Notes how many of all machines are overdue.
+    /// Records how many of all machines have overdue heartbeats.
     pub(crate) fn set_overdue(&mut self, overdue: usize, machines: usize) {
         self.few_overdue = overdue <= (machines / 50).max(2);
     }
--- a/crates/core/src/leader/fleet/reachability/tests.rs
+++ b/crates/core/src/leader/fleet/reachability/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_zone_that_a_new_leader_gives_time_is_not_heard_earlier_by_one_machine() {
+fn one_heartbeat_does_not_end_a_new_leaders_wait_for_a_zone() {
     let mut reachability = Reachability::new(0);
     reachability.expect_machine("a", 2000);
     reachability.expect_machine("a", 2000);
@@ -19,14 +19,14 @@
 }
 
 #[test]
-fn checks_are_due_eight_times_in_an_interval() {
+fn checks_are_due_eight_times_per_interval() {
     let mut reachability = Reachability::new(10);
     let due: Vec<u64> = (0..40).filter(|now| reachability.take_due_check(*now, 80)).collect();
     assert_eq!(due, [10, 20, 30]);
 }
 
 #[test]
-fn a_change_of_partitions_names_the_zones_that_are_new() {
+fn changing_partitioned_zones_returns_the_new_ones() {
     let zones = |names: &[&str]| names.iter().map(|name| (*name).to_string()).collect::<BTreeSet<_>>();
     let mut reachability = Reachability::new(0);
     assert_eq!(reachability.set_partitioned_zones(zones(&[])), None);
--- a/crates/core/src/leader/fleet/reconciliation.rs
+++ b/crates/core/src/leader/fleet/reconciliation.rs
@@ -1,59 +1,59 @@
-//! What a heartbeat tells of the placements on its machine. Nothing is changed here.
+//! Compares a heartbeat with the placements on its machine. Nothing is changed here.
 //!
-//! What proves that a placement is gone, and nothing else does:
-//! - a heartbeat that shows it ended, under the current fencing token;
-//! - a heartbeat that lacks it, under the current token and with no command under way that could
-//!   still start it;
+//! Only the following proves that a placement is gone:
+//! - a heartbeat under the current fencing token that shows the task ended;
+//! - a heartbeat under the current token that lacks the task, while no command is in flight that could still start it;
 //! - a newer agent epoch;
 //! - a return of the machine that the cloud has confirmed (see the autoscaler);
-//! - silence for longer than a lease since anybody could have renewed it (see `lease_expiry`).
+//! - no heartbeat for longer than a lease after the last time that any controller could have renewed it (see
+//!   `lease_expiry`).
 
 use crate::model::{Placement, PlacementState, UnexpectedTask};
 use shaleshunt_wire::worker::{ExitCause, TaskReport, TaskStatus, split_task_name};
 use shaleshunt_wire::{AgentEpoch, Attempt};
 
-/// What a heartbeat's claims are worth.
+/// What a heartbeat can prove.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct HeartbeatEvidence {
-    /// The agent epoch that sent it.
+    /// Agent epoch that sent the heartbeat.
     pub agent_epoch: AgentEpoch,
-    /// It shows the fencing token that commands carry now.
+    /// Whether the heartbeat shows the fencing token of the commands that are sent now.
     pub token_is_current: bool,
-    /// A command that has left may still start a task.
+    /// Whether a command in flight may still start a task.
     pub commands_in_flight: bool,
 }
 
-/// What a heartbeat tells of one placement.
+/// Finding about one placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Finding {
-    /// It was for an earlier agent epoch: gone.
+    /// The placement was for an earlier agent epoch, so it is gone.
     EarlierAgentEpoch,
-    /// It is on the machine.
+    /// The task is on the machine, in this state.
     Present(PlacementState),
-    /// It has ended.
+    /// The task has ended.
     Ended(ExitCause),
-    /// It is shown ended, by a heartbeat that proves nothing.
+    /// The task is reported as ended, but the fencing token is not current, so that this proves nothing.
     EndedUnproven,
-    /// It is not on the machine, nor can it come any more: gone.
+    /// The task is not on the machine and no command can still start it, so the placement is gone.
     Absent,
-    /// The command that was to start it has been lost.
+    /// The start command was lost.
     StartLost,
-    /// Nothing new.
+    /// The heartbeat changes nothing.
     NoChange,
 }
 
-/// What a heartbeat tells of its machine.
+/// Result of comparing a heartbeat with its machine's placements.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) struct Reconciliation {
-    /// Of each placement, in the order of the machine's placements.
+    /// One finding per placement, in the order of the machine's placements.
     pub findings: Vec<Finding>,
-    /// Tasks that have no placement there.
+    /// Reported tasks without a placement on the machine.
     pub unexpected: Vec<UnexpectedTask>,
-    /// A task is shown of which no heartbeat had shown that its start command arrived.
+    /// Whether the heartbeat shows a task whose start command had not been acknowledged yet.
     pub start_acknowledged: bool,
 }
 
-/// A reported task by what identifies a placement.
+/// A reported task with the fields that identify its placement.
 struct Reported<'a> {
     job: &'a str,
     task: u32,
@@ -68,7 +68,7 @@
     }
 }
 
-/// Compares a machine's placements with the tasks that a heartbeat reports.
+/// Compares a machine's placements with the tasks in a heartbeat.
 pub(crate) fn reconcile(placements: &[Placement], tasks: &[TaskReport], evidence: HeartbeatEvidence) -> Reconciliation {
     let mut unexpected = Vec::new();
     let mut reported = Vec::with_capacity(tasks.len());
@@ -90,20 +90,20 @@
         }
         let key = (&*placement.job, placement.task, placement.attempt);
         let at = reported.binary_search_by(|entry| entry.key().cmp(&key)).ok();
-        let shown = at.and_then(|at| reported.get_mut(at)).map(|entry| {
+        let report = at.and_then(|at| reported.get_mut(at)).map(|entry| {
             entry.expected = true;
             entry.report
         });
-        start_acknowledged |= shown.is_some() && placement.state == PlacementState::Committed;
-        findings.push(finding(placement, shown, evidence));
+        start_acknowledged |= report.is_some() && placement.state == PlacementState::Committed;
+        findings.push(finding(placement, report, evidence));
     }
     unexpected.extend(reported.iter().filter(|entry| !entry.expected).map(|entry| unexpected_task(entry.report)));
     Reconciliation { findings, unexpected, start_acknowledged }
 }
 
-/// What a heartbeat tells of a placement for its agent epoch, given its report of the task.
-fn finding(placement: &Placement, shown: Option<&TaskReport>, evidence: HeartbeatEvidence) -> Finding {
-    let Some(report) = shown else { return finding_of_missing(placement, evidence) };
+/// The finding about a placement of the agent's current epoch, given the report of its task.
+fn finding(placement: &Placement, report: Option<&TaskReport>, evidence: HeartbeatEvidence) -> Finding {
+    let Some(report) = report else { return finding_for_missing(placement, evidence) };
     match report.status {
         TaskStatus::Exited if evidence.token_is_current => Finding::Ended(report.cause.unwrap_or(ExitCause::Unknown)),
         TaskStatus::Exited => Finding::EndedUnproven,
@@ -113,8 +113,8 @@
     }
 }
 
-/// What it means that a heartbeat lacks a placement.
-fn finding_of_missing(placement: &Placement, evidence: HeartbeatEvidence) -> Finding {
+/// The finding about a placement that the heartbeat lacks.
+fn finding_for_missing(placement: &Placement, evidence: HeartbeatEvidence) -> Finding {
     if !evidence.token_is_current || evidence.commands_in_flight {
         return Finding::NoChange;
     }
--- a/crates/core/src/leader/fleet/slow_machines.rs
+++ b/crates/core/src/leader/fleet/slow_machines.rs
@@ -1,39 +1,40 @@
-//! Machines that are slow, told by tasks that overrun.
+//! Detection of slow machines by tasks that overrun their usual run time.
 
-/// A task that has run for so many times what its job's tasks usually take overruns.
-const OVERRUN: f64 = 1.5;
+/// A task overruns once it has run for this many times the usual run time of its job's tasks.
+const OVERRUN_FACTOR: f64 = 1.5;
 
-/// A machine is slow if at least so many of its tasks overrun, and a part of this size of them.
+/// A machine is slow if at least this many of its tasks overrun, and at least one in `RUNNING_PER_OVERRUNNING_TASK` of
+/// its running tasks.
 pub(crate) const MIN_OVERRUNNING_TASKS: usize = 3;
-const OVERRUN_PART: usize = 3;
+const RUNNING_PER_OVERRUNNING_TASK: usize = 3;
 
-/// Run times of so many ended tasks say what a job's tasks usually take.
+/// Number of ended tasks of a job after which their mean counts as the usual run time.
 pub(crate) const MIN_RUN_TIMES: u32 = 3;
 
-/// A running task, with times in ms.
+/// A running task.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct RunningTask {
-    /// For how long it has run.
+    /// How long the task has run, in ms.
     pub elapsed_ms: f64,
-    /// What its job's tasks usually take.
+    /// Usual run time of the job's tasks, in ms.
     pub typical_run_ms: f64,
 }
 
 impl RunningTask {
     fn overruns(&self, tolerance_ms: f64) -> bool {
-        self.elapsed_ms > self.typical_run_ms * OVERRUN + tolerance_ms
+        self.elapsed_ms > self.typical_run_ms * OVERRUN_FACTOR + tolerance_ms
     }
 }
 
-/// Whether a machine with these tasks is slow. One task may be long by itself; several at once on
-/// one machine are its doing. `tolerance_ms` is what a run time may seem longer by late heartbeats.
+/// Whether a machine with these running tasks is slow. One task may be long by itself, but several at once on one
+/// machine point to the machine. `tolerance_ms` is how much longer a run time may seem because of late heartbeats.
 pub(crate) fn is_slow(tasks: impl Iterator<Item = RunningTask>, tolerance_ms: f64) -> bool {
     let (mut running, mut overruns) = (0, 0);
     for task in tasks {
         running += 1;
         overruns += usize::from(task.overruns(tolerance_ms));
     }
-    overruns >= MIN_OVERRUNNING_TASKS && overruns * OVERRUN_PART >= running
+    overruns >= MIN_OVERRUNNING_TASKS && overruns * RUNNING_PER_OVERRUNNING_TASK >= running
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/fleet/slow_machines/tests.rs
+++ b/crates/core/src/leader/fleet/slow_machines/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn a_machine_is_slow_if_several_tasks_and_a_third_of_all_overrun() {
+fn a_machine_is_slow_if_three_tasks_and_a_third_of_all_overrun() {
     let cases = [
         ("no task", 0, 0, false),
         ("two overrun", 2, 0, false),
