--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -8,10 +8,10 @@
 use crate::api::acceptance::PendingSubmission;
 use crate::controller::Context;
 use crate::io::RequestId;
-use crate::records::{SplitJobRecord, keys};
+use crate::records::{SplitSubmissionRecord, keys};
 use serde_json::json;
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::{HashSet, VecDeque};
 
 /// Bytes that a part's write and condition take besides the prefix and the text, as estimated.
@@ -62,7 +62,7 @@
         SplitSubmission {
             submission,
             prefix,
-            parts: split_text(&text, ctx.limits.value_bytes()),
+            parts: split_text(&text, ctx.limits.max_value_bytes()),
             written: 0,
             first_part: Revision::ABSENT,
             in_flight: InFlight::Record,
@@ -108,7 +108,7 @@
         let (mut bytes, mut count) = (0, 0);
         for part in self.parts.iter().skip(self.written).take(max_writes) {
             bytes += part.len() * 2 + self.prefix.len() * 2 + PART_OVERHEAD_BYTES;
-            if bytes > MAX_BODY && count > 0 {
+            if bytes > MAX_BODY_BYTES && count > 0 {
                 break;
             }
             count += 1;
@@ -119,7 +119,7 @@
     fn parts_transaction(&self, count: usize) -> Transaction {
         let mut transaction = Transaction::default();
         for (number, part) in self.parts.iter().enumerate().skip(self.written).take(count) {
-            transaction.conditions.push(Condition { path: self.part_key(number), version: Revision::ABSENT });
+            transaction.preconditions.push(Precondition { key: self.part_key(number), version: Revision::ABSENT });
             transaction.writes.push(Write::set(self.part_key(number), json!(part)));
         }
         transaction
@@ -127,7 +127,7 @@
 
     fn record_transaction(&self) -> Transaction {
         let job = self.submission.job();
-        let record = SplitJobRecord {
+        let record = SplitSubmissionRecord {
             parts_prefix: self.prefix.clone(),
             tasks: self.submission.submission.tasks,
             accepted_at_ms: self.submission.submitted_at_ms,
@@ -135,11 +135,11 @@
             has_cancellation_key: false,
         };
         let conditions = vec![
-            Condition { path: keys::job(job), version: Revision::ABSENT },
-            Condition { path: keys::final_record(job), version: Revision::ABSENT },
-            Condition { path: self.part_key(0), version: self.first_part },
+            Precondition { key: keys::job(job), version: Revision::ABSENT },
+            Precondition { key: keys::final_record(job), version: Revision::ABSENT },
+            Precondition { key: self.part_key(0), version: self.first_part },
         ];
-        Transaction { conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
+        Transaction { preconditions: conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
     }
 
     fn part_key(&self, number: usize) -> String {
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -44,8 +44,8 @@
 use crate::io::{Answer, Batch, Command, Effect, RequestId, Timestamp};
 use crate::leader::Leader;
 use crate::settings::{Settings, Tuning};
-use crate::step_down::StepDown;
-use crate::work_counters::Work;
+use crate::step_down::StepDownReason;
+use crate::work_counters::WorkCounts;
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
 use peers::Peers;
@@ -87,21 +87,21 @@
 
     /// Works through a batch of commands; returns the effects to carry out, in order.
     pub fn step(&mut self, now: Timestamp, batch: Batch) -> Vec<Effect> {
-        self.begin(now);
+        self.begin_batch(now);
         for command in batch {
-            self.take(command);
+            self.handle_command(command);
         }
-        self.finish()
+        self.end_batch()
     }
 
-    /// Begins a batch. [`Controller::take`] and [`Controller::finish`] are its other parts, for callers that measure
+    /// Begins a batch. [`Controller::handle_command`] and [`Controller::end_batch`] are its other parts, for callers that measure
     /// each command.
-    pub fn begin(&mut self, now: Timestamp) {
+    pub fn begin_batch(&mut self, now: Timestamp) {
         self.ctx.begin_batch(now);
     }
 
     /// Takes in one command of a batch.
-    pub fn take(&mut self, command: Command) {
+    pub fn handle_command(&mut self, command: Command) {
         match command {
             Command::Submit(id, submission) => self.api.submit(&mut self.ctx, id, *submission),
             Command::Status(id, job) => self.api.status(&mut self.ctx, id, job),
@@ -118,28 +118,25 @@
     }
 
     /// Ends a batch: does what is due by time, and returns the effects to carry out, in order.
-    pub fn finish(&mut self) -> Vec<Effect> {
+    pub fn end_batch(&mut self) -> Vec<Effect> {
         self.run_due();
         self.ctx.take_effects()
     }
 
     /// The work done so far.
-    pub fn work(&self) -> Work {
-        self.ctx.work.done()
+    pub fn work(&self) -> WorkCounts {
+        self.ctx.work.counts()
     }
 
     /// Whether this process leads and has completed its failover.
-    pub fn leads(&self) -> bool {
+    pub fn is_active_leader(&self) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.active)
     }
 
     fn handle_health_check(&mut self, id: RequestId) {
         let healthy = self.ctx.catalog.is_some() && !self.is_cut_off_alone();
-        let not_ready = Answer::Problem {
-            status: SERVICE_UNAVAILABLE,
-            error: "not ready",
-            retry_after: Some(HEALTH_CHECK_RETRY_S),
-        };
+        let not_ready =
+            Answer::Error { status: SERVICE_UNAVAILABLE, error: "not ready", retry_after: Some(HEALTH_CHECK_RETRY_S) };
         self.ctx.answer(id, if healthy { Answer::Healthy } else { not_ready });
     }
 
@@ -157,10 +154,10 @@
         // hold it here while its lease expires.
         let token_epoch = heartbeat.token.epoch();
         if self.leader.as_ref().is_some_and(|leader| token_epoch > leader.epoch) {
-            self.step_down(StepDown::NewerToken);
+            self.step_down(StepDownReason::NewerFencingToken);
         }
         match &mut self.leader {
-            Some(leader) if leader.active => leader.heartbeat(&mut self.ctx, id, heartbeat),
+            Some(leader) if leader.active => leader.handle_heartbeat(&mut self.ctx, id, heartbeat),
             Some(_) => self.ctx.answer(id, unavailable("taking over")),
             None => self.handle_heartbeat_as_follower(id, &heartbeat),
         }
@@ -205,14 +202,14 @@
         self.peers.expedite_heartbeat(self.ctx.now_ms());
     }
 
-    fn step_down(&mut self, reason: StepDown) {
+    fn step_down(&mut self, reason: StepDownReason) {
         let Some(leader) = self.leader.take() else { return };
         let reachability = match reason {
-            StepDown::Unheard => Reachability::Unreachable,
+            StepDownReason::NoHeartbeats => Reachability::Unreachable,
             _ => Reachability::Reachable,
         };
         self.ctx.emit(Event::LeaderSteppedDown { epoch: leader.epoch, reason });
-        self.election.resign(&mut self.ctx, leader.pass, reachability);
+        self.election.resign(&mut self.ctx, leader.lease_id, reachability);
     }
 
     /// Does what is due by time, once in each batch.
@@ -222,7 +219,7 @@
             self.election.run_due(&mut self.ctx);
         }
         self.catalog_reader.run_due(&mut self.ctx);
-        self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
+        self.ctx.limits.recover_rate(now, self.ctx.settings.heartbeat_interval_ms());
         let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
         self.api.run_due(&mut self.ctx, &progress);
         let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.pending_submissions());
@@ -236,12 +233,12 @@
     fn run_leader(&mut self) {
         let Some(leader) = &mut self.leader else { return };
         leader.run_due(&mut self.ctx);
-        if let Some(reason) = leader.down.take() {
+        if let Some(reason) = leader.step_down.take() {
             self.step_down(reason);
         }
     }
 }
 
 fn unavailable(error: &'static str) -> Answer {
-    Answer::Problem { status: SERVICE_UNAVAILABLE, error, retry_after: None }
+    Answer::Error { status: SERVICE_UNAVAILABLE, error, retry_after: None }
 }
--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -59,7 +59,7 @@
     /// confirm the token, or that it lives; and not at all if nothing is to be learnt.
     pub(crate) fn call(&mut self, ctx: &mut Context, id: &Id, purpose: CallPurpose) {
         let MachineCommands { commands, starts } = self.take_commands(id, CommandChannel::DirectCall);
-        let pending = self.wait(LeaderRequest::DirectCommands(id.clone()));
+        let pending = self.pending_request(LeaderRequest::DirectCommands(id.clone()));
         let Some(m) = self.fleet.machines.get_mut(id) else { return };
         let nothing_to_learn = m.agent.token_confirmed && m.agent.unacknowledged_commands == 0;
         if commands.is_empty() && nothing_to_learn && purpose == CallPurpose::SendCommands {
@@ -67,7 +67,7 @@
         }
         let has_commands = !commands.is_empty();
         let body = DirectCommands { token: m.agent.token(self.epoch), agent_epoch: m.agent.epoch, commands };
-        let request = ctx.direct_commands(m.agent.endpoint.clone(), body, pending);
+        let request = ctx.send_direct_commands(m.agent.endpoint.clone(), body, pending);
         m.call.begin(CallInFlight { request, purpose, has_commands, first_starts: starts, follow_up_needed: false });
         if purpose == CallPurpose::ConfirmToken {
             self.fleet.calls.confirmation_started();
--- a/crates/core/src/leader/fleet/lease_expiry.rs
+++ b/crates/core/src/leader/fleet/lease_expiry.rs
@@ -47,11 +47,12 @@
     }
 
     /// Whether a controller can no longer renew the lease of a machine whose last heartbeat had the given time. Either
-    /// the controller reported, a lease later, that it had renewed none since; or it has not heard from this leader for
-    /// so long that its renewal window is over, and a lease after that as well.
+    /// the controller reported, a lease later, that it had renewed none since; or its own last heartbeat arrived so long
+    /// ago that its renewal window is over, and a lease after that as well.
     fn cannot_be_renewed_by(&self, peer: &PeerLeaseReport, last_heartbeat_ms: u64) -> bool {
-        let reported_none = peer.sent_after >= last_heartbeat_ms.max(peer.kept) + self.lease_ms;
-        let window_over = self.now_ms > last_heartbeat_ms.max(peer.last_heard + self.renewal_window_ms) + self.lease_ms;
+        let reported_none = peer.sent_after_ms >= last_heartbeat_ms.max(peer.last_renewal_at_ms) + self.lease_ms;
+        let window_over =
+            self.now_ms > last_heartbeat_ms.max(peer.last_heartbeat_at_ms + self.renewal_window_ms) + self.lease_ms;
         reported_none || window_over
     }
 }
--- a/crates/core/src/leader/fleet/lease_expiry/tests.rs
+++ b/crates/core/src/leader/fleet/lease_expiry/tests.rs
@@ -13,7 +13,7 @@
 
 /// A controller that reports that it has renewed no lease since before the machine's last heartbeat.
 fn peer(zone: &str) -> PeerLeaseReport {
-    PeerLeaseReport { zone: zone.into(), last_heard: 1000, sent_after: 1000, kept: 0 }
+    PeerLeaseReport { zone: zone.into(), last_heartbeat_at_ms: 1000, sent_after_ms: 1000, last_renewal_at_ms: 0 }
 }
 
 #[test]
@@ -46,9 +46,9 @@
 #[test]
 fn a_lease_does_not_expire_while_a_controller_of_the_zone_may_renew_it() {
     let unreachable = machine(Some(800), true);
-    let renewed = PeerLeaseReport { kept: 901, ..peer("a") };
-    let not_reported = PeerLeaseReport { sent_after: 899, last_heard: 870, ..peer("a") };
-    let window_over = PeerLeaseReport { sent_after: 0, last_heard: 869, ..peer("a") };
+    let renewed = PeerLeaseReport { last_renewal_at_ms: 901, ..peer("a") };
+    let not_reported = PeerLeaseReport { sent_after_ms: 899, last_heartbeat_at_ms: 870, ..peer("a") };
+    let window_over = PeerLeaseReport { sent_after_ms: 0, last_heartbeat_at_ms: 869, ..peer("a") };
     let cases = [
         ("renewed none", peer("a"), true),
         ("renewed it until less than a lease ago", renewed.clone(), false),
--- a/crates/core/src/leader/heartbeats.rs
+++ b/crates/core/src/leader/heartbeats.rs
@@ -10,7 +10,7 @@
 use crate::leader::fleet::interruption::stop_before_interruption;
 use crate::leader::fleet::reconciliation::{HeartbeatEvidence, reconcile};
 use crate::model::{HeartbeatOrder, Id, Machine};
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply, TaskCommand};
 use shaleshunt_wire::{FencingToken, Resources};
 
@@ -40,11 +40,11 @@
 
 impl Leader {
     /// A heartbeat from an agent: takes it in and replies with what the machine is to do.
-    pub(crate) fn heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
+    pub(crate) fn handle_heartbeat(&mut self, ctx: &mut Context, id: RequestId, heartbeat: Heartbeat) {
         // A cancellation missed for too long could not be carried out in time if leases were renewed.
         if !self.may_renew_leases(ctx) {
             let error = "no news from the state service";
-            ctx.answer(id, Answer::Problem { status: 503, error, retry_after: None });
+            ctx.answer(id, Answer::Error { status: 503, error, retry_after: None });
             return;
         }
         let machine: Id = heartbeat.machine.as_str().into();
@@ -82,7 +82,7 @@
         let token_is_current = self.check_token(machine, heartbeat.token);
         let effects = self.reconcile_heartbeat(ctx, machine, &heartbeat, source, token_is_current);
         if self.fleet.machines.get(machine).is_some_and(|m| m.record.block.is_none()) {
-            self.join_block(ctx, machine);
+            self.assign_block(ctx, machine);
         }
         self.release_proven(ctx, machine, effects);
         self.stop_before_interruption(ctx, machine);
@@ -171,7 +171,7 @@
             self.scheduler.request_pass();
         }
         if seen.epoch() > self.epoch {
-            self.down = Some(StepDown::NewerToken);
+            self.step_down = Some(StepDownReason::NewerFencingToken);
         }
         true
     }
--- a/crates/core/src/leader/recovery/restore.rs
+++ b/crates/core/src/leader/recovery/restore.rs
@@ -47,7 +47,7 @@
                 self.stop_job(ctx, id);
             }
             self.add_dependencies(ctx, id);
-            self.queue_write(ctx.now.monotonic_ms, id);
+            self.queue_job_write(ctx.now.monotonic_ms, id);
         }
     }
 
@@ -66,24 +66,24 @@
     fn restore_split_submissions(&mut self, ctx: &mut Context) {
         let mut by_prefix: BTreeMap<String, Vec<KeyValue>> = BTreeMap::new();
         for part in std::mem::take(&mut self.recovery.submission_parts) {
-            let prefix = part.path.rfind('/').map(|at| part.path[..=at].to_string()).unwrap_or_default();
+            let prefix = part.key.rfind('/').map(|at| part.key[..=at].to_string()).unwrap_or_default();
             by_prefix.entry(prefix).or_default().push(part);
         }
         for mut read in std::mem::take(&mut self.recovery.split_records) {
             match by_prefix.remove(&read.record.parts_prefix) {
                 Some(parts) => {
                     read.parts = parts;
-                    self.add_split_job(ctx, read);
+                    self.add_split_submission(ctx, read);
                 }
-                None => self.read_parts(ctx, read),
+                None => self.read_submission_parts(ctx, read),
             }
         }
         self.store.add_unreferenced_parts(by_prefix.into_values());
     }
 
     fn restore_block(&mut self, ctx: &Context, pair: KeyValue) {
-        let Some(number) = keys::machine_block_number(&pair.path) else { return };
-        let Ok(record) = serde_json::from_value::<BlockRecord>(pair.v) else { return };
+        let Some(number) = keys::machine_block_number(&pair.key) else { return };
+        let Ok(record) = serde_json::from_value::<BlockRecord>(pair.value) else { return };
         let images: Vec<CachedImage> = record
             .images
             .iter()
--- a/crates/simulation/src/simulation/controllers.rs
+++ b/crates/simulation/src/simulation/controllers.rs
@@ -49,7 +49,7 @@
     }
 
     pub(super) fn leads(&self) -> bool {
-        self.process.as_ref().is_some_and(ControllerNode::leads)
+        self.process.as_ref().is_some_and(ControllerNode::is_active_leader)
     }
 
     /// The process's clocks: the steady one counts from its start.
@@ -102,7 +102,7 @@
         controller.started_at = now;
         let mut settings = controller.settings.clone();
         if controller.version == Version::Previous {
-            settings.state_next = None;
+            settings.next_store_quota = None;
         }
         let process_number = ((index as u64 + 1) << 32) + u64::from(controller.incarnation);
         let clock = controller.clock(now);
