--- a/crates/core/src/leader/autoscaler/arrivals/tests.rs
+++ b/crates/core/src/leader/autoscaler/arrivals/tests.rs
@@ -2,14 +2,14 @@
 use crate::leader::scheduler::fixture::{job, place_in_zone, set_tasks};
 
 impl Arrivals {
-    /// Records an arrival in other modules' tests.
+    /// Records an arrival, for tests of other modules.
     pub(crate) fn record_for_test(&mut self, now: u64, job: &Job) {
         self.record(now, job);
     }
 }
 
 #[test]
-fn arrivals_are_kept_as_they_arrived_and_for_a_while() {
+fn arrivals_keep_all_their_tasks_waiting_and_expire_after_the_window() {
     let mut arrivals = Arrivals::default();
     arrivals.record(0, &job("early", |_| {}));
     arrivals.record(
@@ -19,13 +19,13 @@
             place_in_zone(j, "a");
         }),
     );
-    arrivals.forget_older(150, 100.0);
+    arrivals.drop_older(150, 100.0);
     let kept: Vec<&Job> = arrivals.jobs().collect();
     assert_eq!(kept.iter().map(|job| (&*job.id, job.waiting_task_count())).collect::<Vec<_>>(), [("late", 3)]);
 }
 
 #[test]
-fn of_too_many_the_oldest_are_forgotten() {
+fn beyond_the_maximum_the_oldest_arrivals_are_dropped() {
     let mut arrivals = Arrivals::default();
     for number in 0..=MAX_ARRIVALS {
         arrivals.record(0, &job(&format!("job-{number}"), |_| {}));
--- a/crates/core/src/leader/autoscaler/catalog.rs
+++ b/crates/core/src/leader/autoscaler/catalog.rs
@@ -1,4 +1,4 @@
-//! The cloud's catalog of machine types, asked for every few heartbeat intervals.
+//! Polling of the cloud's catalog of machine types, every few heartbeat intervals.
 
 use crate::controller::Context;
 use crate::io::CloudRequest;
@@ -7,25 +7,25 @@
 use shaleshunt_wire::cloud::{Catalog, MachineType};
 
 /// Heartbeat intervals between two requests for the catalog.
-const INTERVAL_HEARTBEATS: u64 = 10;
+const HEARTBEATS_PER_REQUEST: u64 = 10;
 
-/// After a failed request it is asked for again in this part of a heartbeat interval.
+/// Retries per heartbeat interval after a failed request.
 const RETRIES_PER_HEARTBEAT: u64 = 2;
 
-/// When the catalog is asked for next.
+/// Time of the next request for the catalog.
 #[derive(Debug)]
 pub(super) struct CatalogPoll {
-    /// Steady clock, in ms.
-    next_at: u64,
+    /// Next request (ms, monotonic).
+    next_at_ms: u64,
 }
 
 impl CatalogPoll {
     pub(super) fn new(now: u64) -> CatalogPoll {
-        CatalogPoll { next_at: now }
+        CatalogPoll { next_at_ms: now }
     }
 }
 
-/// What of a machine type the controllers must know while the cloud can't be asked.
+/// The parts of a machine type that controllers need while the cloud cannot be reached.
 #[derive(PartialEq)]
 struct StoredType<'a> {
     name: &'a str,
@@ -39,25 +39,25 @@
     }
 }
 
-/// Whether two catalogs say the same of what must be known while the cloud can't be asked.
+/// Whether two catalogs agree in the parts that controllers need while the cloud cannot be reached.
 fn same_types(one: &Catalog, other: &Catalog) -> bool {
     one.machine_types.iter().map(StoredType::of).eq(other.machine_types.iter().map(StoredType::of))
 }
 
 impl Leader {
-    /// Asks for the catalog if that is due.
+    /// Requests the catalog if that is due.
     pub(super) fn request_catalog(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
-        if now < self.autoscaler.catalog_poll.next_at {
+        if now < self.autoscaler.catalog_poll.next_at_ms {
             return;
         }
-        self.autoscaler.catalog_poll.next_at = now + ctx.settings.heartbeat_interval_ms() * INTERVAL_HEARTBEATS;
-        let wait = self.pending_request(LeaderRequest::Catalog);
-        ctx.send_cloud(CloudRequest::Catalog, wait);
+        self.autoscaler.catalog_poll.next_at_ms = now + ctx.settings.heartbeat_interval_ms() * HEARTBEATS_PER_REQUEST;
+        let pending = self.pending_request(LeaderRequest::Catalog);
+        ctx.send_cloud(CloudRequest::Catalog, pending);
     }
 
-    /// The catalog has come. It is stored if types changed, so that controllers know them when the cloud
-    /// can't be asked.
+    /// Processes a received catalog. A catalog with changed types is stored, so that controllers know the types while
+    /// the cloud cannot be reached.
     pub(super) fn take_catalog(&mut self, ctx: &mut Context, catalog: Catalog) {
         let changed = ctx.catalog.as_ref().is_none_or(|known| !same_types(known, &catalog));
         if changed || !self.store.has_catalog() {
@@ -68,9 +68,9 @@
         self.scheduler.request_pass();
     }
 
-    /// The catalog did not come, or was empty.
+    /// Schedules a retry after the catalog was not received or was empty.
     pub(super) fn retry_catalog(&mut self, ctx: &Context) {
         let retry_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
-        self.autoscaler.catalog_poll.next_at = ctx.now.monotonic_ms + retry_ms;
+        self.autoscaler.catalog_poll.next_at_ms = ctx.now.monotonic_ms + retry_ms;
     }
 }
--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -1,4 +1,4 @@
-//! The cloud's list of machines, read page by page. It lags: it proves nothing about what is gone.
+//! Reading of the cloud's machine list, page by page. The list lags, so a machine's absence from it proves nothing.
 
 use crate::capacity;
 use crate::controller::Context;
@@ -12,52 +12,52 @@
 use shaleshunt_wire::cloud::{ListPage, ListedMachine, ListedMachineStatus};
 use std::collections::BTreeSet;
 
-/// Share of the cloud's requests that a long list takes.
-const REQUEST_SHARE: f64 = 0.25;
+/// Fraction of the cloud's request rate that a long list uses.
+const REQUEST_FRACTION: f64 = 0.25;
 
-/// Share of a second's requests that the first pages take, which are asked for without a pause.
-const BURST_SHARE: f64 = 0.5;
+/// Fraction of one second's requests that the first pages use, which are requested without a pause.
+const BURST_FRACTION: f64 = 0.5;
 
-/// A list is asked for again after so many times its lag, and an empty one counts only then.
-const LAGS_BETWEEN_LISTS: f64 = 2.0;
+/// Multiple of the list's lag after which the list is requested again. An empty list counts only after the same time.
+const LIST_INTERVAL_LAGS: f64 = 2.0;
 
-/// After a failed request a page is asked for again in this part of a heartbeat interval.
+/// Retries per heartbeat interval after a failed request.
 const RETRIES_PER_HEARTBEAT: u64 = 2;
 
-/// Oldest age of a machine that a list is believed, in seconds.
-const MAX_AGE_S: f64 = 1e9;
+/// Maximum age of a machine that the list may state, in seconds; larger values are clamped.
+const MAX_MACHINE_AGE_S: f64 = 1e9;
 
-/// The list as far as it has been read.
+/// State of reading the list.
 #[derive(Debug)]
 pub(super) struct MachineListScan {
     machines: Vec<ListedMachine>,
     pages: u32,
     page_requested: bool,
-    /// When the next page may be asked for (steady clock, ms).
-    next_page_at: u64,
+    /// When the next page may be requested (ms, monotonic).
+    next_page_at_ms: u64,
 }
 
 impl MachineListScan {
     pub(super) fn new(now: u64) -> MachineListScan {
-        MachineListScan { machines: Vec::new(), pages: 0, page_requested: false, next_page_at: now }
+        MachineListScan { machines: Vec::new(), pages: 0, page_requested: false, next_page_at_ms: now }
     }
 
-    /// The machine after which the next page begins, if one is to be asked for now. A page that failed is
-    /// asked for again.
+    /// Begins the request of a page if one is due, and returns the name of the machine after which the page begins;
+    /// empty for the first page. A failed page is requested again.
     fn begin_page(&mut self, now: u64) -> Option<String> {
-        if self.page_requested || now < self.next_page_at {
+        if self.page_requested || now < self.next_page_at_ms {
             return None;
         }
         self.page_requested = true;
         Some(self.machines.last().map(|machine| machine.id.clone()).unwrap_or_default())
     }
 
-    /// A page has come. Returns the whole list with its last page.
+    /// Adds a received page. Returns the whole list after the last page.
     fn take_page(
         &mut self,
         now: u64,
         page: ListPage,
-        set: &Settings,
+        settings: &Settings,
         owned: &OwnedMachines,
     ) -> Option<Vec<ListedMachine>> {
         self.page_requested = false;
@@ -65,43 +65,43 @@
         let more = page.truncated && !page.machines.is_empty();
         self.machines.extend(page.machines);
         if more {
-            self.next_page_at = now + self.pause_between_pages_ms(set, owned);
+            self.next_page_at_ms = now + self.pause_between_pages_ms(settings, owned);
             return None;
         }
         let pages = f64::from(std::mem::take(&mut self.pages));
-        let lag_ms = set.machine_list_lag_s.max(1.0) * (LAGS_BETWEEN_LISTS * 1000.0);
-        self.next_page_at = now + lag_ms.max(pages * page_interval_ms(set)) as u64;
+        let lag_ms = settings.machine_list_lag_s.max(1.0) * (LIST_INTERVAL_LAGS * 1000.0);
+        self.next_page_at_ms = now + lag_ms.max(pages * page_interval_ms(settings)) as u64;
         Some(std::mem::take(&mut self.machines))
     }
 
-    /// A few pages are asked for at once; of a longer list the rest leaves requests for scaling out. That
-    /// does not begin before it is known which machines are owned.
-    fn pause_between_pages_ms(&self, set: &Settings, owned: &OwnedMachines) -> u64 {
-        let burst_over = f64::from(self.pages) >= set.cloud_rps * BURST_SHARE;
-        if owned.is_known() && burst_over { page_interval_ms(set) as u64 } else { 0 }
+    /// Pause before the next page. A few pages are requested without a pause; the rest of a long list leaves request
+    /// rate for scaling out. Before the owned machines are known, nothing is rented, so no pause is needed.
+    fn pause_between_pages_ms(&self, settings: &Settings, owned: &OwnedMachines) -> u64 {
+        let burst_over = f64::from(self.pages) >= settings.cloud_rps * BURST_FRACTION;
+        if owned.is_known() && burst_over { page_interval_ms(settings) as u64 } else { 0 }
     }
 
-    fn page_failed(&mut self, now: u64, set: &Settings) {
+    fn page_failed(&mut self, now: u64, settings: &Settings) {
         self.page_requested = false;
-        self.next_page_at = now + set.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
+        self.next_page_at_ms = now + settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
     }
 }
 
-/// Time between pages at the list's share of requests, in ms.
-fn page_interval_ms(set: &Settings) -> f64 {
-    1000.0 / (set.cloud_rps * REQUEST_SHARE)
+/// Time between pages at the list's fraction of the request rate, in ms.
+fn page_interval_ms(settings: &Settings) -> f64 {
+    1000.0 / (settings.cloud_rps * REQUEST_FRACTION)
 }
 
 impl Leader {
-    /// Asks for a page of the list if one is due.
+    /// Requests a page of the list if one is due.
     pub(super) fn request_machine_list_page(&mut self, ctx: &mut Context) {
         if let Some(after) = self.autoscaler.machine_list.begin_page(ctx.now.monotonic_ms) {
-            let wait = self.pending_request(LeaderRequest::MachineList);
-            ctx.send_cloud(CloudRequest::List { after }, wait);
+            let pending = self.pending_request(LeaderRequest::MachineList);
+            ctx.send_cloud(CloudRequest::List { after }, pending);
         }
     }
 
-    /// A page of the list has come.
+    /// Processes a received page of the list.
     pub(super) fn take_machine_list_page(&mut self, ctx: &mut Context, page: ListPage) {
         let autoscaler = &mut self.autoscaler;
         let now = ctx.now.monotonic_ms;
@@ -110,12 +110,12 @@
         }
     }
 
-    /// A page of the list did not come.
+    /// Schedules a retry of a page that was not received.
     pub(super) fn retry_machine_list_page(&mut self, ctx: &Context) {
         self.autoscaler.machine_list.page_failed(ctx.now.monotonic_ms, &ctx.settings);
     }
 
-    /// Takes in the whole list.
+    /// Processes the whole list.
     fn take_machine_list(&mut self, ctx: &mut Context, list: Vec<ListedMachine>) {
         self.determine_owned_machines(ctx, &list);
         self.warn_if_too_small(ctx);
@@ -124,11 +124,12 @@
         }
     }
 
-    /// When the service first begins, what is up is owned. Lists lag: an empty one counts only later.
+    /// Determines the owned machines when the service starts for the first time: the on-demand machines that are up.
+    /// Because lists lag, an empty list counts only after a while.
     fn determine_owned_machines(&mut self, ctx: &mut Context, list: &[ListedMachine]) {
-        let leading_ms = ctx.now.monotonic_ms.saturating_sub(self.elected_at) as f64;
-        let settled = leading_ms > ctx.settings.machine_list_lag_s * (LAGS_BETWEEN_LISTS * 1000.0);
-        if self.autoscaler.owned.is_known() || (list.is_empty() && !settled) {
+        let since_election_ms = ctx.now.monotonic_ms.saturating_sub(self.elected_at) as f64;
+        let list_is_current = since_election_ms > ctx.settings.machine_list_lag_s * (LIST_INTERVAL_LAGS * 1000.0);
+        if self.autoscaler.owned.is_known() || (list.is_empty() && !list_is_current) {
             return;
         }
         let owned: BTreeSet<String> = list
@@ -138,19 +139,19 @@
             .collect();
         ctx.emit(Event::OwnedMachinesRecorded { machines: owned.len() });
         self.store.record_owned_machines(&owned, ctx.limits.max_value_bytes());
-        self.autoscaler.owned.determine(owned);
+        self.autoscaler.owned.set_names(owned);
     }
 
     fn take_listed_machine(&mut self, ctx: &Context, listed: ListedMachine) {
         let id: Id = listed.id.as_str().into();
         let owned = self.autoscaler.owned.contains(&listed.id);
         if !self.fleet.machines.contains_key(&id) {
-            // A machine that was returned lately may still be listed. It is taken for new and found
-            // silent; its return is answered 200 again.
+            // A recently returned machine may still be listed. The machine is then added as new and found unreachable;
+            // its second return is answered with 200 as well.
             let mut machine = self.new_machine(ctx, &id, &listed.machine_type, &listed.zone, listed.spot, owned);
-            let age_ms = (listed.age_s.clamp(0.0, MAX_AGE_S) * 1000.0) as u64;
+            let age_ms = (listed.age_s.clamp(0.0, MAX_MACHINE_AGE_S) * 1000.0) as u64;
             machine.rented_at_ms = ctx.now.wall_ms.saturating_sub(age_ms);
-            // Known by the list only: it is recorded when its agent is heard.
+            // The machine is known only from the list. A record is written once its agent sends a heartbeat.
             self.fleet.machines.insert(machine);
         }
         self.set_ownership(&id, owned);
@@ -164,7 +165,7 @@
         }
     }
 
-    /// Whether a machine is owned became known.
+    /// Updates whether a machine is owned, in the fleet, its record and the usage of its jobs.
     fn set_ownership(&mut self, id: &Id, owned: bool) {
         let Some(machine) = self.fleet.machines.get_mut(id).filter(|machine| machine.owned != owned) else { return };
         machine.owned = owned;
@@ -176,15 +177,15 @@
         }
     }
 
-    /// Names, once, the settings that are too small for the machines owned and the most that the teams'
-    /// limits allow.
+    /// Logs, once, the settings that are too small for the owned machines or for the maximum number of machines that
+    /// the teams' quotas allow.
     fn warn_if_too_small(&mut self, ctx: &mut Context) {
         let (Some(owned), Some(catalog)) = (self.autoscaler.owned.count(), &ctx.catalog) else { return };
         if std::mem::replace(&mut self.autoscaler.capacity_checked, true) {
             return;
         }
-        let most = capacity::max_machines(&ctx.settings, catalog).unwrap_or(0);
-        for warning in capacity::insufficient_settings(&ctx.settings, most.max(owned as u32)) {
+        let max_machines = capacity::max_machines(&ctx.settings, catalog).unwrap_or(0);
+        for warning in capacity::insufficient_settings(&ctx.settings, max_machines.max(owned as u32)) {
             ctx.emit(Event::SettingTooSmall(warning));
         }
     }
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -1,14 +1,18 @@
-//! The autoscaler: rents machines from the cloud for work that finds no room, and returns those that are
-//! not needed, failed or were lost.
+//! The autoscaler: rents machines from the cloud for work that finds no capacity, and returns machines that are idle,
+//! failed or lost.
 //!
-//! It owns the scale-out requests under way, the set of owned machines, the offers that were refused lately,
-//! the jobs that arrived lately, and how far the cloud's list and catalog have been read. Machines belong to
-//! the fleet. Rounds are plans ([`plan`], [`scale_in`]), functions of a view, which the leader carries out.
+//! The autoscaler owns the scale-out requests in flight, the set of owned machines, the recently refused offers, the
+//! recent job arrivals, and the state of reading the cloud's machine list and catalog. The machines themselves belong
+//! to the fleet. Each round is a plan ([`plan`], [`scale_in`]), computed by a function of a view and carried out by the
+//! leader.
 //!
-//! What always holds: a scale-out request is made only when its record is committed, and always under the
-//! same name; nothing is rented before it is known which machines are owned; an owned machine is never
-//! returned for idleness; a machine is removed only when the cloud has confirmed its return. Only the leader
-//! calls in here; the store writes and removes the requests' records.
+//! Invariants:
+//! - A scale-out request is sent only after its record is committed, and always under the same name.
+//! - Nothing is rented before the set of owned machines is known.
+//! - An owned machine is never returned because it is idle.
+//! - A machine is removed only after the cloud has confirmed its return.
+//!
+//! Only the leader calls this module. The store writes and removes the records of the requests.
 
 pub(crate) mod arrivals;
 pub(crate) mod catalog;
@@ -35,15 +39,15 @@
 use crate::leader::{Leader, LeaderRequest};
 use shaleshunt_wire::cloud::Catalog;
 
-/// Scale-out requests under way, the machines owned, and the cloud as last seen.
+/// State of the autoscaler: scale-out requests, owned machines, and the last known state of the cloud.
 #[derive(Debug)]
 pub(crate) struct Autoscaler {
     pub(crate) scale_outs: ScaleOutRequests,
     pub(crate) owned: OwnedMachines,
-    /// The settings were compared with what the fleet needs.
+    /// Whether the settings have been compared with the needs of the fleet.
     capacity_checked: bool,
-    /// When the next round is due (steady clock, ms).
-    next_round_at: u64,
+    /// When the next round is due (ms, monotonic).
+    next_round_at_ms: u64,
     machine_list: MachineListScan,
     catalog_poll: CatalogPoll,
     unavailable_offers: UnavailableOffers,
@@ -51,13 +55,13 @@
 }
 
 impl Autoscaler {
-    /// An autoscaler whose first round is due at `now` (steady clock, ms).
+    /// Creates an autoscaler whose first round is due at `now` (ms, monotonic).
     pub(crate) fn new(now: u64) -> Autoscaler {
         Autoscaler {
             scale_outs: ScaleOutRequests::default(),
             owned: OwnedMachines::default(),
             capacity_checked: false,
-            next_round_at: now,
+            next_round_at_ms: now,
             machine_list: MachineListScan::new(now),
             catalog_poll: CatalogPoll::new(now),
             unavailable_offers: UnavailableOffers::default(),
@@ -67,16 +71,16 @@
 }
 
 impl Leader {
-    /// Asks the cloud for what is due, and makes a round if one is.
+    /// Sends the cloud requests that are due, and runs a round if one is due.
     pub(crate) fn run_autoscaler(&mut self, ctx: &mut Context) {
         self.request_catalog(ctx);
         self.request_machine_list_page(ctx);
         self.send_scale_outs(ctx);
         let now = ctx.now.monotonic_ms;
-        if now < self.autoscaler.next_round_at {
+        if now < self.autoscaler.next_round_at_ms {
             return;
         }
-        self.autoscaler.next_round_at = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
+        self.autoscaler.next_round_at_ms = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
         self.scheduler.request_pass();
         if self.autoscaler.owned.is_known() {
             self.scale_out(ctx);
@@ -84,12 +88,12 @@
         self.scale_in(ctx);
     }
 
-    /// Plans which machines to rent and takes in the plan.
+    /// Plans which machines to rent, and adds the requests of the plan.
     fn scale_out(&mut self, ctx: &Context) {
         let Some(catalog) = &ctx.catalog else { return };
         let now = ctx.now.monotonic_ms;
         let window_ms = longest_boot_s(catalog) * ctx.tuning.reserve_boot_times * 1000.0;
-        self.autoscaler.arrivals.forget_older(now, window_ms);
+        self.autoscaler.arrivals.drop_older(now, window_ms);
         let plan = plan_scale_out(&self.scale_out_view(ctx, catalog));
         for id in plan.needed_machines {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
@@ -112,14 +116,14 @@
         }
     }
 
-    /// The cloud answered, or did not.
+    /// Handles a reply from the cloud, or the failure of a request.
     pub(crate) fn handle_cloud_reply(
         &mut self,
         ctx: &mut Context,
-        wait: LeaderRequest,
+        request: LeaderRequest,
         result: Result<CloudReply, RequestError>,
     ) {
-        match (wait, result) {
+        match (request, result) {
             (LeaderRequest::Catalog, Ok(CloudReply::Catalog(catalog))) if !catalog.machine_types.is_empty() => {
                 self.take_catalog(ctx, catalog);
             }
--- a/crates/core/src/leader/autoscaler/offer_selection.rs
+++ b/crates/core/src/leader/autoscaler/offer_selection.rs
@@ -1,4 +1,4 @@
-//! The choice among the cloud's offers for a job's tasks.
+//! Selection of an offer of the cloud for a job's tasks.
 
 use crate::leader::autoscaler::offers::Offer;
 use crate::leader::autoscaler::view::ScaleOutView;
@@ -7,17 +7,17 @@
 use shaleshunt_wire::cloud::MachineType;
 use std::collections::BTreeMap;
 
-/// Kinds of machines that every type and zone is offered as.
+/// Markets in which every type and zone is offered: spot, then on demand.
 const SPOT_THEN_ON_DEMAND: [bool; 2] = [true, false];
 
-/// Spot or on-demand machines of a zone.
+/// The spot or on-demand market of a zone.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct ZoneMarket {
     pub(super) zone: String,
     pub(super) spot: bool,
 }
 
-/// Order among offers, best first: the fields count in this order.
+/// Rank of an offer; the best compares least. Fields compare in their order.
 #[derive(PartialEq, Eq, PartialOrd, Ord)]
 struct OfferRank {
     /// Price per hour, in thousandths.
@@ -25,22 +25,22 @@
     machines_in_market: u32,
 }
 
-/// The cheapest offer for a task of the job that was not refused lately; among equal prices that of the
-/// zone with the fewest machines, so that a wave of preemptions or the loss of a zone takes little.
+/// The cheapest offer for a task of the job that was not refused recently. Among equal prices, the market with the
+/// fewest machines wins, so that a wave of preemptions or the loss of a zone affects few machines.
 pub(super) fn cheapest_offer(
     view: &ScaleOutView,
     job: &Job,
     machines_by_market: &BTreeMap<ZoneMarket, u32>,
 ) -> Option<Offer> {
     let mut best: Option<(OfferRank, Offer)> = None;
-    for machine_type in view.catalog.machine_types.iter().filter(|fitting| fitting.resources().fits(&job.need)) {
+    for machine_type in view.catalog.machine_types.iter().filter(|candidate| candidate.resources().fits(&job.need)) {
         for offer in offers_of(view, machine_type).filter(|offer| is_eligible(view, job, offer)) {
             let market = ZoneMarket { zone: offer.zone.clone(), spot: offer.spot };
             let rank = OfferRank {
                 price: price_milli(machine_type, &offer),
                 machines_in_market: machines_by_market.get(&market).copied().unwrap_or(0),
             };
-            if best.as_ref().is_none_or(|(least, _)| rank < *least) {
+            if best.as_ref().is_none_or(|(lowest, _)| rank < *lowest) {
                 best = Some((rank, offer));
             }
         }
@@ -48,7 +48,7 @@
     best.map(|(_, offer)| offer)
 }
 
-/// Every zone that can be reached, each as spot and on demand.
+/// Offers of a machine type: every zone that is not partitioned, each as spot and on demand.
 fn offers_of<'a>(view: &ScaleOutView<'a>, machine_type: &'a MachineType) -> impl Iterator<Item = Offer> + 'a {
     let reachability = view.reachability;
     let zones = machine_type.zones.iter().filter(|zone| !reachability.is_partitioned(zone));
--- a/crates/core/src/leader/autoscaler/offers.rs
+++ b/crates/core/src/leader/autoscaler/offers.rs
@@ -1,22 +1,23 @@
-//! What the cloud offers, and which offers it refused lately.
+//! Offers of the cloud, and which of them it refused recently.
 
 use crate::leader::scheduler::constraints::MachineKind;
 use crate::settings::Settings;
 use std::collections::BTreeMap;
 
-/// Heartbeat intervals for which an offer that was granted in part is avoided.
+/// Heartbeat intervals for which an offer is avoided after it was granted in part.
 const PARTLY_GRANTED_HEARTBEATS: u64 = 3;
 
-/// Heartbeat intervals for which an offer that was refused is avoided; doubled at most so many times.
+/// Heartbeat intervals for which an offer is avoided after a refusal; doubled with each further refusal, at most
+/// `MAX_REFUSAL_DOUBLINGS` times.
 const REFUSED_HEARTBEATS: u64 = 2;
-const MAX_DOUBLINGS: u32 = 2;
+const MAX_REFUSAL_DOUBLINGS: u32 = 2;
 
-/// A type of machines in a zone, spot or on demand.
+/// A machine type in a zone, as spot or on-demand machines.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Offer {
     pub(crate) machine_type: String,
     pub(crate) zone: String,
-    /// Whether the cloud may take the machines back.
+    /// Whether the offer is for spot machines, which the cloud may preempt.
     pub(crate) spot: bool,
 }
 
@@ -26,44 +27,44 @@
     }
 }
 
-/// An offer that is avoided for a while.
+/// An offer that is avoided for some time.
 #[derive(Debug)]
 struct Unavailable {
-    /// Steady clock, in ms.
-    until: u64,
-    /// Refusals in a row.
+    /// End of the time for which the offer is avoided (ms, monotonic).
+    until_ms: u64,
+    /// Consecutive refusals.
     refusals: u32,
 }
 
-/// Offers that the cloud could not meet lately.
+/// Offers that the cloud could not meet recently.
 #[derive(Debug, Default)]
 pub(crate) struct UnavailableOffers {
     offers: BTreeMap<Offer, Unavailable>,
 }
 
 impl UnavailableOffers {
-    /// Whether the offer is avoided at this time (steady clock, ms).
+    /// Whether the offer is avoided at `now` (ms, monotonic).
     pub(super) fn contains(&self, offer: &Offer, now: u64) -> bool {
-        self.offers.get(offer).is_some_and(|unavailable| unavailable.until > now)
+        self.offers.get(offer).is_some_and(|unavailable| unavailable.until_ms > now)
     }
 
-    /// All machines asked for were granted.
-    pub(super) fn granted(&mut self, offer: &Offer) {
+    /// Records that the cloud granted all requested machines.
+    pub(super) fn record_granted(&mut self, offer: &Offer) {
         self.offers.remove(offer);
     }
 
-    /// Fewer machines were granted than asked for.
-    pub(super) fn partly_granted(&mut self, offer: Offer, now: u64, set: &Settings) {
-        let until = now + set.heartbeat_interval_ms() * PARTLY_GRANTED_HEARTBEATS;
-        self.offers.insert(offer, Unavailable { until, refusals: 1 });
+    /// Records that the cloud granted fewer machines than requested.
+    pub(super) fn record_partly_granted(&mut self, offer: Offer, now: u64, settings: &Settings) {
+        let until_ms = now + settings.heartbeat_interval_ms() * PARTLY_GRANTED_HEARTBEATS;
+        self.offers.insert(offer, Unavailable { until_ms, refusals: 1 });
     }
 
-    /// No machine was granted.
-    pub(super) fn refused(&mut self, offer: Offer, now: u64, set: &Settings) {
-        let before = self.offers.get(&offer).map_or(0, |unavailable| unavailable.refusals);
-        let factor = u64::from(1u32 << before.min(MAX_DOUBLINGS));
-        let until = now + set.heartbeat_interval_ms() * REFUSED_HEARTBEATS * factor;
-        self.offers.insert(offer, Unavailable { until, refusals: before + 1 });
+    /// Records that the cloud granted no machine.
+    pub(super) fn record_refused(&mut self, offer: Offer, now: u64, settings: &Settings) {
+        let refusals = self.offers.get(&offer).map_or(0, |unavailable| unavailable.refusals);
+        let factor = u64::from(1u32 << refusals.min(MAX_REFUSAL_DOUBLINGS));
+        let until_ms = now + settings.heartbeat_interval_ms() * REFUSED_HEARTBEATS * factor;
+        self.offers.insert(offer, Unavailable { until_ms, refusals: refusals + 1 });
     }
 }
 
--- a/crates/core/src/leader/autoscaler/owned_machines/tests.rs
+++ b/crates/core/src/leader/autoscaler/owned_machines/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn the_set_is_known_once_loaded_or_determined() {
+fn the_set_is_known_only_after_loading_is_finished() {
     let mut owned = OwnedMachines::default();
     owned.load_part(vec!["one".into()]);
     owned.load_part(vec!["two".into()]);
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -1,4 +1,4 @@
-//! Which machines to rent: the cheapest for the demand that free capacity and machines on their way don't
+//! Scale-out plans: the cheapest machines for the demand that neither free capacity nor requested and booting machines
 //! cover.
 
 use crate::leader::autoscaler::demand::demand;
@@ -10,54 +10,53 @@
 use shaleshunt_wire::{MAX_MACHINES_PER_SCALE_OUT, Resources};
 use std::collections::BTreeMap;
 
-/// So many requests may be made in a round, however few the cloud takes.
-const LEAST_REQUESTS_PER_ROUND: u32 = 3;
+/// Number of requests that a round may always make, even if the cloud's request rate allows fewer.
+const MIN_REQUESTS_PER_ROUND: u32 = 3;
 
-/// Machines of one offer to ask for.
+/// Number of machines to request of one offer.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct PlannedRequest {
     pub(super) offer: Offer,
     pub(super) count: u32,
 }
 
-/// What a round of the autoscaler decided.
+/// Result of a round of the autoscaler.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct ScaleOutPlan {
-    /// In the order in which they are to be made.
+    /// Requests, in the order in which they are sent.
     pub(super) requests: Vec<PlannedRequest>,
-    /// Machines whose free capacity the demand counts on.
+    /// Machines whose free capacity the demand uses.
     pub(super) needed_machines: Vec<Id>,
 }
 
-/// Plans a round: what waits or is expected takes free capacity and machines on their way; for the rest
-/// the cheapest offers are rented.
+/// Plans a round. Waiting and expected tasks first use spare capacity; for the rest the cheapest offers are rented.
 pub(super) fn plan_scale_out(view: &ScaleOutView) -> ScaleOutPlan {
     let demand = demand(view);
     view.scheduling.work.count_autoscaler_run();
     view.scheduling.work.count_autoscaler_machines_examined(view.scheduling.machines.len());
     let mut planner = Planner::new(view, &demand);
     for job in demand {
-        planner.cover(job);
+        planner.cover_job(job);
     }
     planner.plan
 }
 
-/// Capacity that is free or on its way: of a machine that is up or booting, or of one asked for.
+/// Spare capacity of a schedulable, booting or requested machine.
 struct SpareCapacity {
     offer: Offer,
     free: Resources,
-    /// The machine, until it is counted on.
+    /// The machine, until the plan uses it for the first time; absent for a requested machine.
     machine: Option<Id>,
 }
 
 struct Planner<'a, 'b> {
     view: &'b ScaleOutView<'a>,
     spare: Vec<SpareCapacity>,
-    /// Spare capacity before this does not hold even the smallest task any more.
+    /// Index of the first entry of `spare` that can still hold the smallest task.
     first_usable: usize,
     smallest_cores: i64,
     team_usage: BTreeMap<String, Resources>,
-    machines_left: u32,
+    remaining_machines: u32,
     max_requests: u32,
     machines_by_market: BTreeMap<ZoneMarket, u32>,
     plan: ScaleOutPlan,
@@ -75,15 +74,15 @@
             first_usable: 0,
             smallest_cores: demand.iter().map(|job| job.need.cores).min().unwrap_or(0),
             team_usage: view.scheduling.scheduler.usage().by_team().clone(),
-            machines_left: max_requests * MAX_MACHINES_PER_SCALE_OUT,
+            remaining_machines: max_requests * MAX_MACHINES_PER_SCALE_OUT,
             max_requests,
             machines_by_market: machines_by_market(view),
             plan: ScaleOutPlan::default(),
         }
     }
 
-    /// Finds capacity for the job's waiting tasks, within its team's limit.
-    fn cover(&mut self, job: &Job) {
+    /// Finds capacity for the job's waiting tasks, within its team's quota.
+    fn cover_job(&mut self, job: &Job) {
         let Some(quota) = self.view.scheduling.settings.teams.get(&job.spec.team) else { return };
         let used = self.team_usage.entry(job.spec.team.clone()).or_default();
         let tasks = job.waiting_task_count().min(quota.max_tasks(used, &job.need));
@@ -91,48 +90,48 @@
         self.rent(job, uncovered);
     }
 
-    /// Takes spare capacity for up to so many tasks; returns how many found none.
+    /// Assigns spare capacity to up to `tasks` tasks. Returns how many found none.
     fn use_spare(&mut self, job: &Job, tasks: u32) -> u32 {
-        let mut left = tasks;
+        let mut remaining = tasks;
         let mut by_zone = ZoneTasks::default();
         while self.spare.get(self.first_usable).is_some_and(|spare| spare.free.cores < self.smallest_cores) {
             self.first_usable += 1;
         }
         for spare in &mut self.spare[self.first_usable..] {
             self.view.scheduling.work.count_autoscaler_machines_examined(1);
-            if left == 0 {
+            if remaining == 0 {
                 break;
             }
             if !spare.free.fits(&job.need) || !allows(job, spare.offer.kind()) {
                 continue;
             }
-            let fitting = spare.free.fit_count(&job.need, i64::from(left)) as u32;
+            let fitting = spare.free.fit_count(&job.need, i64::from(remaining)) as u32;
             let placed = by_zone.place(job, &spare.offer.zone, fitting);
             if placed == 0 {
                 continue;
             }
             spare.free.add(&job.need, -i64::from(placed));
-            left -= placed;
+            remaining -= placed;
             self.plan.needed_machines.extend(spare.machine.take());
         }
-        self.add_team_usage(job, tasks - left);
-        left
+        self.add_team_usage(job, tasks - remaining);
+        remaining
     }
 
-    /// Rents machines for so many tasks, as long as there are offers and this round may ask for more.
+    /// Rents machines for the tasks, as long as there are offers and the round may request more machines.
     fn rent(&mut self, job: &Job, tasks: u32) {
-        let mut left = tasks;
-        while left > 0 && self.machines_left > 0 {
+        let mut remaining = tasks;
+        while remaining > 0 && self.remaining_machines > 0 {
             let Some(offer) = cheapest_offer(self.view, job, &self.machines_by_market) else { break };
-            let placed = self.rent_machine(job, left, &offer);
-            left = left.saturating_sub(placed);
+            let placed = self.rent_machine(job, remaining, &offer);
+            remaining = remaining.saturating_sub(placed);
             if !self.add_to_requests(offer) {
                 break;
             }
         }
     }
 
-    /// Counts on a machine of this offer; returns how many of the tasks it takes.
+    /// Adds a machine of this offer to the spare capacity. Returns how many of the tasks it holds.
     fn rent_machine(&mut self, job: &Job, tasks: u32, offer: &Offer) -> u32 {
         let machine_type = self.view.catalog.machine_type(&offer.machine_type);
         let mut free = machine_type.map(|machine_type| machine_type.resources()).unwrap_or_default();
@@ -141,22 +140,23 @@
         free.add(&job.need, -i64::from(placed));
         self.spare.push(SpareCapacity { offer: offer.clone(), free, machine: None });
         self.add_team_usage(job, placed);
-        self.machines_left -= 1;
+        self.remaining_machines -= 1;
         let market = ZoneMarket { zone: offer.zone.clone(), spot: offer.spot };
         *self.machines_by_market.entry(market).or_default() += 1;
         placed
     }
 
-    /// Adds one machine to a request for this offer, or to a new one. False if this round may make no
+    /// Adds one machine to a request for this offer, or to a new request. Returns false if the round may make no
     /// further request.
     fn add_to_requests(&mut self, offer: Offer) -> bool {
         let requests = &mut self.plan.requests;
-        let open = |planned: &&mut PlannedRequest| planned.offer == offer && planned.count < MAX_MACHINES_PER_SCALE_OUT;
-        if let Some(planned) = requests.iter_mut().find(open) {
+        let can_grow =
+            |planned: &&mut PlannedRequest| planned.offer == offer && planned.count < MAX_MACHINES_PER_SCALE_OUT;
+        if let Some(planned) = requests.iter_mut().find(can_grow) {
             planned.count += 1;
             return true;
         }
-        if requests.len() as u32 >= self.max_requests.max(LEAST_REQUESTS_PER_ROUND) {
+        if requests.len() as u32 >= self.max_requests.max(MIN_REQUESTS_PER_ROUND) {
             return false;
         }
         requests.push(PlannedRequest { offer, count: 1 });
@@ -168,14 +168,15 @@
     }
 }
 
-/// How many tasks of one job were given spare capacity, by zone.
+/// Number of tasks of one job that were assigned spare capacity, by zone.
 #[derive(Default)]
 struct ZoneTasks {
     by_zone: BTreeMap<String, u32>,
 }
 
 impl ZoneTasks {
-    /// How many of `fitting` tasks may be in this zone beside those placed so far; they are placed.
+    /// Places as many of the `fitting` tasks in the zone as the job's zone rules allow beside those placed so far, and
+    /// returns their number.
     fn place(&mut self, job: &Job, zone: &str, fitting: u32) -> u32 {
         if !job.spec.spread_zones && !job.spec.single_zone {
             return fitting;
@@ -184,17 +185,17 @@
         if job.spec.single_zone && elsewhere {
             return 0;
         }
-        let here = self.by_zone.get(zone).copied().unwrap_or(0);
-        let placed = fitting.min(zone_headroom(job, zone).saturating_sub(here));
+        let in_zone = self.by_zone.get(zone).copied().unwrap_or(0);
+        let placed = fitting.min(zone_headroom(job, zone).saturating_sub(in_zone));
         if placed > 0 {
-            self.by_zone.insert(zone.to_string(), here + placed);
+            self.by_zone.insert(zone.to_string(), in_zone + placed);
         }
         placed
     }
 }
 
-/// Capacity that is free or on its way. The fullest machines come first, so that one that is not needed
-/// stays empty and goes back.
+/// Collects spare capacity, the fullest machines first, so that a machine that is not needed stays empty and is
+/// returned.
 fn spare_capacity(view: &ScaleOutView) -> Vec<SpareCapacity> {
     let machines = view.scheduling.machines.values().filter(|machine| is_usable_soon(view, machine));
     let mut spare: Vec<SpareCapacity> = machines
@@ -216,8 +217,8 @@
     spare
 }
 
-/// Whether the machine takes tasks now or is booting. One that boots in a partitioned zone is of no use
-/// before the partition is over.
+/// Whether the machine is schedulable or booting. A machine that boots in a partitioned zone is unusable until the
+/// partition ends.
 fn is_usable_soon(view: &ScaleOutView, machine: &Machine) -> bool {
     let booting = machine.agent.last_heartbeat_ms.is_none()
         && !machine.lifecycle.scale_in_wanted
--- a/crates/core/src/leader/autoscaler/requests.rs
+++ b/crates/core/src/leader/autoscaler/requests.rs
@@ -1,4 +1,4 @@
-//! Makes scale-out requests to the cloud and takes in its answers.
+//! Sends scale-out requests to the cloud and handles its replies.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -8,7 +8,7 @@
 use crate::model::Id;
 use shaleshunt_wire::cloud::ScaleOutRequest;
 
-/// A request without an answer is made again after this part of a heartbeat interval.
+/// Retries per heartbeat interval of a request without a clear answer.
 const RETRIES_PER_HEARTBEAT: u64 = 3;
 
 impl Leader {
@@ -19,15 +19,15 @@
         self.autoscaler.scale_outs.add(ScaleOutRequest { request, machine_type, zone, spot, count });
     }
 
-    /// Makes requests that are recorded and not answered.
+    /// Sends the requests that are recorded and not answered yet.
     pub(super) fn send_scale_outs(&mut self, ctx: &mut Context) {
         for request in self.autoscaler.scale_outs.take_due(ctx.now.monotonic_ms) {
-            let wait = self.pending_request(LeaderRequest::ScaleOut(request.request.clone()));
-            ctx.send_cloud(CloudRequest::ScaleOut(request), wait);
+            let pending = self.pending_request(LeaderRequest::ScaleOut(request.request.clone()));
+            ctx.send_cloud(CloudRequest::ScaleOut(request), pending);
         }
     }
 
-    /// A request came back. Without a clear answer it is made again under the same name.
+    /// Handles the reply to a request. Without a clear answer the request is sent again under the same name.
     pub(super) fn handle_scale_out_reply(
         &mut self,
         ctx: &mut Context,
@@ -61,9 +61,13 @@
         });
         let offer = Offer { machine_type, zone, spot };
         if (granted.len() as u32) < count {
-            self.autoscaler.unavailable_offers.partly_granted(offer.clone(), ctx.now.monotonic_ms, &ctx.settings);
+            self.autoscaler.unavailable_offers.record_partly_granted(
+                offer.clone(),
+                ctx.now.monotonic_ms,
+                &ctx.settings,
+            );
         } else {
-            self.autoscaler.unavailable_offers.granted(&offer);
+            self.autoscaler.unavailable_offers.record_granted(&offer);
         }
         for id in granted {
             if !self.fleet.machines.contains_key(&id) {
@@ -79,6 +83,6 @@
         self.autoscaler.scale_outs.mark_answered(&name, Vec::new());
         ctx.emit(Event::ScaleOutNoCapacity { request: name, zone: zone.clone() });
         let offer = Offer { machine_type, zone, spot };
-        self.autoscaler.unavailable_offers.refused(offer, ctx.now.monotonic_ms, &ctx.settings);
+        self.autoscaler.unavailable_offers.record_refused(offer, ctx.now.monotonic_ms, &ctx.settings);
     }
 }
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -1,4 +1,4 @@
-//! Which machines are returned to the cloud, and what happens when one is.
+//! Scale in: which machines are returned to the cloud, and the handling of the cloud's replies.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -11,10 +11,10 @@
 use shaleshunt_wire::{AgentEpoch, MAX_MACHINES_PER_SCALE_IN};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A machine that has not come up after so many times its type's usual boot time never will.
-const BOOT_TIMES_BEFORE_GIVING_UP: f64 = 4.0;
+/// A machine that has not come up after this many usual boot times of its type never will.
+const MAX_BOOT_TIMES: f64 = 4.0;
 
-/// What a decision to scale in reads.
+/// Input of a scale-in decision.
 pub(super) struct ScaleInView<'a> {
     pub(super) jobs: &'a BTreeMap<Id, Job>,
     pub(super) machines: &'a MachineIndex,
@@ -22,106 +22,108 @@
     pub(super) settings: &'a Settings,
     pub(super) tuning: &'a Tuning,
     pub(super) now: Timestamp,
-    /// When this leader was elected (steady clock, ms).
-    pub(super) elected_at: u64,
-    /// Few machines are overdue: the fault is theirs and not ours.
+    /// When this leader was elected (ms, monotonic).
+    pub(super) elected_at_ms: u64,
+    /// Whether only few machines have overdue heartbeats, so that these machines are at fault and not the network or
+    /// this controller.
     pub(super) few_overdue: bool,
     /// Zones in which another controller may renew the leases of machines.
     pub(super) zones_with_controllers: BTreeSet<&'a str>,
 }
 
-/// Why a machine is returned.
+/// Reason for returning a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum ScaleInReason {
-    /// Its agent was heard by an earlier leader, but never by this one.
-    NeverHeard,
-    /// It did not come up.
+    /// The agent sent heartbeats to an earlier leader, but never to this one.
+    NoHeartbeat,
+    /// The machine did not come up.
     NeverBooted,
-    /// Its agent was not heard for too long.
-    Silent,
-    /// The cloud is about to take it back, and it is empty.
+    /// The agent has sent no heartbeat for too long.
+    Unreachable,
+    /// The cloud is about to preempt the machine, which has no placements.
     Preempted,
-    /// It has had no work for long.
+    /// The machine has had no work for too long.
     Idle,
 }
 
-/// A machine that is to be returned.
+/// A machine to return.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) struct ScaleIn {
     pub(super) machine: Id,
     pub(super) reason: ScaleInReason,
 }
 
-/// Machines that are to be returned and were not so far.
+/// Machines to return whose return is not wanted or requested yet.
 pub(super) fn plan_scale_in(view: &ScaleInView) -> Vec<ScaleIn> {
-    let kept = |machine: &&Machine| !machine.lifecycle.scale_in_wanted && !machine.lifecycle.scale_in_requested;
+    let not_returning =
+        |machine: &&Machine| !machine.lifecycle.scale_in_wanted && !machine.lifecycle.scale_in_requested;
     view.machines
         .values()
-        .filter(kept)
+        .filter(not_returning)
         .filter_map(|machine| view.reason(machine).map(|reason| ScaleIn { machine: machine.id.clone(), reason }))
         .collect()
 }
 
 impl ScaleInView<'_> {
-    /// Why the machine is to be returned, if it is. An owned machine is not: it goes only when the cloud's
-    /// list shows that it failed.
+    /// Reason for returning the machine, if any. An owned machine is returned only if the cloud's list shows that it
+    /// failed, which is not decided here.
     fn reason(&self, machine: &Machine) -> Option<ScaleInReason> {
         match machine.agent.last_heartbeat_ms {
             None if machine.owned => None,
             None if machine.agent.epoch > AgentEpoch::NONE => {
-                self.leads_for_long().then_some(ScaleInReason::NeverHeard)
+                self.was_elected_long_ago().then_some(ScaleInReason::NoHeartbeat)
             }
             None => self.never_booted(machine).then_some(ScaleInReason::NeverBooted),
             Some(_) if machine.owned => None,
-            Some(heard) => self.reason_of_heard(machine, heard),
+            Some(last_heartbeat_ms) => self.reason_after_heartbeats(machine, last_heartbeat_ms),
         }
     }
 
-    fn reason_of_heard(&self, machine: &Machine, heard: u64) -> Option<ScaleInReason> {
-        let silent_ms = self.now.monotonic_ms.saturating_sub(heard);
-        if silent_ms > self.longest_silence_ms(machine) {
-            Some(ScaleInReason::Silent)
+    fn reason_after_heartbeats(&self, machine: &Machine, last_heartbeat_ms: u64) -> Option<ScaleInReason> {
+        let elapsed_ms = self.now.monotonic_ms.saturating_sub(last_heartbeat_ms);
+        if elapsed_ms > self.machine_loss_timeout_ms(machine) {
+            Some(ScaleInReason::Unreachable)
         } else if !machine.placements.is_empty() {
             None
         } else if machine.lifecycle.preemption_at_ms.is_some() {
             Some(ScaleInReason::Preempted)
         } else {
-            self.idle_for_long(machine).then_some(ScaleInReason::Idle)
+            self.is_idle_too_long(machine).then_some(ScaleInReason::Idle)
         }
     }
 
-    /// Silence after which a machine is taken to be lost, in ms.
-    fn silence_ms(&self) -> u64 {
+    /// Time without a heartbeat after which a machine counts as lost, in ms.
+    fn loss_timeout_ms(&self) -> u64 {
         (self.settings.heartbeat_interval_s * self.tuning.missed_heartbeats * 1000.0) as u64
     }
 
-    /// This leader has led for long enough to have heard every machine.
-    fn leads_for_long(&self) -> bool {
-        self.now.monotonic_ms.saturating_sub(self.elected_at) > self.silence_ms() * 2
+    /// Whether this leader was elected long enough ago that every machine has had time to send it a heartbeat.
+    fn was_elected_long_ago(&self) -> bool {
+        self.now.monotonic_ms.saturating_sub(self.elected_at_ms) > self.loss_timeout_ms() * 2
     }
 
     fn never_booted(&self, machine: &Machine) -> bool {
         let machine_type = self.catalog.and_then(|catalog| catalog.machine_type(&machine.machine_type));
         let boot_s = machine_type.map_or(self.settings.lease_s, |machine_type| machine_type.boot_s);
         let age_s = self.now.wall_ms.saturating_sub(machine.rented_at_ms) as f64 / 1000.0;
-        let patience_s = boot_s * BOOT_TIMES_BEFORE_GIVING_UP + self.settings.heartbeat_interval_s;
-        age_s > patience_s && self.leads_for_long()
+        let timeout_s = boot_s * MAX_BOOT_TIMES + self.settings.heartbeat_interval_s;
+        age_s > timeout_s && self.was_elected_long_ago()
     }
 
-    /// How long this machine may be silent, in ms.
-    fn longest_silence_ms(&self, machine: &Machine) -> u64 {
-        let silence_ms = self.silence_ms();
+    /// Time without a heartbeat after which this machine counts as lost, in ms.
+    fn machine_loss_timeout_ms(&self, machine: &Machine) -> u64 {
+        let loss_timeout_ms = self.loss_timeout_ms();
         if machine.agent.partitioned && self.zones_with_controllers.contains(machine.zone.as_str()) {
-            // The controller there renews its leases for a while: what it runs goes on, and is better
-            // waited for unless it has a deadline.
+            // The controller in the machine's zone renews its leases for a while, so its tasks keep running. Waiting
+            // for the machine is better, unless one of its jobs has a deadline.
             return if self.has_deadline_work(machine) {
-                silence_ms * 2 / 3
+                loss_timeout_ms * 2 / 3
             } else {
                 self.settings.lease_renewal_window_ms() + self.settings.lease_expiry_ms()
             };
         }
-        let ignores_commands = machine.agent.unacknowledged_commands > 0 && self.few_overdue;
-        if ignores_commands { silence_ms / 2 } else { silence_ms }
+        let misses_commands = machine.agent.unacknowledged_commands > 0 && self.few_overdue;
+        if misses_commands { loss_timeout_ms / 2 } else { loss_timeout_ms }
     }
 
     fn has_deadline_work(&self, machine: &Machine) -> bool {
@@ -129,15 +131,15 @@
         jobs.any(|job| job.deadline().is_some())
     }
 
-    fn idle_for_long(&self, machine: &Machine) -> bool {
-        let idle_since = machine.lifecycle.idle_since_ms.max(machine.lifecycle.needed_at_ms);
-        let idle_ms = self.now.monotonic_ms.saturating_sub(idle_since) as f64;
+    fn is_idle_too_long(&self, machine: &Machine) -> bool {
+        let idle_since_ms = machine.lifecycle.idle_since_ms.max(machine.lifecycle.needed_at_ms);
+        let idle_ms = self.now.monotonic_ms.saturating_sub(idle_since_ms) as f64;
         idle_ms > self.tuning.idle_before_scale_in_s * 1000.0
     }
 }
 
 impl Leader {
-    /// Marks machines that are to be returned, and asks the cloud to take some of them back.
+    /// Marks the machines to return, and requests the return of some of them from the cloud.
     pub(super) fn scale_in(&mut self, ctx: &mut Context) {
         let planned = plan_scale_in(&self.scale_in_view(ctx));
         for scale_in in planned {
@@ -153,9 +155,9 @@
             returned.push(machine.id.clone());
         }
         if !returned.is_empty() {
-            let wait = self.pending_request(LeaderRequest::ScaleIn(returned.clone()));
+            let pending = self.pending_request(LeaderRequest::ScaleIn(returned.clone()));
             let names = returned.iter().map(|id| id.to_string()).collect();
-            ctx.send_cloud(CloudRequest::ScaleIn(names), wait);
+            ctx.send_cloud(CloudRequest::ScaleIn(names), pending);
         }
     }
 
@@ -167,13 +169,13 @@
             settings: &ctx.settings,
             tuning: &ctx.tuning,
             now: ctx.now,
-            elected_at: self.elected_at,
+            elected_at_ms: self.elected_at,
             few_overdue: self.fleet.reachability.few_overdue(),
             zones_with_controllers: ctx.peer_lease_reports.values().map(|report| report.zone.as_str()).collect(),
         }
     }
 
-    /// The cloud answered a request to take machines back. Without its confirmation they are asked for again.
+    /// Handles the reply to a scale-in request. Without a confirmation the machines are requested again.
     pub(super) fn handle_scale_in_reply(
         &mut self,
         ctx: &mut Context,
@@ -190,7 +192,7 @@
         }
     }
 
-    /// A machine is proven gone, by a return that was confirmed; so is what ran on it.
+    /// Removes a machine and releases its placements, because the confirmed return proves both gone.
     fn remove_machine(&mut self, ctx: &mut Context, id: &Id) {
         let placements: Vec<u64> = match self.fleet.machines.get(id) {
             Some(machine) => machine.placements.iter().map(|placement| placement.placement_id).collect(),
--- a/crates/core/src/leader/autoscaler/view.rs
+++ b/crates/core/src/leader/autoscaler/view.rs
@@ -1,4 +1,4 @@
-//! What decisions to scale out read: a borrowed picture of the cloud, the fleet and the queue at one time.
+//! Input of scale-out decisions: references to the state of the cloud, the fleet and the queue at one time.
 
 use crate::leader::autoscaler::arrivals::Arrivals;
 use crate::leader::autoscaler::offers::UnavailableOffers;
@@ -7,7 +7,7 @@
 use crate::leader::scheduler::view::SchedulingView;
 use shaleshunt_wire::cloud::Catalog;
 
-/// What a decision to scale out reads.
+/// Input of a scale-out decision.
 pub(crate) struct ScaleOutView<'a> {
     pub(super) scheduling: SchedulingView<'a>,
     pub(super) catalog: &'a Catalog,
@@ -18,13 +18,13 @@
 }
 
 impl ScaleOutView<'_> {
-    /// The longest usual boot time of any type, in seconds.
+    /// The longest usual boot time of all machine types, in seconds.
     pub(super) fn longest_boot_s(&self) -> f64 {
         longest_boot_s(self.catalog)
     }
 }
 
-/// The longest usual boot time of the catalog's types, in seconds.
+/// The longest usual boot time of the catalog's machine types, in seconds; 0 for an empty catalog.
 pub(super) fn longest_boot_s(catalog: &Catalog) -> f64 {
     catalog.machine_types.iter().map(|machine_type| machine_type.boot_s).fold(0.0, f64::max)
 }
--- a/crates/core/src/leader/fleet/calls.rs
+++ b/crates/core/src/leader/fleet/calls.rs
@@ -3,8 +3,7 @@
 use crate::model::{Id, Machine};
 use std::collections::{BTreeSet, VecDeque};
 
-/// Machines to call. At most `max_in_flight` token confirmations are in flight at a time (see
-/// [`CallQueue::next_unconfirmed`]).
+/// Machines to call, and the number of token confirmations in flight.
 #[derive(Debug, Default)]
 pub(crate) struct CallQueue {
     due: BTreeSet<Id>,
@@ -34,8 +33,8 @@
         CallDecision::AfterCurrentCall
     } else if machine.agent.partitioned {
         CallDecision::ReleaseUnsent
-    } else if now < machine.call.not_before() {
-        CallDecision::Later(machine.call.not_before())
+    } else if now < machine.call.not_before_ms() {
+        CallDecision::Later(machine.call.not_before_ms())
     } else if machine.agent.can_be_called() {
         CallDecision::Call
     } else {
--- a/crates/core/src/leader/fleet/health.rs
+++ b/crates/core/src/leader/fleet/health.rs
@@ -1,9 +1,10 @@
 //! Decides whether a failed task is the fault of the machine or of the job.
 //!
-//! If other tasks of the job have run for longer elsewhere, the job is healthy and the machine is at fault. The machine
-//! goes into quarantine and is then tried with one task. A job that failed on several machines without any such sign is
-//! held back, and its failures count against no machine. The sign matters when dozens of machines fail at once: a large
-//! job then fails many times before its first task ends.
+//! If another task of the job is done or has run for longer elsewhere, the job is healthy and the machine is at fault.
+//! The machine goes into quarantine and is then tried with one task. A job that failed on several machines without any
+//! such sign is held back, and its failures count against no machine unless some of its tasks run elsewhere. Those
+//! running tasks matter when dozens of machines fail at once: a large job then fails many times before its first task
+//! ends.
 
 use crate::leader::fleet::machines::MachineIndex;
 use crate::model::{Job, MachineHealth, Placement, TaskPlacement};
@@ -27,13 +28,13 @@
 /// Assessment of a job after a failure of one of its tasks.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum JobDiagnosis {
-    /// Its tasks run well elsewhere.
+    /// Other tasks of the job are done or ran for longer elsewhere.
     Healthy,
-    /// It has not failed often enough to tell.
+    /// The job has not failed often enough to tell.
     Unknown,
-    /// It fails often, but some of its tasks run on machines where none has failed.
+    /// The job fails often, but some of its tasks run on machines where none has failed.
     Suspect,
-    /// It fails everywhere.
+    /// The job fails everywhere.
     Broken,
 }
 
@@ -42,7 +43,7 @@
 pub(crate) enum MachineDiagnosis {
     /// Not enough failures to tell.
     Unknown,
-    /// It fails tasks that would run well elsewhere.
+    /// The machine fails tasks that would run well elsewhere.
     Failing,
 }
 
@@ -108,7 +109,7 @@
 pub(crate) struct FailedTask<'a> {
     /// The machine that it ran on.
     pub machine: &'a str,
-    /// How long it had run, in ms, with an allowance for late heartbeats.
+    /// How long the task had run, in ms, with an allowance for late heartbeats.
     pub ran_ms: u64,
 }
 
--- a/crates/core/src/leader/fleet/partitions.rs
+++ b/crates/core/src/leader/fleet/partitions.rs
@@ -25,7 +25,7 @@
 /// Result of a check.
 #[derive(Debug, PartialEq, Eq)]
 pub(crate) enum PartitionFinding {
-    /// No machine has sent a heartbeat lately, but that may still be chance.
+    /// No machine has sent a heartbeat recently, but that may still be chance.
     Inconclusive,
     /// No machine has sent a heartbeat for so long that the leader itself must be partitioned.
     LeaderPartitioned,
--- a/crates/core/src/leader/fleet/probes.rs
+++ b/crates/core/src/leader/fleet/probes.rs
@@ -27,7 +27,7 @@
 }
 
 fn may_be_probed(machine: &Machine, now: u64) -> bool {
-    !machine.owned && !machine.placements.is_empty() && machine.call.is_idle() && now >= machine.call.not_before()
+    !machine.owned && !machine.placements.is_empty() && machine.call.is_idle() && now >= machine.call.not_before_ms()
 }
 
 #[cfg(test)]
--- a/crates/core/src/leader/fleet/reachability.rs
+++ b/crates/core/src/leader/fleet/reachability.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Expects heartbeats from a machine that is known from its record. The zone counts as heard until `until_ms`.
+    /// Counts a machine that is known from its record. Until `until_ms`, its zone is treated as if heartbeats arrived.
     pub(crate) fn expect_machine(&mut self, zone: &str, until_ms: u64) {
         let activity =
             self.zones.entry(zone.to_string()).or_insert(ZoneActivity { last_heartbeat_ms: until_ms, machines: 0 });
