--- a/crates/core/src/leader/autoscaler/demand.rs
+++ b/crates/core/src/leader/autoscaler/demand.rs
@@ -56,8 +56,9 @@
         .sum()
 }
 
-/// Whether the job is to get rented machines by now. A job with a deadline is, once it is offloaded. Other jobs wait
-/// for owned machines, but no longer than their class's objective allows after subtracting the boot time of a machine.
+/// Whether the job is to get rented machines by now. A job with a deadline gets them once it is offloaded. Other jobs
+/// wait for owned machines, but no longer than their class's objective allows after subtracting the boot time of a
+/// machine.
 fn wants_rented_machines(view: &ScaleOutView, job: &Job, fleet: &mut FleetCapacity) -> bool {
     let has_deadline = job.deadline().is_some();
     if has_deadline && job.scheduling.offloaded {
--- a/crates/core/src/leader/autoscaler/owned_machines.rs
+++ b/crates/core/src/leader/autoscaler/owned_machines.rs
@@ -1,4 +1,6 @@
 //! The owned machines: those that were up when the service started for the first time.
+//!
+//! The set is recorded once and never changes after that.
 
 use std::collections::BTreeSet;
 
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -52,7 +52,7 @@
 struct Planner<'a, 'b> {
     view: &'b ScaleOutView<'a>,
     spare: Vec<SpareCapacity>,
-    /// Index of the first entry of `spare` that can still hold the smallest task.
+    /// Entries of `spare` before this index cannot hold even the smallest task.
     first_usable: usize,
     smallest_cores: i64,
     team_usage: BTreeMap<String, Resources>,
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -175,7 +175,7 @@
         }
     }
 
-    /// Handles the reply to a scale-in request. Without a confirmation the machines are requested again.
+    /// Handles the reply to a scale-in request. Without a confirmation, the return of the machines is requested again.
     pub(super) fn handle_scale_in_reply(
         &mut self,
         ctx: &mut Context,
--- a/crates/core/src/model/agent/tests.rs
+++ b/crates/core/src/model/agent/tests.rs
@@ -10,7 +10,7 @@
     let outdated = |agent: &Agent| {
         [order(1, 9), order(2, 0), order(2, 4), order(2, 5), order(3, 0)].map(|heartbeat| agent.is_outdated(heartbeat))
     };
-    // Without any heartbeat, only the agent epoch from the machine's record counts.
+    // Before the first heartbeat, any heartbeat of the recorded agent epoch or a later one is accepted.
     assert_eq!(outdated(&agent), [true, false, false, false, false]);
     agent.record_heartbeat(order(2, 4), 100);
     assert_eq!(outdated(&agent), [true, true, true, false, false]);
