--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -1,4 +1,4 @@
-//! A transaction being put together, within the limits of the key-value store.
+//! Builds transactions within the limits of the key-value store.
 
 use crate::model::{Id, Job};
 use crate::records::keys;
@@ -7,72 +7,72 @@
 use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::BTreeSet;
 
-/// Bytes that frame a key and its value in a request, besides the key's two mentions.
+/// Bytes around a key and its value in a request. The key itself occurs twice: in the write and in its precondition.
 const WRITE_FRAME_BYTES: usize = 60;
-/// Bytes that frame a key in a condition.
-const CONDITION_FRAME_BYTES: usize = 40;
+/// Bytes around a key in a precondition.
+const PRECONDITION_FRAME_BYTES: usize = 40;
 
-/// How many writes and conditions a transaction may have.
+/// Maximum number of writes and preconditions in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct TransactionLimits {
     pub writes: usize,
-    pub conditions: usize,
+    pub preconditions: usize,
 }
 
-/// Room that a change takes in a transaction.
+/// Space that a change needs in a transaction.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Space {
     pub writes: usize,
-    pub conditions: usize,
+    pub preconditions: usize,
     pub bytes: usize,
 }
 
 impl Space {
-    /// That of one write with the condition on its own key.
+    /// Space for one write and the precondition on its key.
     pub(super) fn one_write(bytes: usize) -> Space {
-        Space { writes: 1, conditions: 1, bytes }
+        Space { writes: 1, preconditions: 1, bytes }
     }
 }
 
-/// A transaction being put together. Each key that it writes is required to have the version that
-/// the leader knows.
+/// A transaction under construction. Each write has a precondition on the key's version as the leader knows it.
 #[derive(Debug)]
 pub(super) struct TransactionBuilder {
     transaction: Transaction,
-    /// Jobs whose record's version is required.
+    /// Jobs with a precondition on the version of their record.
     jobs: BTreeSet<Id>,
     bytes: usize,
-    /// Writes that will come for certain, with conditions on their own keys; their bytes are not known yet.
+    /// Number of writes that will be added later, each with a precondition on its key. Their sizes are not included in
+    /// `bytes`.
     reserved_writes: usize,
     limits: TransactionLimits,
 }
 
 impl TransactionBuilder {
-    /// Most bytes, with room for what frames the values.
+    /// Maximum bytes of a transaction. The eighth of the body limit that remains is for what surrounds the values.
     pub(super) const MAX_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
 
-    /// An empty transaction.
+    /// Creates an empty transaction.
     pub(super) fn new(limits: TransactionLimits) -> TransactionBuilder {
         let transaction = Transaction { preconditions: Vec::new(), writes: Vec::new() };
         TransactionBuilder { transaction, jobs: BTreeSet::new(), bytes: 0, reserved_writes: 0, limits }
     }
 
-    /// Whether a change fits in beside the reserved writes. While there are none, a change that is too
-    /// large for any transaction goes alone.
+    /// Whether a change fits in addition to the reserved writes. An oversized change fits if the transaction is empty
+    /// and no writes are reserved, so that the change is sent alone.
     pub(super) fn has_space_for(&self, space: Space) -> bool {
         let reserved = self.reserved_writes;
         (reserved == 0 || self.fits_bytes(space.bytes))
             && self.has_space_without_reserved(Space {
                 writes: space.writes + reserved,
-                conditions: space.conditions + reserved,
+                preconditions: space.preconditions + reserved,
                 bytes: space.bytes,
             })
     }
 
-    /// Whether a change fits in if the reserved writes are left out of account.
+    /// Whether a change fits if the reserved writes are not counted.
     pub(super) fn has_space_without_reserved(&self, space: Space) -> bool {
         self.transaction.writes.len() + space.writes <= self.limits.writes
-            && self.transaction.preconditions.len() + space.conditions <= self.limits.conditions
+            && self.transaction.preconditions.len() + space.preconditions <= self.limits.preconditions
             && (self.fits_bytes(space.bytes) || self.transaction.writes.is_empty())
     }
 
@@ -80,17 +80,17 @@
         self.bytes + bytes <= Self::MAX_BYTES
     }
 
-    /// One more write will come for certain.
+    /// Reserves a write that will be added later.
     pub(super) fn reserve_write(&mut self) {
         self.reserved_writes += 1;
     }
 
-    /// The reserved writes are put in now.
+    /// Releases all reservations, before the reserved writes are added.
     pub(super) fn release_reserved(&mut self) {
         self.reserved_writes = 0;
     }
 
-    /// Writes so far, the reserved ones included.
+    /// Number of writes, including the reserved ones.
     pub(super) fn write_count_with_reserved(&self) -> usize {
         self.write_count() + self.reserved_writes
     }
@@ -111,41 +111,42 @@
         &self.transaction
     }
 
-    /// Requires the leader's epoch, by its key's version. It counts no bytes: the limit leaves room.
+    /// Requires that the epoch's key has a version, so that the transaction fails after another leader was elected. The
+    /// bytes of the precondition aren't counted, as the limit leaves enough space.
     pub(super) fn require_epoch(&mut self, version: Revision) {
         self.transaction.preconditions.push(Precondition { key: keys::EPOCH.into(), version });
     }
 
-    /// Requires that a key is not there.
+    /// Requires that a key doesn't exist.
     pub(super) fn require_absent(&mut self, key: String) {
-        self.bytes += key.len() + CONDITION_FRAME_BYTES;
+        self.bytes += key.len() + PRECONDITION_FRAME_BYTES;
         self.transaction.preconditions.push(Precondition { key, version: Revision::ABSENT });
     }
 
-    /// Requires that a job's record is the one that is known.
+    /// Requires that a job's record has the version known to the leader.
     pub(super) fn require_job_version(&mut self, job: &Job) {
         if self.jobs.insert(job.id.clone()) {
-            let path = keys::job(&job.id);
-            self.bytes += path.len() + CONDITION_FRAME_BYTES;
-            self.transaction.preconditions.push(Precondition { key: path, version: job.record.version });
+            let key = keys::job(&job.id);
+            self.bytes += key.len() + PRECONDITION_FRAME_BYTES;
+            self.transaction.preconditions.push(Precondition { key, version: job.record.version });
         }
     }
 
-    /// Sets a key to a value of so many bytes.
+    /// Sets a key to a value of `bytes` bytes, if the key still has this version.
     pub(super) fn set(&mut self, key: String, version: Revision, value: Value, bytes: usize) {
         self.bytes += bytes + key.len() * 2 + WRITE_FRAME_BYTES;
         self.transaction.preconditions.push(Precondition { key: key.clone(), version });
         self.transaction.writes.push(Write::set(key, value));
     }
 
-    /// Removes a key.
+    /// Removes a key, if it still has this version.
     pub(super) fn drop_key(&mut self, key: String, version: Revision) {
         self.bytes += key.len() * 2 + WRITE_FRAME_BYTES;
         self.transaction.preconditions.push(Precondition { key: key.clone(), version });
         self.transaction.writes.push(Write::delete(key));
     }
 
-    /// Removes a job's record, whose version may be required already.
+    /// Removes a job's record. The precondition on its version is added unless the transaction already has it.
     pub(super) fn drop_job(&mut self, job: &Job) {
         let key = keys::job(&job.id);
         if self.jobs.insert(job.id.clone()) {
@@ -155,14 +156,14 @@
         }
     }
 
-    /// The version that a key is required to have; absent for one that is not among the conditions.
+    /// The version that a key is required to have, or `Revision::ABSENT` for a key without a precondition.
     pub(super) fn required_version(&self, key: &str) -> Revision {
-        let condition = self.transaction.preconditions.iter().find(|condition| condition.key == key);
-        condition.map_or(Revision::ABSENT, |condition| condition.version)
+        let precondition = self.transaction.preconditions.iter().find(|precondition| precondition.key == key);
+        precondition.map_or(Revision::ABSENT, |precondition| precondition.version)
     }
 
-    /// A key that only the leader writes and that shows whether this was carried out, with its
-    /// version before. None while there are no writes.
+    /// Returns the marker: a written key whose version shows whether the transaction was committed, with its version
+    /// before. Only the leader makes this kind of change to the key. `None` while there are no writes.
     pub(super) fn marker(&self) -> Option<Precondition> {
         let set = self.transaction.writes.iter().find_map(|write| match write {
             Write::Set { key, .. } if !key.starts_with(keys::JOBS) => Some(key),
