--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -15,7 +15,7 @@
 use std::collections::VecDeque;
 
 /// Most transactions of acceptances in flight.
-const MAX_IN_FLIGHT: u32 = 2;
+const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
 /// Most bytes of a transaction, as estimated: some room is left for what the estimate misses.
 const MAX_TRANSACTION_BYTES: usize = MAX_BODY * 7 / 8;
 /// Bytes that a write and its two conditions take besides their keys and the value, as estimated.
@@ -100,20 +100,20 @@
         self.waiting.len()
     }
 
-    /// Takes out the oldest submission if it came more than `patience_ms` ago.
-    pub fn pop_overdue(&mut self, now_ms: u64, patience_ms: u64) -> Option<PendingSubmission> {
-        self.waiting.pop_front_if(|oldest| now_ms.saturating_sub(oldest.received_at_ms) > patience_ms)
+    /// Takes out the oldest submission if it came more than `max_wait_ms` ago.
+    pub fn pop_overdue(&mut self, now_ms: u64, max_wait_ms: u64) -> Option<PendingSubmission> {
+        self.waiting.pop_front_if(|oldest| now_ms.saturating_sub(oldest.received_at_ms) > max_wait_ms)
     }
 
     /// The next batch, if anything waits and a transaction may be sent. It counts as in flight if it
     /// holds any submission.
     pub fn next_batch(&mut self, limits: &StoreLimits) -> Option<AcceptanceBatch> {
-        if self.in_flight >= MAX_IN_FLIGHT || self.waiting.is_empty() {
+        if self.in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || self.waiting.is_empty() {
             return None;
         }
-        let most = self.batch_limit.clamp(1, limits.ops().max(1));
+        let max_submissions = self.batch_limit.clamp(1, limits.ops().max(1));
         let mut batch = AcceptanceBatch::default();
-        while batch.submissions.len() < most
+        while batch.submissions.len() < max_submissions
             && let Some(submission) = self.waiting.pop_front()
         {
             if let Err(left_over) = batch.add(submission, limits.value_bytes()) {
@@ -128,7 +128,7 @@
     }
 
     /// A transaction in flight was answered.
-    pub fn finish(&mut self) {
+    pub fn finish_transaction(&mut self) {
         self.in_flight -= 1;
     }
 
--- a/crates/core/src/api/acceptance/tests.rs
+++ b/crates/core/src/api/acceptance/tests.rs
@@ -72,12 +72,12 @@
     for expected in [1, 2, 4, 8, 10, 10] {
         let batch = queue.next_batch(&limits).unwrap();
         assert_eq!(batch.submissions.len(), expected);
-        queue.finish();
+        queue.finish_transaction();
         queue.grow_batches(&limits);
     }
     let batch = queue.next_batch(&limits).unwrap();
     let first = batch.submissions[0].request;
-    queue.finish();
+    queue.finish_transaction();
     queue.retry_in_smaller_batches(batch.submissions);
     let smaller = queue.next_batch(&limits).unwrap();
     assert_eq!(requests(&smaller.submissions), (first..first + 5).collect::<Vec<_>>());
@@ -96,7 +96,7 @@
     }
     assert!(queue.next_batch(&limits).is_some() && queue.next_batch(&limits).is_some());
     assert!(queue.next_batch(&limits).is_none());
-    queue.finish();
+    queue.finish_transaction();
     assert!(queue.next_batch(&limits).is_some());
 }
 
--- a/crates/core/src/api/comparisons.rs
+++ b/crates/core/src/api/comparisons.rs
@@ -9,7 +9,7 @@
 use std::collections::VecDeque;
 
 /// Most comparing transactions in flight.
-const MAX_IN_FLIGHT: u32 = 2;
+const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
 
 /// Queries that wait for a comparison, oldest first.
 #[derive(Debug, Default)]
@@ -64,7 +64,7 @@
 
     /// The next batch, if one is due. It counts as in flight if it holds any query.
     pub fn next_batch(&mut self, now_ms: u64, limits: ComparisonLimits, known: &KnownJobs) -> Option<ComparisonBatch> {
-        if self.in_flight >= MAX_IN_FLIGHT || !self.is_due(now_ms, limits) {
+        if self.in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || !self.is_due(now_ms, limits) {
             return None;
         }
         let mut batch = ComparisonBatch::default();
@@ -80,7 +80,7 @@
     }
 
     /// A transaction in flight was answered.
-    pub fn finish(&mut self) {
+    pub fn finish_transaction(&mut self) {
         self.in_flight -= 1;
     }
 
@@ -92,7 +92,7 @@
 
 impl ComparisonBatch {
     fn add(&mut self, query: JobQuery, known: &KnownJobs) {
-        let Some(version) = known.unfinished(&query.job).map(|job| job.revision) else {
+        let Some(version) = known.unfinished(&query.job).map(|job| job.record_version) else {
             self.unknown.push(query);
             return;
         };
--- a/crates/core/src/api/comparisons/tests.rs
+++ b/crates/core/src/api/comparisons/tests.rs
@@ -12,8 +12,8 @@
 fn known(jobs: &[&str]) -> KnownJobs {
     let mut known = KnownJobs::new(100);
     for (number, job) in jobs.iter().enumerate() {
-        let revision = Revision(number as u64 + 1);
-        known.record_unfinished(job, UnfinishedJob { revision, ..UnfinishedJob::default() });
+        let record_version = Revision(number as u64 + 1);
+        known.record_unfinished(job, UnfinishedJob { record_version, ..UnfinishedJob::default() });
     }
     known
 }
@@ -44,7 +44,7 @@
     }
     let batch = queue.next_batch(0, LIMITS, &known).unwrap();
     let conditions = [("j/wk-1", 1), ("j/wk-2", 2)]
-        .map(|(path, revision)| Condition { path: path.into(), version: Revision(revision) });
+        .map(|(path, version)| Condition { path: path.into(), version: Revision(version) });
     assert_eq!(batch.transaction, Transaction { conditions: conditions.into(), writes: Vec::new() });
     assert_eq!((requests(&batch.queries), requests(&batch.unknown)), (vec![1, 3, 4], vec![2]));
 }
@@ -59,7 +59,7 @@
         queue.push(0, query(request, "wk-1"));
         assert_eq!(queue.next_batch(100, LIMITS, &known).is_some(), request < 4);
     }
-    queue.finish();
+    queue.finish_transaction();
     assert!(queue.next_batch(100, LIMITS, &known).is_some());
 }
 
--- a/crates/core/src/api/dependencies.rs
+++ b/crates/core/src/api/dependencies.rs
@@ -6,17 +6,17 @@
 
 /// Most dependencies of one job that are looked up together, so that no other job waits for long
 /// behind a long list.
-pub(super) const LOOKUPS_PER_ROUND: usize = 64;
+pub(super) const MAX_LOOKUPS_PER_ROUND: usize = 64;
 /// More dependencies than this are too many to be looked up for each query.
-const LONG_LIST: usize = LOOKUPS_PER_ROUND * 4;
+const MAX_LOOKUPS_PER_QUERY: usize = MAX_LOOKUPS_PER_ROUND * 4;
 /// Most jobs with long lists that are kept up to date.
-const MAX_LONG_LISTS: usize = 8;
+const MAX_TRACKED_LONG_LISTS: usize = 8;
 
 /// What is known of a job's dependencies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum DependencyState {
     /// Each is done, or was unfinished recently enough.
-    Clear,
+    NoneCancelled,
     /// One is cancelled, and all that the job names were accepted.
     Cancelled,
     /// Of these not enough is known.
@@ -51,7 +51,7 @@
         match known.get(job) {
             KnownJob::Final(FinalState::Done { .. }) => {}
             KnownJob::Final(FinalState::Cancelled) => any_cancelled = true,
-            KnownJob::Unfinished(unfinished) if unfinished.confirmed_at.covers(since) => {
+            KnownJob::Unfinished(unfinished) if unfinished.confirmed_at.is_at_or_after(since) => {
                 to_visit.extend(&unfinished.dependencies);
             }
             KnownJob::Unfinished(_) | KnownJob::Unknown => unknown.push(job.clone()),
@@ -63,11 +63,11 @@
         let named: HashSet<&String> = dependencies.iter().collect();
         unknown.retain(|job| named.contains(job) && known.unfinished(job).is_none());
     }
-    let is_long = seen.len() > LONG_LIST;
+    let is_long = seen.len() > MAX_LOOKUPS_PER_QUERY;
     let state = match (unknown.is_empty(), any_cancelled) {
         (false, _) => DependencyState::Unknown(unknown),
         (true, true) => DependencyState::Cancelled,
-        (true, false) => DependencyState::Clear,
+        (true, false) => DependencyState::NoneCancelled,
     };
     DependencyReport { state, is_long }
 }
@@ -76,29 +76,29 @@
 /// up again and again without further queries, since one query's time limit is too short for them.
 #[derive(Debug, Default)]
 pub(super) struct LongDependencyLists {
-    refreshed_until_ms: BTreeMap<String, u64>,
+    tracked_until_ms: BTreeMap<String, u64>,
 }
 
 impl LongDependencyLists {
     /// Keeps a job's dependencies up to date until a time, unless there are too many such jobs.
-    pub fn keep(&mut self, job: &str, until_ms: u64) {
-        if self.refreshed_until_ms.len() < MAX_LONG_LISTS || self.refreshed_until_ms.contains_key(job) {
-            self.refreshed_until_ms.insert(job.to_string(), until_ms);
+    pub fn track(&mut self, job: &str, until_ms: u64) {
+        if self.tracked_until_ms.len() < MAX_TRACKED_LONG_LISTS || self.tracked_until_ms.contains_key(job) {
+            self.tracked_until_ms.insert(job.to_string(), until_ms);
         }
     }
 
     /// Removes jobs that nobody asked about lately or that are no longer known as unfinished.
     pub fn expire(&mut self, now_ms: u64, known: &KnownJobs) {
-        self.refreshed_until_ms.retain(|job, until_ms| *until_ms > now_ms && known.unfinished(job).is_some());
+        self.tracked_until_ms.retain(|job, until_ms| *until_ms > now_ms && known.unfinished(job).is_some());
     }
 
     /// The dependencies, of the first job that has any, that were not seen since a time.
     pub fn stale_dependencies(&self, known: &KnownJobs, since: BatchTime) -> Option<Vec<String>> {
-        self.refreshed_until_ms.keys().find_map(|job| {
+        self.tracked_until_ms.keys().find_map(|job| {
             let dependencies = &known.unfinished(job)?.dependencies;
             match resolve(known, dependencies, since).state {
                 DependencyState::Unknown(jobs) => Some(jobs),
-                DependencyState::Clear | DependencyState::Cancelled => None,
+                DependencyState::NoneCancelled | DependencyState::Cancelled => None,
             }
         })
     }
--- a/crates/core/src/api/dependency_checks.rs
+++ b/crates/core/src/api/dependency_checks.rs
@@ -2,14 +2,14 @@
 //! wait for them.
 
 use crate::api::answers::{self, RefusalReason, UnavailableReason};
-use crate::api::dependencies::{self, DependencyReport, LOOKUPS_PER_ROUND};
+use crate::api::dependencies::{self, DependencyReport, MAX_LOOKUPS_PER_ROUND};
 use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::lookups::{DeferredRequest, ResumedRequests};
-use crate::api::{Api, TaskProgress};
+use crate::api::{Api, TaskCountSource};
 use crate::controller::{BatchTime, Context};
 
 /// Share of the time limit of cancellations for which what was seen of dependencies counts as recent.
-const RECENT_SHARE: f64 = 0.25;
+const RECENT_WINDOW_FRACTION: f64 = 0.25;
 
 impl Api {
     /// What is known of the dependencies of a job that a user asks about; none for a lookup or if the
@@ -30,16 +30,16 @@
         }
         // Thousands cannot all be looked up for each query. Then what was seen lately is enough, and a
         // cancellation is told once it is in the job's own record: no controller tells it sooner.
-        self.long_lists.keep(&query.job, ctx.now_ms() + (ctx.settings.cancel_s * 1000.0) as u64);
-        let recent = recent_enough(ctx);
-        let since = BatchTime { at: since.at.min(recent.at), ..recent };
+        self.long_lists.track(&query.job, ctx.now_ms() + (ctx.settings.cancel_s * 1000.0) as u64);
+        let recent = recency_threshold(ctx);
+        let since = BatchTime { at_ms: since.at_ms.min(recent.at_ms), ..recent };
         let state = dependencies::resolve(&self.known, &known.dependencies, since).state;
         Some(DependencyReport { state, is_long: true })
     }
 
     /// Requests lookups of jobs: by comparison if their records are known, else by reads.
     pub(super) fn look_up(&mut self, ctx: &Context, jobs: Vec<String>) {
-        for job in jobs.into_iter().take(LOOKUPS_PER_ROUND) {
+        for job in jobs.into_iter().take(MAX_LOOKUPS_PER_ROUND) {
             if !self.lookups.request(&job) {
                 continue;
             }
@@ -55,7 +55,7 @@
     /// Sends the reads of dependency lookups that are due.
     pub(super) fn send_lookup_reads(&mut self, ctx: &mut Context) {
         while self.lookups.is_read_due(ctx.now_ms())
-            && self.may_read(ctx)
+            && self.try_take_read(ctx)
             && let Some(job) = self.lookups.pop_read()
         {
             let query = JobQuery::dependency_lookup(job, self.next_sequence());
@@ -64,13 +64,13 @@
     }
 
     /// Tries deferred requests again once lookups have brought something new.
-    pub(super) fn resume_deferred_requests(&mut self, ctx: &mut Context, progress: &dyn TaskProgress) {
+    pub(super) fn resume_deferred_requests(&mut self, ctx: &mut Context, progress: &dyn TaskCountSource) {
         let now_ms = ctx.now_ms();
         let Some(ResumedRequests { requests, found }) = self.lookups.resume(now_ms) else { return };
         for request in requests {
             let is_overdue = request.is_overdue(now_ms);
             match request {
-                DeferredRequest::Submit(submission) if found.refute(&submission) => {
+                DeferredRequest::Submit(submission) if found.shows_unaccepted_dependency(&submission) => {
                     let purpose = QueryPurpose::Refusal(RefusalReason::DependencyNeverAccepted);
                     self.read(ctx, JobQuery::new(submission.request, submission.submission.id, purpose));
                 }
@@ -94,8 +94,8 @@
         if !self.lookups.is_idle() || ctx.kv_unavailable() {
             return;
         }
-        let recent = recent_enough(ctx);
-        let half_as_old = BatchTime { at: recent.at.midpoint(now_ms), ..recent };
+        let recent = recency_threshold(ctx);
+        let half_as_old = BatchTime { at_ms: recent.at_ms.midpoint(now_ms), ..recent };
         if let Some(jobs) = self.long_lists.stale_dependencies(&self.known, half_as_old) {
             self.look_up(ctx, jobs);
         }
@@ -103,7 +103,7 @@
 }
 
 /// Since when what was seen of a dependency is recent enough for a new job or a long list.
-pub(super) fn recent_enough(ctx: &Context) -> BatchTime {
-    let window_ms = (ctx.settings.cancel_s * 1000.0 * RECENT_SHARE) as u64;
-    BatchTime { step: 0, at: ctx.now_ms().saturating_sub(window_ms).max(1) }
+pub(super) fn recency_threshold(ctx: &Context) -> BatchTime {
+    let window_ms = (ctx.settings.cancel_s * 1000.0 * RECENT_WINDOW_FRACTION) as u64;
+    BatchTime { batch: 0, at_ms: ctx.now_ms().saturating_sub(window_ms).max(1) }
 }
--- a/crates/core/src/api/known_jobs.rs
+++ b/crates/core/src/api/known_jobs.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Default)]
 pub(super) struct UnfinishedJob {
     /// Revision of its record.
-    pub revision: Revision,
+    pub record_version: Revision,
     /// Jobs that it depends on, as far as they were not known to be done.
     pub dependencies: Vec<String>,
     /// It was neither cancelled nor finished before this time.
@@ -96,7 +96,7 @@
     /// The record of a job still had the known revision when a comparison was sent.
     pub fn confirm_unfinished(&mut self, job: &str, sent: BatchTime) {
         if let Some(known) = self.unfinished.get_mut(job)
-            && sent.covers(known.confirmed_at)
+            && sent.is_at_or_after(known.confirmed_at)
         {
             known.confirmed_at = sent;
         }
@@ -104,13 +104,13 @@
 
     /// Takes over the revision of a job's record from the leader, who shares it only for jobs that no
     /// longer depend on any other. An old revision does no harm: the next comparison shows it.
-    pub fn learn_revision(&mut self, job: &str, revision: Revision) {
+    pub fn learn_record_version(&mut self, job: &str, record_version: Revision) {
         match self.unfinished.get_mut(job) {
             Some(known) => {
-                known.revision = revision.max(known.revision);
+                known.record_version = record_version.max(known.record_version);
                 known.dependencies.clear();
             }
-            None => self.unfinished.insert(job, UnfinishedJob { revision, ..UnfinishedJob::default() }),
+            None => self.unfinished.insert(job, UnfinishedJob { record_version, ..UnfinishedJob::default() }),
         }
     }
 
--- a/crates/core/src/api/lookups.rs
+++ b/crates/core/src/api/lookups.rs
@@ -2,7 +2,7 @@
 
 use crate::api::acceptance::PendingSubmission;
 use crate::api::job_query::JobQuery;
-use crate::api::{STATUS_PATIENCE_MS, SUBMIT_PATIENCE_MS};
+use crate::api::{MAX_STATUS_WAIT_MS, MAX_SUBMIT_WAIT_MS};
 use crate::controller::BatchTime;
 use std::collections::{HashSet, VecDeque};
 
@@ -20,9 +20,9 @@
     pub fn is_overdue(&self, now_ms: u64) -> bool {
         match self {
             DeferredRequest::Submit(submission) => {
-                now_ms.saturating_sub(submission.received_at_ms) > SUBMIT_PATIENCE_MS
+                now_ms.saturating_sub(submission.received_at_ms) > MAX_SUBMIT_WAIT_MS
             }
-            DeferredRequest::Query(_, since) => now_ms.saturating_sub(since.at) > STATUS_PATIENCE_MS,
+            DeferredRequest::Query(_, since) => now_ms.saturating_sub(since.at_ms) > MAX_STATUS_WAIT_MS,
         }
     }
 }
@@ -51,7 +51,7 @@
 impl LookupFindings {
     /// Whether a lookup that began after a submission came found that a job which it names was never
     /// accepted.
-    pub fn refute(&self, submission: &PendingSubmission) -> bool {
+    pub fn shows_unaccepted_dependency(&self, submission: &PendingSubmission) -> bool {
         let refutes = |found: &NeverAccepted| {
             found.sequence > submission.sequence && submission.submission.dependencies.contains(&found.job)
         };
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -53,15 +53,15 @@
 const NO_REQUEST: RequestId = 0;
 /// Share of a user's time limit after which a request that still waits is answered with the advice to
 /// come back: the answer must arrive within the limit.
-const PATIENCE_SHARE: f64 = 0.6;
+const MAX_WAIT_FRACTION: f64 = 0.6;
 /// How long a submission may wait, in milliseconds.
-const SUBMIT_PATIENCE_MS: u64 = (SUBMIT_TIMEOUT_S * 1000.0 * PATIENCE_SHARE) as u64;
+const MAX_SUBMIT_WAIT_MS: u64 = (SUBMIT_TIMEOUT_S * 1000.0 * MAX_WAIT_FRACTION) as u64;
 /// How long a status query may wait, in milliseconds.
-const STATUS_PATIENCE_MS: u64 = (STATUS_TIMEOUT_S * 1000.0 * PATIENCE_SHARE) as u64;
+const MAX_STATUS_WAIT_MS: u64 = (STATUS_TIMEOUT_S * 1000.0 * MAX_WAIT_FRACTION) as u64;
 /// How often a request that the store throttles is tried again in a heartbeat interval.
 const RETRIES_PER_HEARTBEAT_INTERVAL: u64 = 60;
 /// Known jobs of each kind may take one part in so many of the memory limit.
-const MEMORY_PARTS: f64 = 100.0;
+const KNOWN_JOBS_MEMORY_DIVISOR: f64 = 100.0;
 /// Bytes that a known job takes, as estimated.
 const KNOWN_JOB_BYTES: f64 = 200.0;
 
@@ -75,7 +75,7 @@
 }
 
 /// Tells of jobs' progress, as the leader last reported it.
-pub(crate) trait TaskProgress {
+pub(crate) trait TaskCountSource {
     /// The counts of a job; zero if nothing is known of it.
     fn task_counts(&self, job: &str) -> TaskCounts;
 }
@@ -122,7 +122,7 @@
     }
 
     /// Sends what is due and answers what is overdue, once a batch.
-    pub fn run_due(&mut self, ctx: &mut Context, progress: &dyn TaskProgress) {
+    pub fn run_due(&mut self, ctx: &mut Context, progress: &dyn TaskCountSource) {
         self.resume_deferred_requests(ctx, progress);
         self.send_lookup_reads(ctx);
         self.refresh_long_lists(ctx);
@@ -134,9 +134,9 @@
 
     /// Takes over the revisions of records of jobs that no longer depend on others, as the leader
     /// shares them.
-    pub fn learn_revisions<'a>(&mut self, jobs: impl Iterator<Item = (&'a str, Revision)>) {
+    pub fn learn_record_versions<'a>(&mut self, jobs: impl Iterator<Item = (&'a str, Revision)>) {
         for (job, revision) in jobs {
-            self.known.learn_revision(job, revision);
+            self.known.learn_record_version(job, revision);
         }
     }
 
@@ -163,7 +163,7 @@
 
 /// Most jobs of each kind that are remembered.
 fn known_jobs_capacity(settings: &Settings) -> usize {
-    (settings.mem_mb * 1024.0 * 1024.0 / MEMORY_PARTS / KNOWN_JOB_BYTES) as usize
+    (settings.mem_mb * 1024.0 * 1024.0 / KNOWN_JOBS_MEMORY_DIVISOR / KNOWN_JOB_BYTES) as usize
 }
 
 /// How long to wait before a request that the store throttled is tried again, in milliseconds.
--- a/crates/core/src/api/queries.rs
+++ b/crates/core/src/api/queries.rs
@@ -7,7 +7,7 @@
 use crate::api::known_jobs::FinalState;
 use crate::api::lookups::DeferredRequest;
 use crate::api::requests::{self, ApiRequest};
-use crate::api::{Api, TaskProgress};
+use crate::api::{Api, TaskCountSource};
 use crate::controller::{BatchTime, Context};
 use crate::io::KvRequest;
 use crate::records::keys;
@@ -17,11 +17,11 @@
 
 /// Share of the store's requests that the limited reads of all controllers take. Users whose queries
 /// are beyond it are told to come back, so that leases and elections find room.
-const READ_SHARE: f64 = 0.5;
+const READ_RATE_FRACTION: f64 = 0.5;
 /// Share of the store's requests that one controller's comparisons take.
-const COMPARISON_SHARE: f64 = 0.05;
+const COMPARISON_RATE_FRACTION: f64 = 0.05;
 /// Share of a status query's time limit that it waits for others to be compared with it, at most.
-const COMPARISON_DELAY_SHARE: f64 = 0.25;
+const COMPARISON_DELAY_FRACTION: f64 = 0.25;
 
 impl Api {
     /// Answers a query from what is known, or finds out.
@@ -46,7 +46,7 @@
 
     /// Reads a job's record. Status queries beyond the limit on reads are told to come back.
     pub(super) fn read(&mut self, ctx: &mut Context, query: JobQuery) {
-        if query.purpose == QueryPurpose::Status && !self.may_read(ctx) {
+        if query.purpose == QueryPurpose::Status && !self.try_take_read(ctx) {
             ctx.answer(query.request, answers::unavailable(UnavailableReason::TooManyRequests));
             return;
         }
@@ -55,9 +55,9 @@
 
     /// Whether a read that is limited may be sent now; it is counted then. The controllers that are
     /// alive share the limit.
-    pub(super) fn may_read(&mut self, ctx: &Context) -> bool {
+    pub(super) fn try_take_read(&mut self, ctx: &Context) -> bool {
         let controllers = f64::from(1 + ctx.live_peers());
-        self.read_budget.try_take(ctx.now_ms(), ctx.settings.kv_rps * READ_SHARE / controllers)
+        self.read_budget.try_take(ctx.now_ms(), ctx.settings.kv_rps * READ_RATE_FRACTION / controllers)
     }
 
     /// Sends the comparisons that are due.
@@ -89,14 +89,14 @@
         ctx: &mut Context,
         query: JobQuery,
         since: BatchTime,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         let Some(report) = self.dependency_report(ctx, &query, since) else {
             self.reply_progress(ctx, &query, progress);
             return;
         };
         match report.state {
-            DependencyState::Clear => self.reply_progress(ctx, &query, progress),
+            DependencyState::NoneCancelled => self.reply_progress(ctx, &query, progress),
             DependencyState::Cancelled if report.is_long => {
                 ctx.answer(query.request, answers::unavailable(UnavailableReason::CancellationPending));
             }
@@ -111,7 +111,7 @@
     }
 
     /// Answers a query about an unfinished job with its progress.
-    fn reply_progress(&mut self, ctx: &mut Context, query: &JobQuery, progress: &dyn TaskProgress) {
+    fn reply_progress(&mut self, ctx: &mut Context, query: &JobQuery, progress: &dyn TaskCountSource) {
         let counts = progress.task_counts(&query.job);
         let status = if counts.running > 0 { JobStatus::Running } else { JobStatus::Queued };
         let view = JobView { id: query.job.clone(), status, done: Some(counts.done), running: Some(counts.running) };
@@ -145,6 +145,6 @@
 
 /// The longest time that a status query waits for others to be compared with it.
 fn comparison_delay_ms(settings: &Settings) -> u64 {
-    let interval_ms = 1000.0 / (settings.kv_rps * COMPARISON_SHARE);
-    interval_ms.min(STATUS_TIMEOUT_S * 1000.0 * COMPARISON_DELAY_SHARE) as u64
+    let interval_ms = 1000.0 / (settings.kv_rps * COMPARISON_RATE_FRACTION);
+    interval_ms.min(STATUS_TIMEOUT_S * 1000.0 * COMPARISON_DELAY_FRACTION) as u64
 }
--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -4,7 +4,7 @@
 use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, UnfinishedJob};
 use crate::api::requests::{self, ApiRequest, PartsRead};
-use crate::api::{Api, TaskProgress};
+use crate::api::{Api, TaskCountSource};
 use crate::controller::{BatchTime, Context};
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
@@ -23,32 +23,32 @@
         request: ApiRequest,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match request {
             ApiRequest::Accept(batch) => {
-                self.acceptances.finish();
+                self.acceptances.finish_transaction();
                 self.handle_acceptance_reply(ctx, batch, sent, result);
             }
             ApiRequest::WriteSplitSubmission(split) => self.handle_split_submission_reply(ctx, split, sent, result),
-            ApiRequest::ReadSubmissionParts(read) => self.handle_parts(ctx, read, sent, result, progress),
+            ApiRequest::ReadSubmissionParts(read) => self.handle_parts_reply(ctx, read, sent, result, progress),
             ApiRequest::CompareRecords(batch) => {
-                self.comparisons.finish();
-                self.handle_comparison(ctx, batch, sent, result, progress);
+                self.comparisons.finish_transaction();
+                self.handle_comparison_reply(ctx, batch, sent, result, progress);
             }
-            ApiRequest::ReadRecord(query) => self.handle_record(ctx, query, sent, result, progress),
-            ApiRequest::ReadFinalRecord(query) => self.handle_final_record(ctx, query, result),
-            ApiRequest::Cancel(query) => self.handle_cancellation(ctx, query, result),
+            ApiRequest::ReadRecord(query) => self.handle_record_reply(ctx, query, sent, result, progress),
+            ApiRequest::ReadFinalRecord(query) => self.handle_final_record_reply(ctx, query, result),
+            ApiRequest::Cancel(query) => self.handle_cancellation_reply(ctx, query, result),
         }
     }
 
-    fn handle_comparison(
+    fn handle_comparison_reply(
         &mut self,
         ctx: &mut Context,
         batch: Vec<JobQuery>,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match result {
             Ok(KvReply::Committed(_)) => {
@@ -87,13 +87,13 @@
         self.comparisons.retry(to_compare);
     }
 
-    fn handle_record(
+    fn handle_record_reply(
         &mut self,
         ctx: &mut Context,
         query: JobQuery,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match result {
             Ok(KvReply::Found(pair)) => self.handle_found_record(ctx, query, pair, sent, progress),
@@ -113,7 +113,7 @@
         query: JobQuery,
         pair: KeyValue,
         sent: BatchTime,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         let Some(record) = StoredJob::read(pair.v) else {
             self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable);
@@ -127,25 +127,28 @@
             match record {
                 StoredJob::Whole(record) => {
                     let dependencies = record.submission.dependencies;
-                    let seen = UnfinishedJob { revision: pair.version, dependencies, confirmed_at: sent };
+                    let seen = UnfinishedJob { record_version: pair.version, dependencies, confirmed_at: sent };
                     self.known.record_unfinished(&query.job, seen);
                     self.reply_unfinished(ctx, query, sent, progress);
                 }
                 StoredJob::SplitSubmission(record) => {
-                    read_parts(ctx, Box::new(PartsRead { query, record, revision: pair.version, parts: Vec::new() }));
+                    read_parts(
+                        ctx,
+                        Box::new(PartsRead { query, record, record_version: pair.version, parts: Vec::new() }),
+                    );
                 }
             }
         }
     }
 
     /// Parts of a submission were read: they tell what the job depends on.
-    fn handle_parts(
+    fn handle_parts_reply(
         &mut self,
         ctx: &mut Context,
         mut read: Box<PartsRead>,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         let Ok(KvReply::Page(page)) = result else {
             self.reply_unavailable(ctx, &read.query, UnavailableReason::StoreUnavailable);
@@ -163,7 +166,7 @@
         };
         // The job's own record was read before the parts: whoever depends on the job looks it up again.
         let seen = UnfinishedJob {
-            revision: read.revision,
+            record_version: read.record_version,
             dependencies: record.submission.dependencies,
             confirmed_at: BatchTime::default(),
         };
@@ -171,20 +174,20 @@
         self.reply_unfinished(ctx, read.query, sent, progress);
     }
 
-    fn handle_final_record(&mut self, ctx: &mut Context, query: JobQuery, result: KvResult) {
+    fn handle_final_record_reply(&mut self, ctx: &mut Context, query: JobQuery, result: KvResult) {
         match result {
             Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.v) {
                 Ok(FinalRecord { cancelled: true, .. }) => self.reply_final(ctx, &query, FinalState::Cancelled),
                 Ok(FinalRecord { tasks, .. }) => self.reply_final(ctx, &query, FinalState::Done { tasks }),
                 Err(_) => self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable),
             },
-            Ok(KvReply::Missing) => self.handle_no_such_job(ctx, query),
+            Ok(KvReply::Missing) => self.handle_missing_job(ctx, query),
             _ => self.reply_unavailable(ctx, &query, UnavailableReason::StoreUnavailable),
         }
     }
 
     /// Neither record of the job exists.
-    fn handle_no_such_job(&mut self, ctx: &mut Context, mut query: JobQuery) {
+    fn handle_missing_job(&mut self, ctx: &mut Context, mut query: JobQuery) {
         match query.purpose {
             QueryPurpose::Refusal(reason) => ctx.answer(query.request, answers::refused(reason)),
             // A conflict said that the job exists. Reads miss it only if it was accepted between them.
@@ -200,7 +203,7 @@
         }
     }
 
-    fn handle_cancellation(&mut self, ctx: &mut Context, mut query: JobQuery, result: KvResult) {
+    fn handle_cancellation_reply(&mut self, ctx: &mut Context, mut query: JobQuery, result: KvResult) {
         match result {
             Ok(KvReply::Committed(_)) => {
                 ctx.emit(Event::JobCancellationRecorded { job: query.job.as_str().into() });
@@ -219,11 +222,11 @@
 }
 
 /// Marks a job as cancelled, in its record and by a key of its own that all controllers watch.
-fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, revision: Revision) {
+fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, record_version: Revision) {
     let (job, cancellation) = (keys::job(&query.job), keys::cancellation(&query.job));
     let transaction = Transaction {
         conditions: vec![
-            Condition { path: job.clone(), version: revision },
+            Condition { path: job.clone(), version: record_version },
             Condition { path: cancellation.clone(), version: Revision::ABSENT },
         ],
         writes: vec![Write::set(job, record.into_cancelled()), Write::set(cancellation, json!(true))],
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -36,7 +36,7 @@
     /// The job's record.
     pub record: SplitJobRecord,
     /// Revision of the record.
-    pub revision: Revision,
+    pub record_version: Revision,
     /// Parts read so far, in order.
     pub parts: Vec<KeyValue>,
 }
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -32,7 +32,7 @@
     /// How many parts are written.
     written: usize,
     /// Revision of the first part.
-    first_part: Revision,
+    first_part_version: Revision,
     in_flight: InFlight,
     /// Its user has been told to come back; the writing goes on.
     user_answered: bool,
@@ -64,7 +64,7 @@
             prefix,
             parts: split_text(&text, ctx.limits.value_bytes()),
             written: 0,
-            first_part: Revision::ABSENT,
+            first_part_version: Revision::ABSENT,
             in_flight: InFlight::Record,
             user_answered: false,
         }
@@ -85,7 +85,7 @@
     /// Takes in that the parts in flight were committed.
     pub fn commit_parts(&mut self, revision: Revision) {
         if self.written == 0 {
-            self.first_part = revision;
+            self.first_part_version = revision;
         }
         if let InFlight::Parts(count) = self.in_flight {
             self.written += count;
@@ -137,7 +137,7 @@
         let conditions = vec![
             Condition { path: keys::job(job), version: Revision::ABSENT },
             Condition { path: keys::final_record(job), version: Revision::ABSENT },
-            Condition { path: self.part_key(0), version: self.first_part },
+            Condition { path: self.part_key(0), version: self.first_part_version },
         ];
         Transaction { conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
     }
@@ -181,10 +181,10 @@
         self.jobs.remove(job);
     }
 
-    /// Requests whose submissions came more than `patience_ms` ago. They count as answered.
-    pub fn take_overdue_requests(&mut self, now_ms: u64, patience_ms: u64) -> Vec<RequestId> {
+    /// Requests whose submissions came more than `max_wait_ms` ago. They count as answered.
+    pub fn take_overdue_requests(&mut self, now_ms: u64, max_wait_ms: u64) -> Vec<RequestId> {
         let overdue = |split: &&mut Box<SplitSubmission>| {
-            !split.user_answered && now_ms.saturating_sub(split.submission.received_at_ms) > patience_ms
+            !split.user_answered && now_ms.saturating_sub(split.submission.received_at_ms) > max_wait_ms
         };
         let answer = |split: &mut Box<SplitSubmission>| {
             split.user_answered = true;
--- a/crates/core/src/api/split_submission/tests.rs
+++ b/crates/core/src/api/split_submission/tests.rs
@@ -16,7 +16,7 @@
         prefix: "s/wk-1/n0-5-1/".into(),
         parts: parts.iter().map(|part| part.to_string()).collect(),
         written: 0,
-        first_part: Revision::ABSENT,
+        first_part_version: Revision::ABSENT,
         in_flight: InFlight::Record,
         user_answered: false,
     }
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -3,13 +3,13 @@
 use crate::api::acceptance::PendingSubmission;
 use crate::api::answers::{self, RefusalReason, UnavailableReason};
 use crate::api::dependencies::{self, DependencyState};
-use crate::api::dependency_checks::recent_enough;
+use crate::api::dependency_checks::recency_threshold;
 use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, UnfinishedJob};
 use crate::api::lookups::DeferredRequest;
 use crate::api::requests::{self, ApiRequest};
 use crate::api::split_submission::SplitSubmission;
-use crate::api::{Api, SUBMIT_PATIENCE_MS, admission};
+use crate::api::{Api, MAX_SUBMIT_WAIT_MS, admission};
 use crate::controller::{BatchTime, Context};
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError, RequestId};
@@ -79,7 +79,7 @@
 
     /// Queues a submission for acceptance, unless its dependencies must be looked up first.
     pub(super) fn admit(&mut self, ctx: &mut Context, mut pending: PendingSubmission) {
-        let report = dependencies::resolve(&self.known, &pending.submission.dependencies, recent_enough(ctx));
+        let report = dependencies::resolve(&self.known, &pending.submission.dependencies, recency_threshold(ctx));
         match report.state {
             DependencyState::Unknown(jobs) => {
                 self.look_up(ctx, jobs);
@@ -88,7 +88,7 @@
             }
             DependencyState::Cancelled => pending.cancelled_by_dependency = true,
             // What is done by now need not be waited for, nor found out again by each leader.
-            DependencyState::Clear => {
+            DependencyState::NoneCancelled => {
                 pending.submission.dependencies.retain(|job| self.known.final_state(job).is_none());
             }
         }
@@ -98,10 +98,10 @@
     /// Tells users to come back whose submissions have waited too long.
     pub(super) fn answer_overdue_submissions(&mut self, ctx: &mut Context) {
         let now_ms = ctx.now_ms();
-        while let Some(overdue) = self.acceptances.pop_overdue(now_ms, SUBMIT_PATIENCE_MS) {
+        while let Some(overdue) = self.acceptances.pop_overdue(now_ms, MAX_SUBMIT_WAIT_MS) {
             ctx.answer(overdue.request, answers::unavailable(UnavailableReason::TooManyRequests));
         }
-        for request in self.split_submissions.take_overdue_requests(now_ms, SUBMIT_PATIENCE_MS) {
+        for request in self.split_submissions.take_overdue_requests(now_ms, MAX_SUBMIT_WAIT_MS) {
             ctx.answer(request, answers::unavailable(UnavailableReason::SubmissionInProgress));
         }
     }
@@ -213,7 +213,7 @@
             return answers::final_view(pending.job(), FinalState::Cancelled);
         }
         let Submission { id, dependencies, .. } = pending.submission;
-        self.known.record_unfinished(&id, UnfinishedJob { revision, dependencies, confirmed_at: sent });
+        self.known.record_unfinished(&id, UnfinishedJob { record_version: revision, dependencies, confirmed_at: sent });
         JobView { id, status: JobStatus::Queued, done: None, running: None }
     }
 
--- a/crates/core/src/controller/batch_time.rs
+++ b/crates/core/src/controller/batch_time.rs
@@ -1,18 +1,18 @@
-//! The batch in which something was received or sent.
+//! Identifies the batch in which an event was received or a request was sent.
 
-/// When something was received or sent: the number of its batch and the time of that batch. Two batches may have
-/// the same time; their numbers tell what was sent after something else had been received.
+/// Number and time of a batch. Two batches may begin in the same millisecond; the batch number then still orders
+/// a request after the events of earlier batches.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct BatchTime {
-    /// Number of the batch.
-    pub step: u64,
-    /// Time of the batch on the steady clock, in milliseconds.
-    pub at: u64,
+    /// Number of the batch, counted from 1 by each process; 0 precedes all batches.
+    pub batch: u64,
+    /// Start of the batch on the monotonic clock, in milliseconds.
+    pub at_ms: u64,
 }
 
 impl BatchTime {
-    /// Whether this is no earlier than `since`, by number and by time.
-    pub fn covers(self, since: BatchTime) -> bool {
-        self.step >= since.step && self.at >= since.at
+    /// Returns whether neither the batch number nor the time is lower than in `since`.
+    pub fn is_at_or_after(self, since: BatchTime) -> bool {
+        self.batch >= since.batch && self.at_ms >= since.at_ms
     }
 }
--- a/crates/core/src/controller/context.rs
+++ b/crates/core/src/controller/context.rs
@@ -1,7 +1,7 @@
-//! What all subsystems of a controller share: time, settings, pending requests and effects.
+//! State shared by all subsystems of a controller: time, settings, pending requests and effects.
 //!
-//! Effects leave in the order in which they are added. A request is registered as pending in the same operation
-//! that adds its effect, so no request can go out whose reply nobody expects.
+//! Effects are executed in the order in which they are added. The same operation adds a request's effect and registers
+//! the request as pending, so every request that is sent has a recipient for its reply.
 
 use super::batch_time::BatchTime;
 use super::kv_availability::KvAvailability;
@@ -21,21 +21,21 @@
 
 /// Time, settings, pending requests and effects of one controller process.
 pub(crate) struct Context {
-    /// Time of the current batch.
+    /// Start of the current batch on the monotonic and the wall clock.
     pub now: Timestamp,
-    /// The platform's settings.
+    /// Settings of the deployment: interfaces, resources and intervals.
     pub settings: Arc<Settings>,
-    /// The operators' settings.
+    /// Tuning parameters that operators may set as properties.
     pub tuning: Tuning,
-    /// Limits of the key-value store that are in force.
+    /// Current limits of the key-value store.
     pub limits: StoreLimits,
-    /// Machine types that the cloud offers; `None` until read.
+    /// Machine types that the cloud offers; `None` until a catalog has been read.
     pub catalog: Option<Catalog>,
-    /// Work done so far.
+    /// Count of the work done since the process started.
     pub work: WorkCounter,
-    /// Lease renewals by other controllers.
+    /// What the peers reported about the machine leases that they renewed.
     pub peer_lease_reports: PeerLeaseReports,
-    /// Route of requests to the key-value store through a peer.
+    /// Relay of requests to the key-value store through a peer.
     pub relay: Relay,
     process_id: u64,
     batch: BatchCounter,
@@ -45,15 +45,17 @@
     effects: Vec<Effect>,
 }
 
-/// How many batches have begun, and how late they began.
+/// Number and delay of the batches.
 #[derive(Debug, Default)]
 struct BatchCounter {
+    /// Number of the current batch; 0 before the first.
     number: u64,
+    /// Decaying maximum of the delay between a batch's expected and actual start.
     lag_ms: u64,
 }
 
 impl Context {
-    /// The context of a process that starts now. `process_id` is a number that no other process has.
+    /// Creates the context of a process that starts at `now`. `process_id` is unique among the processes of all nodes.
     pub fn new(settings: Settings, tuning: Tuning, now: Timestamp, process_id: u64) -> Context {
         Context {
             now,
@@ -73,50 +75,51 @@
         }
     }
 
-    /// Begins a batch.
+    /// Starts a batch at time `now` and updates the batch lag.
     pub fn begin_batch(&mut self, now: Timestamp) {
         let expected_by = self.now.monotonic_ms + self.settings.max_batch_interval_ms();
         let late = now.monotonic_ms.saturating_sub(expected_by);
-        // It falls slowly, so that one quick batch does not hide a row of slow ones.
+        // The lag decays slowly, so that one punctual batch does not hide a series of late ones.
         self.batch.lag_ms = late.max(self.batch.lag_ms * 3 / 4);
         self.batch.number += 1;
         self.now = now;
     }
 
-    /// Ends a batch: its effects, in order.
+    /// Takes the effects of the batch, in the order in which they were added.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// The current time on the steady clock, in milliseconds.
+    /// Returns the start of the current batch on the monotonic clock, in milliseconds.
     pub fn now_ms(&self) -> u64 {
         self.now.monotonic_ms
     }
 
-    /// Number and time of the current batch. What is sent now leaves after all that the batch brought has arrived.
+    /// Returns the number and time of the current batch. Requests added now are sent after all commands of the batch
+    /// were received.
     pub fn batch_time(&self) -> BatchTime {
-        BatchTime { step: self.batch.number, at: self.now_ms() }
+        BatchTime { batch: self.batch.number, at_ms: self.now_ms() }
     }
 
-    /// How much later than expected recent batches began, in milliseconds: a measure of how short of processor
-    /// time this process is.
+    /// Returns how much later than expected recent batches began, in milliseconds. A high value shows that the process
+    /// is short of processor time.
     pub fn batch_lag_ms(&self) -> u64 {
         self.batch.lag_ms
     }
 
-    /// A number that no other process has, of this node or another.
+    /// Returns this process's identifier, which is unique among the processes of all nodes.
     pub fn process_id(&self) -> u64 {
         self.process_id
     }
 
-    /// Sends a request to the key-value store, through the relay peer if there is one.
+    /// Sends a request to the key-value store, through the relay peer if a relay is active.
     pub fn send_kv(&mut self, request: KvRequest, pending: PendingRequest) {
         let id = self.register(pending);
         let peer = self.relay.peer().map(str::to_string);
         self.effects.push(Effect::Kv(id, request, peer));
     }
 
-    /// Sends a request to the key-value store without a relay.
+    /// Sends a request to the key-value store on the direct route, also while a relay is active.
     pub fn send_kv_directly(&mut self, request: KvRequest, pending: PendingRequest) {
         let id = self.register(pending);
         self.effects.push(Effect::Kv(id, request, None));
@@ -128,7 +131,7 @@
         self.effects.push(Effect::Cloud(id, request));
     }
 
-    /// Sends commands to the agent at an address, rather than with the reply to its next heartbeat.
+    /// Sends commands directly to the agent at address `to`, without waiting for the agent's next heartbeat.
     pub fn send_direct_commands(&mut self, to: String, commands: DirectCommands, pending: PendingRequest) -> RequestId {
         let id = self.register(pending);
         self.effects.push(Effect::DirectCommands(id, to, commands));
@@ -155,35 +158,35 @@
         self.pending.register(pending, sent)
     }
 
-    /// Removes the pending request that a reply belongs to; `None` for a reply that nobody expects.
+    /// Removes and returns the pending request that a reply belongs to; `None` if no such request is pending.
     pub(super) fn complete(&mut self, id: RequestId) -> Option<SentRequest> {
         self.pending.complete(id)
     }
 
-    /// Takes note of how the key-value store answered a request sent on the route in use.
+    /// Updates the key-value store's availability with the result of a request sent on the current route.
     pub fn record_kv_reply(&mut self, result: &Result<KvReply, RequestError>) {
         self.kv.record(self.now.monotonic_ms, result);
     }
 
-    /// Returns to direct requests, after the relay peer failed to reach the key-value store too.
+    /// Returns to the direct route after the relay failed, and counts the store as failing at this time.
     pub fn abandon_relay(&mut self) {
         self.relay.stop();
         self.kv.record_failure(self.now.monotonic_ms);
     }
 
-    /// Whether the key-value store has recently failed and not answered since. Users are then asked at once to
-    /// retry, instead of waiting for a timeout.
+    /// Returns whether the key-value store has failed and not answered since for longer than the timeout. Users'
+    /// requests are then answered at once with 503 instead of running into a timeout.
     pub fn kv_unavailable(&self) -> bool {
         self.kv.is_unavailable(self.now_ms(), self.settings.heartbeat_interval_ms())
     }
 
-    /// When the key-value store last answered, on the steady clock.
-    pub fn kv_answered_at(&self) -> u64 {
-        self.kv.answered_at()
+    /// Returns when the key-value store last answered, on the monotonic clock in milliseconds.
+    pub fn kv_last_answer_at_ms(&self) -> u64 {
+        self.kv.last_answer_at_ms()
     }
 
-    /// The leader's writes were throttled. While users' submissions wait to be written, the cause is assumed to be
-    /// those, and the leader's rate stays.
+    /// Handles a throttled write of the leader: the leader's write rate may be reduced. While submissions wait to be
+    /// written, they are assumed to be the cause, and the leader's rate stays.
     pub fn record_throttled_write(&mut self) {
         let interval = self.settings.heartbeat_interval_ms();
         if !self.submissions_waiting() && self.limits.refused(self.now.monotonic_ms, interval) {
@@ -191,17 +194,17 @@
         }
     }
 
-    /// Replaces what is known of the peers' activity.
+    /// Replaces the summary of the peers' activity.
     pub(super) fn set_peer_activity(&mut self, activity: PeerActivity) {
         self.peer_activity = activity;
     }
 
-    /// How many peers have sent a heartbeat recently.
+    /// Returns the number of peers that have sent a heartbeat recently.
     pub fn live_peers(&self) -> u32 {
         self.peer_activity.live_peers
     }
 
-    /// Whether users' submissions wait for the key-value store, here or at a live peer.
+    /// Returns whether submissions wait to be written to the key-value store, on this node or on a live peer.
     pub fn submissions_waiting(&self) -> bool {
         self.peer_activity.submissions_waiting
     }
--- a/crates/core/src/controller/election/mod.rs
+++ b/crates/core/src/controller/election/mod.rs
@@ -1,20 +1,24 @@
 //! Leader election through the key-value store.
 //!
-//! [`Election`] owns what this process knows of leadership: the highest epoch, the leader's name and lease, and how
-//! far it has read. The controller hands it the store's replies and carries out the [`ElectionTransition`]s.
+//! [`Election`] holds this process's state of the election: the highest known epoch, the leader's name and lease, and
+//! the revision of the last read. The controller passes the store's replies to [`Election::handle_reply`] and applies
+//! the returned [`ElectionTransition`].
 //!
-//! The leader's key is attached to a lease of the store and vanishes with it. The epoch's key only grows, and every
-//! transaction of a leader is conditional on it: whoever has lost leadership, noticed or not, can write nothing.
+//! The leader key is attached to a lease of the store and is deleted when the lease expires. The epoch key only grows,
+//! and every transaction of a leader has the epoch key's version as a precondition. A former leader, whether or not it
+//! has noticed its loss of leadership, can therefore commit nothing.
 //!
-//! One step follows another: read, then watch while there is a leader; without one, grant a lease, read the epoch
-//! again, claim the next epoch by compare-and-swap. The step under way travels as [`ElectionRequest`] with the
-//! pending request. After a change of route to the store a read may start while a watch is still under way, so
-//! there is no single current step to store.
+//! The steps: read the leadership keys; watch them while there is a leader; without a leader, grant a lease, read the
+//! epoch again and claim the next epoch by compare-and-swap. Each pending request carries its step as an
+//! [`ElectionRequest`]. After a switch between the direct route and a relay, a read may start while a watch is still in
+//! flight, so several steps may be in flight at a time and `Election` stores no current step.
 //!
-//! What always holds: an epoch is claimed only with a granted lease, and only while nobody has written the epoch or
-//! the leader's key since they were read. The known epoch never falls, with one exception: a claim that turns out
-//! committed after a newer epoch was heard of sets it to the claimed one, so that the next heartbeat of the newer
-//! leader still makes this node step down.
+//! Invariants:
+//! - An epoch is claimed only with a granted lease, and only if neither the epoch key nor the leader key was written
+//!   since they were read.
+//! - The known epoch never decreases, with one exception. If a claim turns out to be committed after a newer epoch
+//!   became known, the known epoch is set to the claimed one, so that the next heartbeat of the newer leader still
+//!   makes this node step down.
 
 mod records;
 
@@ -29,135 +33,137 @@
 use shaleshunt_wire::{Epoch, Revision};
 use std::collections::BTreeSet;
 
-/// What the keys of leadership and cancellations begin with.
+/// Prefix of the leader key, the epoch key and the cancellation keys.
 const LEADERSHIP_PREFIX: &str = "l/";
-/// Wait before the next read after a failed request, in heartbeat intervals.
-const RETRY_INTERVALS: f64 = 0.07;
-/// Wait before the next read after this node's own left-over lease was revoked, in heartbeat intervals.
-const OWN_LEASE_REVOKED_INTERVALS: f64 = 0.02;
-/// Wait before the next read after stepping down, in heartbeat intervals.
-const RESIGNED_INTERVALS: f64 = 0.01;
-/// The same for a leader that no machine reaches: it leaves the next election to others.
-const RESIGNED_UNREACHABLE_INTERVALS: f64 = 3.0;
-/// Shortest lease of a leader, in milliseconds.
+/// Delay before the next read after a failed request, in heartbeat intervals.
+const RETRY_DELAY_INTERVALS: f64 = 0.07;
+/// Delay before the next read after revoking a lease that an earlier claim of this node left behind, in heartbeat
+/// intervals.
+const OWN_LEASE_REVOKED_DELAY_INTERVALS: f64 = 0.02;
+/// Delay before the next read after stepping down, in heartbeat intervals.
+const STEP_DOWN_DELAY_INTERVALS: f64 = 0.01;
+/// Delay before the next read after stepping down because no heartbeats arrived, in heartbeat intervals. The long delay
+/// lets another node win the next election.
+const UNREACHABLE_STEP_DOWN_DELAY_INTERVALS: f64 = 3.0;
+/// Shortest time to live of a leader lease, in milliseconds.
 const MIN_LEADER_LEASE_MS: f64 = 200.0;
-/// A watch returns after this fraction of a heartbeat interval at the latest, so that what is known of
-/// cancellations is never old.
-const WATCH_FRACTION: u64 = 8;
+/// Minimum number of watches per heartbeat interval: a watch without changes returns after this part of the interval,
+/// which bounds the age of the known cancellations.
+const WATCHES_PER_HEARTBEAT: u64 = 8;
 
-/// What the controller has to do after a reply.
+/// State change that the controller applies after a reply.
 #[derive(Debug, PartialEq, Eq)]
 #[must_use]
 pub(super) enum ElectionTransition {
-    /// Nothing.
+    /// No change.
     None,
-    /// All cancelled jobs that have not ended were read, by a request sent at this time.
+    /// A read returned all cancelled jobs that have not ended.
     CancellationsRead {
-        /// When the read was sent.
-        sent_at: u64,
-        /// The jobs.
+        /// Time at which the read was sent, on the monotonic clock.
+        sent_at_ms: u64,
+        /// Names of the cancelled jobs.
         cancelled: BTreeSet<String>,
     },
-    /// Nothing has changed up to the sending of this watch.
+    /// A watch ended without changes: the known cancellations are complete up to the time at which it was sent.
     CancellationsUnchanged {
-        /// When the watch was sent.
-        sent_at: u64,
+        /// Time at which the watch was sent, on the monotonic clock.
+        sent_at_ms: u64,
     },
-    /// This node is the leader from now on.
+    /// The claim was committed: this node becomes the leader.
     BecomeLeader(Claim),
 }
 
-/// A claim to leadership that the store has committed.
+/// A committed claim to leadership.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Claim {
-    /// The new epoch.
+    /// The claimed epoch.
     pub epoch: Epoch,
-    /// Version of the epoch's key.
-    pub revision: Revision,
-    /// The lease that the leader's key is attached to.
+    /// Version of the epoch key after the claim.
+    pub epoch_version: Revision,
+    /// The lease that the leader key is attached to.
     pub lease: u64,
 }
 
-/// Whether the machines still reach a leader that steps down.
+/// Whether machines can reach a leader that steps down.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Reachability {
-    /// As far as is known.
+    /// Heartbeats arrive, as far as is known.
     Reachable,
-    /// No machine is heard.
+    /// No heartbeats have been received from any machine for too long.
     Unreachable,
 }
 
-/// What this process knows of leadership.
+/// This process's state of the leader election.
 #[derive(Debug)]
 pub(super) struct Election {
-    /// The highest epoch known.
+    /// Highest known epoch.
     epoch: Epoch,
-    /// The leader of that epoch, if known.
+    /// Node name of that epoch's leader; `None` if not known.
     known_leader: Option<String>,
-    /// The leader's lease at the store, as last read.
+    /// Leader lease as last read from the store; `None` if not known or already revoked by this node.
     leader_lease: Option<u64>,
-    /// Leadership is read at this time; `None` while a step is under way.
-    read_due_at: Option<u64>,
-    /// The store's revision of the last read: watches begin there.
+    /// Time of the next read of the leadership keys on the monotonic clock; `None` while a step is in flight.
+    read_due_at_ms: Option<u64>,
+    /// Revision of the store at the last read, from which watches start.
     read_revision: Revision,
 }
 
 impl Election {
-    /// Nothing is known; leadership is read at once.
-    pub fn new(now: u64) -> Election {
+    /// Creates the state of a process that knows no leader. The first read is due at `now_ms`.
+    pub fn new(now_ms: u64) -> Election {
         Election {
             epoch: Epoch::NONE,
             known_leader: None,
             leader_lease: None,
-            read_due_at: Some(now),
+            read_due_at_ms: Some(now_ms),
             read_revision: Revision::ABSENT,
         }
     }
 
-    /// The highest epoch known.
+    /// Returns the highest known epoch.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
 
-    /// Name of the leader, if known.
+    /// Returns the leader's node name, if known.
     pub fn known_leader(&self) -> Option<&str> {
         self.known_leader.as_deref()
     }
 
-    /// Takes an epoch and its leader as the newest.
+    /// Sets the known epoch and its leader.
     pub fn follow(&mut self, epoch: Epoch, leader: String) {
         self.epoch = epoch;
         self.known_leader = Some(leader);
     }
 
-    /// Reads leadership if that is due.
+    /// Reads the leadership keys if a read is due.
     pub fn run_due(&mut self, ctx: &mut Context) {
-        if self.read_due_at.is_some_and(|at| ctx.now_ms() >= at) {
+        if self.read_due_at_ms.is_some_and(|due_at_ms| ctx.now_ms() >= due_at_ms) {
             self.read_leadership(ctx);
         }
     }
 
-    /// Reads the leader's key, the epoch and the cancellations.
+    /// Reads the leader key, the epoch key and the cancellation keys.
     pub fn read_leadership(&mut self, ctx: &mut Context) {
-        self.read_due_at = None;
+        self.read_due_at_ms = None;
         let scan = KvRequest::Scan { prefix: LEADERSHIP_PREFIX.into(), after: String::new() };
         send(ctx, scan, ElectionRequest::ReadLeadership);
     }
 
-    /// Gives up this node's leadership and its lease; takes part in the next election after a pause.
-    pub fn resign(&mut self, ctx: &mut Context, lease: u64, reachability: Reachability) {
+    /// Revokes this node's leader lease and delays its part in the next election.
+    pub fn step_down(&mut self, ctx: &mut Context, lease: u64, reachability: Reachability) {
         revoke(ctx, lease);
         self.known_leader = None;
-        let pause = match reachability {
-            Reachability::Reachable => RESIGNED_INTERVALS,
-            Reachability::Unreachable => RESIGNED_UNREACHABLE_INTERVALS,
+        let delay_intervals = match reachability {
+            Reachability::Reachable => STEP_DOWN_DELAY_INTERVALS,
+            Reachability::Unreachable => UNREACHABLE_STEP_DOWN_DELAY_INTERVALS,
         };
-        self.read_after(ctx, pause);
+        self.read_after(ctx, delay_intervals);
     }
 
-    /// The connection to a peer broke. If it is the leader, its process has most likely ended: its lease is revoked
-    /// rather than waited for. If it lives, that costs it an election; safety does not rest on the guess, since the
-    /// epoch fences what it still sends.
+    /// Revokes the leader lease if `peer` is the known leader. Called when the connection to a peer breaks: the peer's
+    /// process has most likely ended, and revoking the lease avoids waiting for lease expiry. If the leader is still
+    /// running, it loses its leadership; this is safe, since the epoch fences all its later writes.
     pub fn revoke_lease_of(&mut self, ctx: &mut Context, peer: &str) {
         if self.known_leader.as_deref() == Some(peer)
             && let Some(lease) = self.leader_lease.take()
@@ -166,29 +172,29 @@
         }
     }
 
-    /// Takes in the reply to a step; `sent_at` is when the step was sent.
+    /// Handles the reply to an election step that was sent at `sent_at_ms`.
     pub fn handle_reply(
         &mut self,
         ctx: &mut Context,
         request: ElectionRequest,
-        sent_at: u64,
+        sent_at_ms: u64,
         result: Result<KvReply, RequestError>,
     ) -> ElectionTransition {
         let Ok(reply) = result else {
-            self.read_after(ctx, RETRY_INTERVALS);
+            self.read_after(ctx, RETRY_DELAY_INTERVALS);
             return ElectionTransition::None;
         };
         match (request, reply) {
             (ElectionRequest::ReadLeadership, KvReply::Page(page)) => {
-                return self.handle_leadership(ctx, sent_at, &page);
+                return self.handle_leadership_page(ctx, sent_at_ms, &page);
             }
-            (ElectionRequest::WatchLeadership, KvReply::Changes(news)) if news.changes.is_empty() => {
+            (ElectionRequest::WatchLeadership, KvReply::Changes(reply)) if reply.changes.is_empty() => {
                 self.watch(ctx);
-                return ElectionTransition::CancellationsUnchanged { sent_at };
+                return ElectionTransition::CancellationsUnchanged { sent_at_ms };
             }
             (ElectionRequest::WatchLeadership, _) => self.read_leadership(ctx),
             (ElectionRequest::GrantLease, KvReply::LeaseGranted(lease)) => {
-                // Read again: the epoch's version must be no older than the lease.
+                // The epoch is read again because its version must be no older than the lease.
                 let get = KvRequest::Get { key: keys::EPOCH.into() };
                 send(ctx, get, ElectionRequest::ReadEpoch { lease });
             }
@@ -198,27 +204,27 @@
             (ElectionRequest::ReadEpoch { lease }, KvReply::Missing) => {
                 self.claim(ctx, lease, Epoch::NONE, Revision::ABSENT);
             }
-            (ElectionRequest::ClaimEpoch { epoch, lease }, KvReply::Committed(revision)) => {
+            (ElectionRequest::ClaimEpoch { epoch, lease }, KvReply::Committed(epoch_version)) => {
                 self.follow(epoch, ctx.settings.node_name.clone());
-                return ElectionTransition::BecomeLeader(Claim { epoch, revision, lease });
+                return ElectionTransition::BecomeLeader(Claim { epoch, epoch_version, lease });
             }
             (ElectionRequest::ReadEpoch { lease } | ElectionRequest::ClaimEpoch { lease, .. }, _) => {
                 revoke(ctx, lease);
                 self.read_leadership(ctx);
             }
             (ElectionRequest::ReadLeadership | ElectionRequest::GrantLease, _) => {
-                self.read_after(ctx, RETRY_INTERVALS);
+                self.read_after(ctx, RETRY_DELAY_INTERVALS);
             }
         }
         ElectionTransition::None
     }
 
-    fn handle_leadership(&mut self, ctx: &mut Context, sent_at: u64, page: &Page) -> ElectionTransition {
+    fn handle_leadership_page(&mut self, ctx: &mut Context, sent_at_ms: u64, page: &Page) -> ElectionTransition {
         self.read_revision = page.revision;
-        if let Some(pair) = find(page, keys::EPOCH) {
+        if let Some(pair) = find_key(page, keys::EPOCH) {
             self.epoch = self.epoch.max(epoch_from_value(&pair.v));
         }
-        match find(page, keys::LEADER) {
+        match find_key(page, keys::LEADER) {
             Some(pair) => self.handle_leader_record(ctx, LeaderRecord::from_value(&pair.v)),
             None => {
                 self.known_leader = None;
@@ -230,15 +236,15 @@
             return ElectionTransition::None;
         }
         let cancelled = page.pairs.iter().filter_map(|pair| pair.path.strip_prefix(keys::CANCELLED));
-        ElectionTransition::CancellationsRead { sent_at, cancelled: cancelled.map(str::to_string).collect() }
+        ElectionTransition::CancellationsRead { sent_at_ms, cancelled: cancelled.map(str::to_string).collect() }
     }
 
     fn handle_leader_record(&mut self, ctx: &mut Context, record: LeaderRecord) {
         if record.node == ctx.settings.node_name {
-            // From before a restart, or from a claim whose answer was lost.
+            // The record is left from before a restart, or from a claim whose reply was lost.
             self.known_leader = None;
             revoke(ctx, record.lease.unwrap_or(0));
-            self.read_after(ctx, OWN_LEASE_REVOKED_INTERVALS);
+            self.read_after(ctx, OWN_LEASE_REVOKED_DELAY_INTERVALS);
         } else {
             self.known_leader = Some(record.node);
             self.leader_lease = record.lease;
@@ -246,7 +252,8 @@
         }
     }
 
-    /// Writes the leader's key and the next epoch, if there is still no leader and the epoch is as read.
+    /// Sends the transaction that writes the leader key and the next epoch. Preconditions: there is no leader key, and
+    /// the epoch key still has `version`.
     fn claim(&self, ctx: &mut Context, lease: u64, stored: Epoch, version: Revision) {
         let epoch = stored.max(self.epoch).next();
         let node = &ctx.settings.node_name;
@@ -265,18 +272,18 @@
     }
 
     fn watch(&self, ctx: &mut Context) {
-        let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCH_FRACTION;
+        let hold_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
         let watch = KvRequest::Watch { prefix: LEADERSHIP_PREFIX.into(), after: self.read_revision, hold_ms };
         send(ctx, watch, ElectionRequest::WatchLeadership);
     }
 
     fn read_after(&mut self, ctx: &Context, heartbeat_intervals: f64) {
         let wait_ms = (ctx.settings.heartbeat_interval_s * heartbeat_intervals * 1000.0) as u64;
-        self.read_due_at = Some(ctx.now_ms() + wait_ms);
+        self.read_due_at_ms = Some(ctx.now_ms() + wait_ms);
     }
 }
 
-fn find<'a>(page: &'a Page, key: &str) -> Option<&'a KeyValue> {
+fn find_key<'a>(page: &'a Page, key: &str) -> Option<&'a KeyValue> {
     page.pairs.iter().find(|pair| pair.path == key)
 }
 
@@ -288,7 +295,7 @@
     ctx.send_kv(KvRequest::RevokeLease { lease }, PendingRequest::Ignored);
 }
 
-/// Time to live of a leader's lease without renewal, in milliseconds.
+/// Returns the time to live of a leader lease without renewal, in milliseconds.
 fn leader_lease_ms(settings: &Settings, tuning: &Tuning) -> u64 {
     let lease_ms = settings.heartbeat_interval_s * tuning.leader_lease_intervals * 1000.0;
     lease_ms.max(MIN_LEADER_LEASE_MS) as u64
--- a/crates/core/src/controller/election/records.rs
+++ b/crates/core/src/controller/election/records.rs
@@ -1,35 +1,35 @@
-//! The election's two records in the key-value store, as they are stored.
+//! Stored form of the two election records: the leader key and the epoch key.
 
 use serde_json::{Value, json};
 use shaleshunt_wire::Epoch;
 
-/// Value of the leader's key.
+/// Value of the leader key.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct LeaderRecord {
-    /// Name of the leader's node; empty if the record has none.
+    /// Node name of the leader; empty if the record has none.
     pub node: String,
-    /// The lease that the key is attached to.
+    /// The lease that the leader key is attached to; `None` if the record names none.
     pub lease: Option<u64>,
 }
 
 impl LeaderRecord {
-    /// Reads a stored value; what is missing or of another type counts as not given.
+    /// Decodes a stored value. Fields that are missing or of another type count as absent.
     pub fn from_value(value: &Value) -> LeaderRecord {
         LeaderRecord { node: value["node"].as_str().unwrap_or_default().to_string(), lease: value["pass"].as_u64() }
     }
 
-    /// The value to store.
+    /// Encodes the record for storage.
     pub fn to_value(&self) -> Value {
         json!({"node": self.node, "pass": self.lease})
     }
 }
 
-/// The epoch in a stored value; none if the value names no number.
+/// Decodes the value of the epoch key; [`Epoch::NONE`] if the value holds no number.
 pub(super) fn epoch_from_value(value: &Value) -> Epoch {
     Epoch(value["epoch"].as_u64().unwrap_or(0))
 }
 
-/// The value to store for an epoch that a node claims.
+/// Encodes the value of the epoch key for an epoch that `node` claims.
 pub(super) fn epoch_to_value(epoch: Epoch, node: &str) -> Value {
     json!({"epoch": epoch, "node": node})
 }
--- a/crates/core/src/controller/election_request.rs
+++ b/crates/core/src/controller/election_request.rs
@@ -1,26 +1,26 @@
-//! The steps of an election that wait for the key-value store.
+//! Election steps that wait for a reply of the key-value store.
 
 use shaleshunt_wire::Epoch;
 
-/// A step under way. The reply to it decides on the next one.
+/// An election step in flight. Its reply decides the next step.
 #[derive(Debug)]
 pub(crate) enum ElectionRequest {
-    /// Reading the leader's key, the epoch and the cancellations.
+    /// Reads the leader key, the epoch key and the cancellation keys.
     ReadLeadership,
-    /// Watching these keys for changes.
+    /// Watches the leader key, the epoch key and the cancellation keys for changes.
     WatchLeadership,
-    /// Acquiring a lease for the leader's key.
+    /// Grants a lease for the leader key.
     GrantLease,
-    /// Reading the epoch again, with a lease in hand.
+    /// Reads the epoch key again after the lease was granted.
     ReadEpoch {
-        /// The lease.
+        /// The granted lease.
         lease: u64,
     },
-    /// Writing the leader's key and the next epoch by compare-and-swap.
+    /// Writes the leader key and the next epoch by compare-and-swap.
     ClaimEpoch {
-        /// The next epoch.
+        /// The claimed epoch.
         epoch: Epoch,
-        /// The lease that the leader's key is attached to.
+        /// The lease that the leader key is attached to.
         lease: u64,
     },
 }
--- a/crates/core/src/controller/kv_availability.rs
+++ b/crates/core/src/controller/kv_availability.rs
@@ -1,51 +1,54 @@
-//! Whether the key-value store currently answers this process.
+//! Tracks whether the key-value store currently answers this process.
 
 use crate::io::RequestError;
 
-/// The store counts as unavailable after this fraction of a heartbeat interval without an answer.
-const UNAVAILABLE_AFTER_FRACTION: u64 = 3;
+/// The store counts as unavailable after a heartbeat interval divided by this number without an answer.
+const UNAVAILABLE_TIMEOUT_DIVISOR: u64 = 3;
 
-/// When the key-value store last answered, and when a request to it last failed.
+/// Times of the key-value store's last answer and of the last failed request, on the monotonic clock.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct KvAvailability {
-    answered_at: u64,
-    failed_at: u64,
+    /// The start of the process until the first answer.
+    last_answer_at_ms: u64,
+    /// 0 if no request has failed.
+    last_failure_at_ms: u64,
 }
 
 impl KvAvailability {
-    /// Availability of a process that starts now: the store is taken to be available.
-    pub fn new(now: u64) -> KvAvailability {
-        KvAvailability { answered_at: now, failed_at: 0 }
+    /// Creates the state of a process that starts at `now_ms`. The store is assumed to be available.
+    pub fn new(now_ms: u64) -> KvAvailability {
+        KvAvailability { last_answer_at_ms: now_ms, last_failure_at_ms: 0 }
     }
 
-    /// Takes note of the outcome of a request.
-    pub fn record<T>(&mut self, now: u64, result: &Result<T, RequestError>) {
+    /// Records the outcome of a request.
+    pub fn record<T>(&mut self, now_ms: u64, result: &Result<T, RequestError>) {
         match result {
-            Err(error) if !shows_contact(error) => self.record_failure(now),
-            _ => self.answered_at = now,
+            Err(error) if !store_responded(error) => self.record_failure(now_ms),
+            _ => self.last_answer_at_ms = now_ms,
         }
     }
 
-    /// Takes note that the store could not be reached.
-    pub fn record_failure(&mut self, now: u64) {
-        self.failed_at = now;
+    /// Records that the store could not be reached.
+    pub fn record_failure(&mut self, now_ms: u64) {
+        self.last_failure_at_ms = now_ms;
     }
 
-    /// When the store last answered.
-    pub fn answered_at(&self) -> u64 {
-        self.answered_at
+    /// Returns when the store last answered.
+    pub fn last_answer_at_ms(&self) -> u64 {
+        self.last_answer_at_ms
     }
 
-    /// Whether a request has failed since the last answer and that answer is too long ago.
-    pub fn is_unavailable(&self, now: u64, heartbeat_interval_ms: u64) -> bool {
-        let silent_for = now.saturating_sub(self.answered_at);
-        self.failed_at > self.answered_at && silent_for > heartbeat_interval_ms / UNAVAILABLE_AFTER_FRACTION
+    /// Returns whether a request has failed since the last answer and the last answer is older than the timeout.
+    pub fn is_unavailable(&self, now_ms: u64, heartbeat_interval_ms: u64) -> bool {
+        let since_last_answer_ms = now_ms.saturating_sub(self.last_answer_at_ms);
+        self.last_failure_at_ms > self.last_answer_at_ms
+            && since_last_answer_ms > heartbeat_interval_ms / UNAVAILABLE_TIMEOUT_DIVISOR
     }
 }
 
-/// Whether a failed request shows that the store is reached and serves requests: it answered, though with an
-/// error of this request alone.
-fn shows_contact(error: &RequestError) -> bool {
+/// Returns whether an error shows that the store is reachable and serves requests: the store responded, with an error
+/// that concerns only this request.
+fn store_responded(error: &RequestError) -> bool {
     match error {
         RequestError::NotSent
         | RequestError::LocalOverload
--- a/crates/core/src/controller/kv_route.rs
+++ b/crates/core/src/controller/kv_route.rs
@@ -1,4 +1,4 @@
-//! Carries out decisions about the route to the key-value store: directly, or through a peer.
+//! Executes the relay's decisions on the route to the key-value store: direct, or through a peer.
 
 use super::Controller;
 use super::pending::PendingRequest;
@@ -9,26 +9,26 @@
 
 impl Controller {
     pub(super) fn update_relay(&mut self) {
-        let now = self.ctx.now_ms();
+        let now_ms = self.ctx.now_ms();
         let inputs = RelayInputs {
-            now,
+            now_ms,
             settings: &self.ctx.settings,
             kv_unavailable: self.ctx.kv_unavailable(),
-            kv_answered_at: self.ctx.kv_answered_at(),
+            kv_last_answer_at_ms: self.ctx.kv_last_answer_at_ms(),
         };
         match self.ctx.relay.decide(inputs, self.peers.views()) {
             RelayDecision::Keep => {}
             RelayDecision::Start { peer } => self.start_relay(peer),
             RelayDecision::Abandon => self.ctx.abandon_relay(),
             RelayDecision::Probe => {
-                self.ctx.relay.schedule_next_probe(now, self.ctx.settings.heartbeat_interval_ms());
+                self.ctx.relay.schedule_next_probe(now_ms, self.ctx.settings.heartbeat_interval_ms());
                 let probe = KvRequest::Get { key: keys::EPOCH.into() };
                 self.ctx.send_kv_directly(probe, PendingRequest::KvRouteProbe);
             }
         }
     }
 
-    /// The direct route was probed: if it works, the relay is given up.
+    /// Handles the reply to a probe of the direct route: ends the relay if the probe was answered.
     pub(super) fn handle_probe_reply(&mut self, result: &Result<KvReply, RequestError>) {
         if result.is_ok() {
             self.ctx.relay.stop();
--- a/crates/core/src/controller/mod.rs
+++ b/crates/core/src/controller/mod.rs
@@ -1,21 +1,25 @@
-//! One controller process: users' requests, leader election and, while it leads, the cluster's scheduler.
+//! A controller process: users' requests, leader election and, on the leader, scheduling for the whole cluster.
 //!
-//! [`Controller`] composes the subsystems and routes commands and replies to them. Each owns its state:
+//! [`Controller`] composes the subsystems and routes commands and replies to them. Each subsystem owns its state:
 //!
 //! - `context`: time, settings, pending requests and effects, shared by all subsystems;
-//! - `election`: epoch, leader and the steps towards leadership;
-//! - `peers`: what the other controllers report, heartbeats to them, shared job progress;
+//! - `election`: the known epoch and leader, and the steps of a claim to leadership;
+//! - `peers`: reports of the peers, heartbeats to them, and the job progress that the leader shares;
 //! - `relay`: the route to the key-value store through a peer;
-//! - `zone_leases`: leases of this zone's machines while the leader is not heard;
-//! - `catalog`: when the machine types are read;
-//! - `api` and `leader` (modules of the crate): users' requests, and the work of the leader.
+//! - `zone_leases`: renewal of machine leases of this zone while the leader is unreachable;
+//! - `catalog`: reads of the catalog of machine types;
+//! - `api` and `leader` (modules of the crate): users' requests, and the leader's state and work.
 //!
-//! Three further files hold parts of the composition: `replies` routes the replies of outside services,
-//! `peer_exchange` the frames of other controllers, `kv_route` starts and ends the relay.
+//! Three further files implement parts of [`Controller`]: `replies` routes replies of the store, the cloud and agents;
+//! `peer_exchange` handles frames of peers; `kv_route` starts and ends the relay.
 //!
-//! Subsystems do not use one another. Where one's result concerns another, it returns a typed value and the
-//! controller carries it out. What always holds: at most one command is handled at a time; effects leave in the
-//! order in which they arose; a reply reaches the leader only in the epoch in which the request was sent.
+//! Subsystems do not call each other. A result that concerns another subsystem is returned as a typed value, which the
+//! controller applies.
+//!
+//! Invariants:
+//! - Commands are handled one at a time.
+//! - Effects are executed in the order in which they were added.
+//! - A reply is passed to the leader's state only in the epoch in which the request was sent.
 
 mod batch_time;
 mod catalog;
@@ -49,21 +53,21 @@
 use catalog::CatalogReader;
 use election::{Claim, Election, ElectionTransition, Reachability};
 use peers::Peers;
-use progress::ReportedProgress;
+use progress::ControllerTaskCounts;
 use shaleshunt_wire::worker::{Heartbeat, HeartbeatReply};
 use zone_leases::ZoneLeases;
 
-/// HTTP status of responses that ask the client to retry, here or elsewhere.
+/// HTTP status of responses that ask the client to retry, on this or another controller.
 const SERVICE_UNAVAILABLE: u16 = 503;
-/// Seconds after which a failed health check may be repeated.
-const HEALTH_CHECK_RETRY_S: u32 = 1;
+/// `Retry-After` of a failed health check, in seconds.
+const HEALTH_CHECK_RETRY_AFTER_S: u32 = 1;
 
-/// One controller process, as a state machine without I/O: commands go in, effects come out.
+/// A controller process as a state machine without I/O: takes commands and returns effects.
 pub struct Controller {
     ctx: Context,
     api: Api,
     election: Election,
-    /// The leader's state, while this process leads.
+    /// The leader's state; `None` while this process is not the leader.
     leader: Option<Box<Leader>>,
     peers: Peers,
     zone_leases: ZoneLeases,
@@ -71,8 +75,8 @@
 }
 
 impl Controller {
-    /// A process that has just started. `process_id` is a number that no other process has, of this node or
-    /// another: a restart may take less than any clock shows.
+    /// Creates the state of a process that starts at `now`. `process_id` is unique among the processes of all nodes. A
+    /// start time would not be: a process may restart within the resolution of the clock.
     pub fn new(settings: Settings, tuning: Tuning, now: Timestamp, process_id: u64) -> Controller {
         Controller {
             api: Api::new(&settings),
@@ -85,7 +89,7 @@
         }
     }
 
-    /// Works through a batch of commands; returns the effects to carry out, in order.
+    /// Handles a batch of commands; returns the effects to execute, in order.
     pub fn step(&mut self, now: Timestamp, batch: Batch) -> Vec<Effect> {
         self.begin_batch(now);
         for command in batch {
@@ -94,13 +98,13 @@
         self.end_batch()
     }
 
-    /// Begins a batch. [`Controller::handle_command`] and [`Controller::end_batch`] are its other parts, for callers that measure
-    /// each command.
+    /// Starts a batch. Callers that measure each command use this method with [`Controller::handle_command`] and
+    /// [`Controller::end_batch`] in place of [`Controller::step`].
     pub fn begin_batch(&mut self, now: Timestamp) {
         self.ctx.begin_batch(now);
     }
 
-    /// Takes in one command of a batch.
+    /// Handles one command of the current batch.
     pub fn handle_command(&mut self, command: Command) {
         match command {
             Command::Submit(id, submission) => self.api.submit(&mut self.ctx, id, *submission),
@@ -117,44 +121,45 @@
         }
     }
 
-    /// Ends a batch: does what is due by time, and returns the effects to carry out, in order.
+    /// Ends the batch: runs all work that is due, and returns the effects to execute, in order.
     pub fn end_batch(&mut self) -> Vec<Effect> {
         self.run_due();
         self.ctx.take_effects()
     }
 
-    /// The work done so far.
+    /// Returns the counts of the work done since the process started.
     pub fn work(&self) -> Work {
         self.ctx.work.done()
     }
 
-    /// Whether this process leads and has completed its failover.
+    /// Returns whether this process is the leader and has completed its recovery.
     pub fn is_active_leader(&self) -> bool {
         self.leader.as_ref().is_some_and(|leader| leader.active)
     }
 
     fn handle_health_check(&mut self, id: RequestId) {
-        let healthy = self.ctx.catalog.is_some() && !self.is_cut_off_alone();
+        let healthy = self.ctx.catalog.is_some() && !self.is_isolated_from_store();
         let not_ready = Answer::Problem {
             status: SERVICE_UNAVAILABLE,
             error: "not ready",
-            retry_after: Some(HEALTH_CHECK_RETRY_S),
+            retry_after: Some(HEALTH_CHECK_RETRY_AFTER_S),
         };
         self.ctx.answer(id, if healthy { Answer::Healthy } else { not_ready });
     }
 
-    /// Whether the key-value store fails only this process, and no peer relays its requests: then users are better
-    /// sent elsewhere. In an outage for all, staying healthy lets users learn final states that are remembered.
-    fn is_cut_off_alone(&self) -> bool {
+    /// Returns whether this process cannot reach the key-value store, a peer can, and no relay is active. The health
+    /// check then fails, so that users are sent to other controllers. In an outage of the store for all controllers the
+    /// health check still succeeds, since users' queries for known final states can be answered from memory.
+    fn is_isolated_from_store(&self) -> bool {
         let (now, settings) = (self.ctx.now_ms(), &self.ctx.settings);
         self.ctx.kv_unavailable()
             && !self.ctx.relay.is_active()
-            && self.peers.views().relay_candidate(now, settings, self.ctx.kv_answered_at()).is_some()
+            && self.peers.views().relay_candidate(now, settings, self.ctx.kv_last_answer_at_ms()).is_some()
     }
 
     fn handle_heartbeat(&mut self, id: RequestId, heartbeat: Heartbeat) {
-        // A newer token shows that there is a newer leader. Any 200 of ours would be dropped by the agent and would
-        // hold it here while its lease expires.
+        // A fencing token of a newer epoch shows that there is a newer leader. The agent would ignore a 200 response of
+        // this leader, but keep sending its heartbeats here until its lease expires.
         let token_epoch = heartbeat.token.epoch();
         if self.leader.as_ref().is_some_and(|leader| token_epoch > leader.epoch) {
             self.step_down(StepDown::NewerToken);
@@ -166,7 +171,7 @@
         }
     }
 
-    /// Renews the agent's lease if that is allowed without the leader; redirects it to the leader otherwise.
+    /// Renews the machine lease if this node may do so without the leader; otherwise redirects the agent to the leader.
     fn handle_heartbeat_as_follower(&mut self, id: RequestId, heartbeat: &Heartbeat) {
         let (epoch, api) = (self.election.epoch(), &self.api);
         let renewal = self.zone_leases.renew(&self.ctx, epoch, heartbeat, |job| api.is_cancelled(job));
@@ -188,11 +193,11 @@
     fn apply_transition(&mut self, transition: ElectionTransition) {
         match transition {
             ElectionTransition::None => {}
-            ElectionTransition::CancellationsRead { sent_at, cancelled } => {
-                self.zone_leases.set_cancellations(sent_at, cancelled);
+            ElectionTransition::CancellationsRead { sent_at_ms, cancelled } => {
+                self.zone_leases.set_cancellations(sent_at_ms, cancelled);
             }
-            ElectionTransition::CancellationsUnchanged { sent_at } => {
-                self.zone_leases.confirm_cancellations(sent_at);
+            ElectionTransition::CancellationsUnchanged { sent_at_ms } => {
+                self.zone_leases.confirm_cancellations(sent_at_ms);
             }
             ElectionTransition::BecomeLeader(claim) => self.become_leader(claim),
         }
@@ -200,7 +205,7 @@
 
     fn become_leader(&mut self, claim: Claim) {
         self.ctx.emit(Event::LeaderElected { epoch: claim.epoch });
-        let leader = Leader::new(&mut self.ctx, claim.epoch, claim.revision, claim.lease);
+        let leader = Leader::new(&mut self.ctx, claim.epoch, claim.epoch_version, claim.lease);
         self.leader = Some(Box::new(leader));
         self.peers.expedite_heartbeat(self.ctx.now_ms());
     }
@@ -212,10 +217,10 @@
             _ => Reachability::Reachable,
         };
         self.ctx.emit(Event::LeaderSteppedDown { epoch: leader.epoch, reason });
-        self.election.resign(&mut self.ctx, leader.pass, reachability);
+        self.election.step_down(&mut self.ctx, leader.pass, reachability);
     }
 
-    /// Does what is due by time, once in each batch.
+    /// Runs the work of all subsystems that is due. Called once per batch.
     fn run_due(&mut self) {
         let now = self.ctx.now_ms();
         if self.leader.is_none() {
@@ -223,7 +228,7 @@
         }
         self.catalog_reader.run_due(&mut self.ctx);
         self.ctx.limits.run_due(now, self.ctx.settings.heartbeat_interval_ms());
-        let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+        let progress = ControllerTaskCounts { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
         self.api.run_due(&mut self.ctx, &progress);
         let activity = self.peers.views().activity(now, &self.ctx.settings, self.api.pending_submissions());
         self.ctx.set_peer_activity(activity);
--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -1,5 +1,4 @@
-//! Exchange of frames with the other controllers: what a heartbeat means to the subsystems, and what this process
-//! tells the others.
+//! Handles frames from peers, and sends this process's heartbeats and job progress to them.
 
 use super::Controller;
 use crate::step_down::StepDown;
@@ -11,7 +10,7 @@
         match frame {
             Frame::Heartbeat(heartbeat) => self.handle_peer_heartbeat(&from, heartbeat),
             Frame::JobProgress { epoch, jobs } => self.handle_progress(epoch, jobs),
-            // The first belongs to the connection, the others to the clients of the key-value store.
+            // `Hello` is handled by the connection, forwarded requests and responses by the key-value store client.
             Frame::Hello { .. } | Frame::ForwardedRequest { .. } | Frame::ForwardedResponse { .. } => {}
         }
     }
@@ -20,15 +19,15 @@
         if !self.peers.views().contains(from) {
             return;
         }
-        let now = self.ctx.now_ms();
-        let echoed_at = heartbeat.echo.sent_by(self.ctx.process_id(), now);
-        self.peers.views_mut().record(from, now, &heartbeat);
-        self.ctx.peer_lease_reports.record(from, now, heartbeat.lease_extension_age_ms, echoed_at);
+        let now_ms = self.ctx.now_ms();
+        let echoed_at_ms = heartbeat.echo.sent_by(self.ctx.process_id(), now_ms);
+        self.peers.views_mut().record(from, now_ms, &heartbeat);
+        self.ctx.peer_lease_reports.record(from, now_ms, heartbeat.lease_extension_age_ms, echoed_at_ms);
         if !heartbeat.is_leader {
             return;
         }
         if heartbeat.leader == from && heartbeat.epoch >= self.election.epoch() {
-            self.zone_leases.record_leader_heartbeat(heartbeat.epoch, now, echoed_at);
+            self.zone_leases.record_leader_heartbeat(heartbeat.epoch, now_ms, echoed_at_ms);
         }
         if heartbeat.epoch > self.election.epoch() {
             if self.leader.as_ref().is_some_and(|leader| leader.epoch < heartbeat.epoch) {
@@ -42,13 +41,13 @@
         if epoch < self.election.epoch() || self.leader.is_some() {
             return;
         }
-        self.learn_versions(&jobs);
+        self.learn_record_versions(&jobs);
         self.peers.record_progress(jobs);
     }
 
-    fn learn_versions(&mut self, jobs: &[JobProgress]) {
+    fn learn_record_versions(&mut self, jobs: &[JobProgress]) {
         let versions = jobs.iter().map(|progress| (progress.job.as_str(), progress.record_version));
-        self.api.learn_revisions(versions);
+        self.api.learn_record_versions(versions);
     }
 
     pub(super) fn handle_disconnect(&mut self, peer: &str) {
@@ -59,8 +58,8 @@
     }
 
     pub(super) fn send_heartbeats(&mut self) {
-        let now = self.ctx.now_ms();
-        if !self.peers.take_heartbeat_due(now, &self.ctx.settings) {
+        let now_ms = self.ctx.now_ms();
+        if !self.peers.take_heartbeat_due(now_ms, &self.ctx.settings) {
             return;
         }
         let heartbeat = PeerHeartbeat {
@@ -69,21 +68,21 @@
             is_leader: self.leader.is_some(),
             store_contact_age_ms: self.store_contact_age_ms(),
             process_id: self.ctx.process_id(),
-            sent_at_ms: now,
+            sent_at_ms: now_ms,
             echo: HeartbeatEcho::default(),
-            lease_extension_age_ms: saturate(self.zone_leases.renewal_age_ms(now)),
+            lease_extension_age_ms: to_u32_saturating(self.zone_leases.renewal_age_ms(now_ms)),
             pending_submissions: self.api.pending_submissions(),
         };
         self.peers.send_heartbeats(&mut self.ctx, &heartbeat);
     }
 
-    /// Time since the key-value store answered directly. A relayed answer does not count: nobody shall relay
-    /// requests through a process that needs a relay itself.
+    /// Returns the time since the key-value store last answered on the direct route, in milliseconds. While a relay is
+    /// active, the result is the maximum, so that no peer chooses this process as its relay.
     fn store_contact_age_ms(&self) -> u32 {
         if self.ctx.relay.is_active() {
             return u32::MAX;
         }
-        saturate(self.ctx.now_ms().saturating_sub(self.ctx.kv_answered_at()))
+        to_u32_saturating(self.ctx.now_ms().saturating_sub(self.ctx.kv_last_answer_at_ms()))
     }
 
     pub(super) fn share_progress(&mut self) {
@@ -92,11 +91,11 @@
         }
         let Some(leader) = &self.leader else { return };
         let (epoch, jobs) = (leader.epoch, leader.job_progress());
-        self.learn_versions(&jobs);
+        self.learn_record_versions(&jobs);
         self.peers.send_progress(&mut self.ctx, epoch, jobs);
     }
 }
 
-fn saturate(age_ms: u64) -> u32 {
+fn to_u32_saturating(age_ms: u64) -> u32 {
     u32::try_from(age_ms).unwrap_or(u32::MAX)
 }
--- a/crates/core/src/controller/pending.rs
+++ b/crates/core/src/controller/pending.rs
@@ -1,7 +1,7 @@
-//! Requests to outside services that wait for a reply.
+//! Requests to the key-value store, the cloud and agents that wait for a reply.
 //!
-//! Each request carries a typed value that names the subsystem and the step to resume with the reply. A reply
-//! that matches no registered request (a duplicate, for example) is ignored.
+//! Each pending request holds a typed value that names the subsystem and the step that continues with the reply. A
+//! reply that matches no pending request, such as a duplicate, is ignored.
 
 use super::batch_time::BatchTime;
 use super::election_request::ElectionRequest;
@@ -11,48 +11,49 @@
 use shaleshunt_wire::Epoch;
 use std::collections::HashMap;
 
-/// Who gets the reply to a request.
+/// The recipient of the reply to a request.
 #[derive(Debug)]
 pub(crate) enum PendingRequest {
     /// A user's request.
     Api(ApiRequest),
     /// A step of leader election.
     Election(ElectionRequest),
-    /// The leader of this epoch; a reply that comes in another epoch is dropped.
+    /// The leader of this epoch. A reply that arrives in another epoch is dropped.
     Leader(Epoch, LeaderRequest),
     /// A read of the catalog of machine types.
     Catalog,
     /// A probe of the direct route to the key-value store while a relay is in use.
     KvRouteProbe,
-    /// Nobody: the request needs no reply.
+    /// None: the reply is ignored.
     Ignored,
 }
 
 /// A request together with the batch in which it was sent.
 #[derive(Debug)]
 pub(crate) struct SentRequest {
-    /// Who gets the reply.
+    /// The recipient of the reply.
     pub request: PendingRequest,
-    /// When it was sent.
-    pub sent: BatchTime,
+    /// The batch in which the request was sent.
+    pub sent_at: BatchTime,
 }
 
-/// All requests without a reply so far, by identifier.
+/// All requests in flight, by identifier.
 #[derive(Debug, Default)]
 pub(crate) struct PendingRequests {
+    /// Identifier of the last registered request; 0 if there was none.
     last_id: RequestId,
     by_id: HashMap<RequestId, SentRequest>,
 }
 
 impl PendingRequests {
-    /// Registers a request under a new identifier.
-    pub fn register(&mut self, request: PendingRequest, sent: BatchTime) -> RequestId {
+    /// Registers a request; returns its new identifier.
+    pub fn register(&mut self, request: PendingRequest, sent_at: BatchTime) -> RequestId {
         self.last_id += 1;
-        self.by_id.insert(self.last_id, SentRequest { request, sent });
+        self.by_id.insert(self.last_id, SentRequest { request, sent_at });
         self.last_id
     }
 
-    /// Removes the request that a reply belongs to.
+    /// Removes and returns the request that a reply belongs to; `None` if no such request is pending.
     pub fn complete(&mut self, id: RequestId) -> Option<SentRequest> {
         self.by_id.remove(&id)
     }
--- a/crates/core/src/controller/progress.rs
+++ b/crates/core/src/controller/progress.rs
@@ -1,18 +1,18 @@
-//! Progress of jobs, for users' status queries.
+//! Task counts of jobs for users' status queries.
 
 use super::peers::SharedTaskCounts;
-use crate::api::{TaskCounts, TaskProgress};
+use crate::api::{TaskCountSource, TaskCounts};
 use crate::leader::Leader;
 
-/// What this controller can tell of jobs' progress.
-pub(super) struct ReportedProgress<'a> {
-    /// The leader, if this process leads: it knows best.
+/// Sources of task counts on this controller.
+pub(super) struct ControllerTaskCounts<'a> {
+    /// The leader's state, if this process is the leader. It has the current counts.
     pub leader: Option<&'a Leader>,
-    /// What another controller shared while it led.
+    /// Counts last shared by another leader, used if this process is not the leader.
     pub shared: &'a SharedTaskCounts,
 }
 
-impl TaskProgress for ReportedProgress<'_> {
+impl TaskCountSource for ControllerTaskCounts<'_> {
     fn task_counts(&self, job: &str) -> TaskCounts {
         match self.leader {
             Some(leader) => {
--- a/crates/core/src/controller/relay.rs
+++ b/crates/core/src/controller/relay.rs
@@ -1,89 +1,91 @@
-//! Relaying of requests to the key-value store through a peer, while the store fails this process alone.
+//! Relays requests to the key-value store through a peer while this process cannot reach the store and the peer can.
 //!
-//! The relay is in use from [`Relay::start`] to [`Relay::stop`]. Meanwhile the direct route is probed from time to
-//! time, and used again as soon as a probe is answered.
+//! The relay is active from [`Relay::start`] to [`Relay::stop`]. While it is active, the direct route is probed
+//! periodically and used again as soon as a probe is answered.
 
 use super::peer_views::PeerViews;
 use crate::settings::Settings;
 
-/// A peer that is not heard for this fraction of a heartbeat interval no longer relays. As long, requests still
-/// sent on the direct route may go on failing after the relay was started.
-const RELAY_TIMEOUT_FRACTION: u64 = 2;
+/// The relay timeout is a heartbeat interval divided by this number. A relay peer without a heartbeat for longer is
+/// abandoned. For as long after the start of a relay, failures may still be of requests sent on the direct route.
+const RELAY_TIMEOUT_DIVISOR: u64 = 2;
 
-/// The relay peer, if requests go through one.
+/// The active relay, if any.
 #[derive(Debug, Default)]
 pub(crate) struct Relay(Option<ActiveRelay>);
 
+/// A relay in use. Times are on the monotonic clock.
 #[derive(Debug)]
 struct ActiveRelay {
+    /// Node name of the relay peer.
     peer: String,
-    started_at: u64,
-    /// When to probe the direct route next.
-    probe_at: u64,
+    started_at_ms: u64,
+    /// Time of the next probe of the direct route.
+    next_probe_at_ms: u64,
 }
 
-/// What to do about the relay.
+/// Change to the relay that the controller makes.
 #[derive(Debug, PartialEq, Eq)]
 pub(super) enum RelayDecision {
-    /// Nothing.
+    /// Keeps the current route.
     Keep,
-    /// Begin to relay through this peer.
+    /// Starts relaying through a peer.
     Start {
-        /// The peer.
+        /// Node name of the peer.
         peer: String,
     },
-    /// The relay does not work: return to the direct route.
+    /// Returns to the direct route because the relay does not work.
     Abandon,
-    /// Try the direct route with one request.
+    /// Sends one request on the direct route.
     Probe,
 }
 
-/// Availability of the key-value store as the decision reads it.
+/// Inputs of the relay decision.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct RelayInputs<'a> {
-    /// Current time on the steady clock, in milliseconds.
-    pub now: u64,
-    /// The platform's settings.
+    /// Current time on the monotonic clock.
+    pub now_ms: u64,
+    /// Settings of the deployment.
     pub settings: &'a Settings,
-    /// Whether the store fails on the route in use.
+    /// Whether the store is unavailable on the current route.
     pub kv_unavailable: bool,
-    /// When the store last answered on the route in use.
-    pub kv_answered_at: u64,
+    /// Time of the store's last answer on the current route, on the monotonic clock.
+    pub kv_last_answer_at_ms: u64,
 }
 
 impl Relay {
-    /// The peer that relays requests.
+    /// Returns the node name of the relay peer, if a relay is active.
     pub fn peer(&self) -> Option<&str> {
         self.0.as_ref().map(|relay| relay.peer.as_str())
     }
 
-    /// Whether requests are relayed.
+    /// Returns whether requests are relayed.
     pub fn is_active(&self) -> bool {
         self.0.is_some()
     }
 
-    /// Begins to relay through a peer.
-    pub fn start(&mut self, peer: String, now: u64, heartbeat_interval_ms: u64) {
-        self.0 = Some(ActiveRelay { peer, started_at: now, probe_at: now + heartbeat_interval_ms });
+    /// Starts relaying through a peer.
+    pub fn start(&mut self, peer: String, now_ms: u64, heartbeat_interval_ms: u64) {
+        self.0 = Some(ActiveRelay { peer, started_at_ms: now_ms, next_probe_at_ms: now_ms + heartbeat_interval_ms });
     }
 
-    /// Returns to the direct route.
+    /// Stops relaying: requests take the direct route again.
     pub fn stop(&mut self) {
         self.0 = None;
     }
 
-    /// The direct route is probed now: plans the next probe.
-    pub fn schedule_next_probe(&mut self, now: u64, heartbeat_interval_ms: u64) {
+    /// Schedules the next probe of the direct route, one heartbeat interval after `now_ms`.
+    pub fn schedule_next_probe(&mut self, now_ms: u64, heartbeat_interval_ms: u64) {
         if let Some(relay) = &mut self.0 {
-            relay.probe_at = now + heartbeat_interval_ms;
+            relay.next_probe_at_ms = now_ms + heartbeat_interval_ms;
         }
     }
 
-    /// Decides whether to start, probe or abandon the relay.
+    /// Decides whether to start or abandon a relay, or to probe the direct route.
     pub(super) fn decide(&self, inputs: RelayInputs<'_>, peers: &PeerViews) -> RelayDecision {
         match &self.0 {
             None if inputs.kv_unavailable => {
-                let candidate = peers.relay_candidate(inputs.now, inputs.settings, inputs.kv_answered_at);
+                let candidate = peers.relay_candidate(inputs.now_ms, inputs.settings, inputs.kv_last_answer_at_ms);
                 candidate.map_or(RelayDecision::Keep, |peer| RelayDecision::Start { peer })
             }
             None => RelayDecision::Keep,
@@ -94,14 +96,14 @@
 
 impl ActiveRelay {
     fn decide(&self, inputs: RelayInputs<'_>, peers: &PeerViews) -> RelayDecision {
-        let timeout_ms = inputs.settings.heartbeat_interval_ms() / RELAY_TIMEOUT_FRACTION;
-        let peer_heard_at = peers.last_heard(&self.peer).unwrap_or(0);
-        let peer_lost = inputs.now.saturating_sub(peer_heard_at) > timeout_ms;
-        // Before that, failures may be of requests sent directly.
-        let failures_are_of_relay = inputs.now.saturating_sub(self.started_at) > timeout_ms;
-        if peer_lost || failures_are_of_relay && inputs.kv_unavailable {
+        let timeout_ms = inputs.settings.heartbeat_interval_ms() / RELAY_TIMEOUT_DIVISOR;
+        let peer_heartbeat_at_ms = peers.last_heartbeat_at_ms(&self.peer).unwrap_or(0);
+        let peer_unreachable = inputs.now_ms.saturating_sub(peer_heartbeat_at_ms) > timeout_ms;
+        // Until then, failures may be of requests that were sent on the direct route.
+        let direct_requests_timed_out = inputs.now_ms.saturating_sub(self.started_at_ms) > timeout_ms;
+        if peer_unreachable || direct_requests_timed_out && inputs.kv_unavailable {
             RelayDecision::Abandon
-        } else if inputs.now >= self.probe_at {
+        } else if inputs.now_ms >= self.next_probe_at_ms {
             RelayDecision::Probe
         } else {
             RelayDecision::Keep
--- a/crates/core/src/controller/replies.rs
+++ b/crates/core/src/controller/replies.rs
@@ -1,7 +1,7 @@
-//! Routes the replies of outside services to the subsystem that sent the request.
+//! Routes replies of the key-value store, the cloud and agents to the subsystem that sent the request.
 
 use super::pending::PendingRequest;
-use super::progress::ReportedProgress;
+use super::progress::ControllerTaskCounts;
 use super::{Controller, catalog};
 use crate::io::{CloudReply, DirectCommandsReply, KvReply, RequestError, RequestId};
 use crate::leader::{Leader, LeaderRequest};
@@ -10,25 +10,26 @@
 impl Controller {
     pub(super) fn handle_kv_reply(&mut self, id: RequestId, result: Result<KvReply, RequestError>) {
         let Some(pending) = self.ctx.complete(id) else { return };
-        // A probe goes by the direct route: it tells nothing about the route in use.
+        // A probe takes the direct route, so its result says nothing about the current route.
         if !matches!(pending.request, PendingRequest::KvRouteProbe) {
             self.ctx.record_kv_reply(&result);
         }
         match pending.request {
             PendingRequest::Api(request) => {
-                let progress = ReportedProgress { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
-                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent, result, &progress);
+                let progress =
+                    ControllerTaskCounts { leader: self.leader.as_deref(), shared: self.peers.task_counts() };
+                self.api.handle_kv_reply(&mut self.ctx, request, pending.sent_at, result, &progress);
                 self.forward_cancellations();
             }
             PendingRequest::Election(request) if self.leader.is_none() => {
-                let transition = self.election.handle_reply(&mut self.ctx, request, pending.sent.at, result);
+                let transition = self.election.handle_reply(&mut self.ctx, request, pending.sent_at.at_ms, result);
                 self.apply_transition(transition);
             }
             PendingRequest::Election(_) => {}
             PendingRequest::Catalog => catalog::handle_kv_reply(&mut self.ctx, result),
             PendingRequest::Leader(epoch, request) => {
                 if let Some(leader) = leader_of(&mut self.leader, epoch) {
-                    leader.handle_kv_reply(&mut self.ctx, request, pending.sent.at, result);
+                    leader.handle_kv_reply(&mut self.ctx, request, pending.sent_at.at_ms, result);
                 }
             }
             PendingRequest::KvRouteProbe => {
@@ -39,8 +40,8 @@
         }
     }
 
-    /// Stops at once what users' requests have shown to be cancelled: the leader's own watch may be refused just
-    /// then.
+    /// Stops jobs that replies to users' requests showed to be cancelled, without waiting for the leader's own watch of
+    /// cancellations: the store may be rejecting that watch at the time.
     fn forward_cancellations(&mut self) {
         let cancelled = self.api.take_newly_cancelled();
         let Some(leader) = &mut self.leader else { return };
@@ -78,7 +79,7 @@
     }
 }
 
-/// The leader's state, if this process leads that epoch.
+/// Returns the leader's state if this process is the leader of `epoch`.
 fn leader_of(leader: &mut Option<Box<Leader>>, epoch: Epoch) -> Option<&mut Leader> {
     leader.as_deref_mut().filter(|leader| leader.epoch == epoch)
 }
--- a/crates/core/src/controller/zone_leases.rs
+++ b/crates/core/src/controller/zone_leases.rs
@@ -1,71 +1,75 @@
-//! Renewal of leases of this zone's machines while the leader is not heard.
+//! Renews the leases of this zone's machines while the leader is unreachable.
 //!
-//! In a network partition the leader grants each zone's controller the right to renew the leases of the machines
-//! there for a term. The controller speaks with the fencing token that the machine has seen, of the epoch of the
-//! leader last heard, and starts no tasks; it stops those that are cancelled.
+//! In a network partition, each zone's controller may renew the leases of the machines in its zone for a limited term.
+//! The controller replies with the fencing token that the machine has seen, which must be of the epoch of the last
+//! known leader. It starts no tasks, and stops the tasks of cancelled jobs.
 //!
-//! What always holds: the term ends `cancel_s - lease_s` less a margin after the last moment at which the leader
-//! surely led *and* no cancellation had been missed. The leader, and the next one, rely on that before they release
-//! anything of a silent machine.
+//! Invariant: the term ends `cancel_s - lease_s`, less a margin, after the latest time for which two facts are proven:
+//! the leader was leading, and no earlier cancellation is missing here. The current leader and the next one rely on
+//! this before they release the placements of an unreachable machine.
 
 use super::context::Context;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::{Heartbeat, TaskCommand, TaskReport, TaskStatus, split_task_name};
 use std::collections::BTreeSet;
 
-/// The leader counts as not heard after this fraction of a heartbeat interval.
-const LEADER_SILENCE_FRACTION: u64 = 2;
+/// The leader counts as unreachable after a heartbeat interval divided by this number without a heartbeat.
+const LEADER_TIMEOUT_DIVISOR: u64 = 2;
 
-/// The leader as last heard by a heartbeat of its own.
+/// The leader's state as known from its own heartbeats. Times are on the monotonic clock.
 #[derive(Debug, Clone, Default)]
 struct LeaderContact {
     epoch: Epoch,
-    /// When its last heartbeat arrived.
-    heard_at: u64,
-    /// It surely led after this time, because it had received a heartbeat that this process sent then; 0 if
-    /// nothing proves that.
-    surely_led_at: u64,
+    /// Arrival of the leader's last heartbeat.
+    last_heartbeat_at_ms: u64,
+    /// Time after which the leader was provably leading: the sending time of the last heartbeat of this process that
+    /// the leader echoed; 0 if the leader has echoed none.
+    confirmed_at_ms: u64,
 }
 
-/// What this process knows that allows it to renew leases without the leader.
+/// State that decides whether this process may renew machine leases without the leader.
 #[derive(Debug, Default)]
 pub(super) struct ZoneLeases {
     leader: LeaderContact,
-    /// No cancellation committed before this time is missing from `cancelled`.
-    cancellations_known_at: u64,
-    /// Cancelled jobs that have not ended.
+    /// Every cancellation committed before this time is in `cancelled`; 0 if cancellations were never read.
+    cancellations_known_at_ms: u64,
+    /// Names of cancelled jobs that have not ended.
     cancelled: BTreeSet<String>,
-    renewed_at: Option<u64>,
+    /// Time of the last lease renewal without the leader; `None` if there was none.
+    last_renewal_at_ms: Option<u64>,
 }
 
 impl ZoneLeases {
-    /// Records a heartbeat of the leader, and the sending time of our heartbeat that it echoes, if any.
-    pub fn record_leader_heartbeat(&mut self, epoch: Epoch, now: u64, echoed_at: Option<u64>) {
+    /// Records a heartbeat of the leader. `echoed_at_ms` is the sending time of the heartbeat that the leader echoes,
+    /// if this process sent it.
+    pub fn record_leader_heartbeat(&mut self, epoch: Epoch, now_ms: u64, echoed_at_ms: Option<u64>) {
         if self.leader.epoch != epoch {
             self.leader = LeaderContact { epoch, ..LeaderContact::default() };
         }
-        self.leader.heard_at = now;
-        self.leader.surely_led_at = self.leader.surely_led_at.max(echoed_at.unwrap_or(0));
+        self.leader.last_heartbeat_at_ms = now_ms;
+        self.leader.confirmed_at_ms = self.leader.confirmed_at_ms.max(echoed_at_ms.unwrap_or(0));
     }
 
-    /// Replaces the cancelled jobs by those that a read sent at this time found.
-    pub fn set_cancellations(&mut self, read_sent_at: u64, cancelled: BTreeSet<String>) {
-        self.cancellations_known_at = read_sent_at;
+    /// Replaces the cancelled jobs with the result of a read that was sent at `read_sent_at_ms`.
+    pub fn set_cancellations(&mut self, read_sent_at_ms: u64, cancelled: BTreeSet<String>) {
+        self.cancellations_known_at_ms = read_sent_at_ms;
         self.cancelled = cancelled;
     }
 
-    /// A watch sent at this time has shown that no cancellation was added.
-    pub fn confirm_cancellations(&mut self, watch_sent_at: u64) {
-        self.cancellations_known_at = watch_sent_at;
+    /// Records that a watch sent at `watch_sent_at_ms` found no changes to the cancellations.
+    pub fn confirm_cancellations(&mut self, watch_sent_at_ms: u64) {
+        self.cancellations_known_at_ms = watch_sent_at_ms;
     }
 
-    /// Time since a lease was last renewed without the leader, or since the clock's zero, in milliseconds.
-    pub fn renewal_age_ms(&self, now: u64) -> u64 {
-        now.saturating_sub(self.renewed_at.unwrap_or(0))
+    /// Returns the time since the last lease renewal without the leader, in milliseconds; `now_ms` if there was none.
+    pub fn renewal_age_ms(&self, now_ms: u64) -> u64 {
+        now_ms.saturating_sub(self.last_renewal_at_ms.unwrap_or(0))
     }
 
-    /// Renews the lease of the machine that sent a heartbeat, if that is allowed without the leader: the commands
-    /// for the reply. `epoch` is the highest epoch known; `is_cancelled` knows jobs found cancelled otherwise.
+    /// Renews the lease of the machine that sent `heartbeat`, if this process may do so without the leader. Returns the
+    /// commands for the reply, or `None` if the lease is not renewed. `epoch` is the highest known epoch;
+    /// `is_cancelled` returns whether a job is known to be cancelled from other sources than
+    /// [`ZoneLeases::set_cancellations`].
     pub fn renew(
         &mut self,
         ctx: &Context,
@@ -76,22 +80,22 @@
         if !self.may_renew(ctx, epoch, heartbeat) {
             return None;
         }
-        self.renewed_at = Some(ctx.now_ms());
+        self.last_renewal_at_ms = Some(ctx.now_ms());
         let is_cancelled = |job: &str| self.cancelled.contains(job) || is_cancelled(job);
         Some(heartbeat.tasks.iter().filter(|task| must_stop(task, is_cancelled)).map(stop_command).collect())
     }
 
     fn may_renew(&self, ctx: &Context, epoch: Epoch, heartbeat: &Heartbeat) -> bool {
-        let (now, settings) = (ctx.now_ms(), &ctx.settings);
-        let silence_ms = settings.heartbeat_interval_ms() / LEADER_SILENCE_FRACTION;
-        let leader_silent = now.saturating_sub(self.leader.heard_at) > silence_ms;
+        let (now_ms, settings) = (ctx.now_ms(), &ctx.settings);
+        let timeout_ms = settings.heartbeat_interval_ms() / LEADER_TIMEOUT_DIVISOR;
+        let leader_unreachable = now_ms.saturating_sub(self.leader.last_heartbeat_at_ms) > timeout_ms;
         let leader_is_newest = self.leader.epoch > Epoch::NONE && self.leader.epoch == epoch;
         let token_is_current = heartbeat.token.epoch() == self.leader.epoch;
         let in_own_zone = heartbeat.zone == settings.location;
-        let sure_at = self.leader.surely_led_at.min(self.cancellations_known_at);
+        let both_confirmed_at_ms = self.leader.confirmed_at_ms.min(self.cancellations_known_at_ms);
         let term_ms = settings.lease_renewal_window_ms().min((ctx.tuning.zone_lease_term_s * 1000.0) as u64);
-        let within_term = sure_at > 0 && now < sure_at + term_ms;
-        leader_silent && leader_is_newest && token_is_current && in_own_zone && within_term
+        let within_term = both_confirmed_at_ms > 0 && now_ms < both_confirmed_at_ms + term_ms;
+        leader_unreachable && leader_is_newest && token_is_current && in_own_zone && within_term
     }
 }
 
