--- a/crates/core/src/leader/placements.rs
+++ b/crates/core/src/leader/placements.rs
@@ -39,7 +39,7 @@
             placement_id: placement.placement_id,
             attempt: placement.attempt,
             agent_epoch: placement.agent_epoch,
-            planned: placement.stage == PlacementState::Planned,
+            planned: placement.state == PlacementState::Planned,
         };
         let (task, need) = (placement.task, placement.need);
         let Some(m) = self.fleet.machines.add_placement(machine, placement) else { return };
@@ -52,7 +52,7 @@
     /// to be written. Returns the placement, if the machine has it.
     pub(crate) fn release_unfinished(&mut self, now: u64, machine: &Id, placement_id: u64) -> Option<Placement> {
         let placement = self.remove_placement(now, machine, placement_id)?;
-        self.record_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
+        self.record_task_change(now, &placement.job, placement.task, WriteUrgency::Deferred);
         self.queue_write_of_cancelled(now, &placement.job);
         Some(placement)
     }
@@ -71,7 +71,7 @@
         let m = self.fleet.machines.get(machine)?;
         self.scheduler.request_pass();
         if let Some(job) = self.jobs.get_mut(&placement.job) {
-            job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.stage.is_running());
+            job.tasks.remove_placement(placement.task, placement_id, &m.zone, placement.state.is_running());
             let ownership = Ownership::from_owned(m.owned);
             self.scheduler.usage_mut().remove(&job.spec.class, &job.spec.team, &placement.need, ownership);
         }
@@ -81,7 +81,7 @@
     /// A cancelled job ends with its last placement: whether it has is looked at with its writes.
     fn queue_write_of_cancelled(&mut self, now: u64, job: &Id) {
         if self.jobs.get(job).is_some_and(|job| job.cancelled) {
-            self.queue_write(now, job);
+            self.queue_job_write(now, job);
         }
     }
 
@@ -92,14 +92,14 @@
         for (machine, placement_id) in placements {
             self.stop_placement(ctx.now.monotonic_ms, &machine, placement_id);
         }
-        self.queue_write(ctx.now.monotonic_ms, id);
+        self.queue_job_write(ctx.now.monotonic_ms, id);
     }
 
     /// Stops a task at once; one whose start command never left is released.
     pub(crate) fn stop_placement(&mut self, now: u64, machine: &Id, placement_id: u64) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         let Some(placement) = m.placement_mut(placement_id) else { return };
-        if placement.sent {
+        if placement.start_sent {
             placement.stop_grace_s = Some(0.0);
             self.fleet.calls.call_soon(machine.clone());
         } else {
--- a/crates/core/src/leader/recovery/mod.rs
+++ b/crates/core/src/leader/recovery/mod.rs
@@ -9,7 +9,7 @@
 
 use crate::controller::Context;
 use crate::io::{KvReply, KvRequest, RequestError};
-use crate::leader::store::SplitJobRead;
+use crate::leader::store::SplitSubmissionRead;
 use crate::leader::{Leader, LeaderRequest};
 use crate::records::keys;
 use crate::step_down::StepDown;
@@ -83,7 +83,7 @@
     scans_in_flight: u32,
     retries: Vec<ScanRetry>,
     submission_parts: Vec<KeyValue>,
-    split_records: Vec<SplitJobRead>,
+    split_records: Vec<SplitSubmissionRead>,
     pages: Vec<KeyValue>,
     blocks: Vec<KeyValue>,
     v0_1_machines: Vec<KeyValue>,
@@ -92,7 +92,7 @@
 
 impl Recovery {
     /// The record of a job was read whose submission is in parts.
-    pub(crate) fn add_split_record(&mut self, read: SplitJobRead) {
+    pub(crate) fn defer_split_submission(&mut self, read: SplitSubmissionRead) {
         self.split_records.push(read);
     }
 
@@ -119,7 +119,7 @@
     fn scan(&mut self, ctx: &mut Context, position: ScanPosition) {
         self.recovery.scans_in_flight += 1;
         let request = KvRequest::Scan { prefix: position.kind.prefix().into(), after: position.after.clone() };
-        let wait = self.wait(LeaderRequest::Load(position));
+        let wait = self.pending_request(LeaderRequest::ScanRecords(position));
         ctx.send_kv(request, wait);
     }
 
@@ -139,7 +139,7 @@
     ) {
         match result {
             Ok(KvReply::Page(page)) => self.handle_scan_page(ctx, position.kind, page),
-            Ok(_) => self.down = Some(StepDown::Unreadable),
+            Ok(_) => self.step_down = Some(StepDown::Unreadable),
             Err(_) => {
                 self.recovery.scans_in_flight -= 1;
                 let at = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
@@ -181,7 +181,7 @@
 
     fn restore_scale_out(&mut self, pair: KeyValue) {
         if let Ok(request) = serde_json::from_value::<ScaleOutRequest>(pair.v) {
-            self.autoscaler.scale_outs.load(request, pair.version);
+            self.autoscaler.scale_outs.restore(request, pair.version);
         }
     }
 
