--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -1,9 +1,9 @@
 //! Queue of admitted submissions and the transactions that accept them.
 //!
-//! A job is accepted when its record is created by compare-and-swap: neither it nor a final record of
-//! the same name may exist. Many submissions share one transaction. Batches shrink while the store
-//! throttles or rejects them, since a large one finds all its writes granted less often than a small
-//! one, and grow again with each success.
+//! A job is accepted when its record is created by compare-and-swap. The precondition is that neither a job record nor
+//! a final record of the same name exists. A transaction accepts many submissions. Batches shrink while the store
+//! throttles or rejects transactions, since the store is less likely to grant all writes of a large transaction than
+//! those of a small one, and grow again with each commit.
 
 use crate::io::RequestId;
 use crate::records::{FinalRecord, JobRecord, keys};
@@ -14,39 +14,39 @@
 use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::VecDeque;
 
-/// Most transactions of acceptances in flight.
+/// Maximum number of accepting transactions in flight.
 const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
-/// Most bytes of a transaction, as estimated: some room is left for what the estimate misses.
+/// Maximum estimated size of a transaction in bytes. The rest of the body limit is a margin for estimation errors.
 const MAX_TRANSACTION_BYTES: usize = MAX_BODY * 7 / 8;
-/// Bytes that a write and its two conditions take besides their keys and the value, as estimated.
+/// Estimated size in bytes of a write and its two conditions without their keys and the value.
 const WRITE_OVERHEAD_BYTES: usize = 64;
-/// How often a submission's key, or one of the same length, appears: two conditions and a write.
+/// Keys per submission in a transaction, all of the same length: those of two conditions and a write.
 const KEYS_PER_SUBMISSION: usize = 3;
 
-/// A submission that waits to be accepted.
+/// A submission that has not been accepted yet.
 #[derive(Debug, Clone)]
 pub(crate) struct PendingSubmission {
-    /// The user's request.
+    /// The user's request; [`super::NO_REQUEST`] if the user has already been answered.
     pub request: RequestId,
-    /// What was submitted.
+    /// The submitted job.
     pub submission: Submission,
-    /// When it came, time of day in milliseconds.
+    /// Arrival on the wall clock, in milliseconds.
     pub submitted_at_ms: u64,
-    /// When it came, on the monotonic clock in milliseconds.
+    /// Arrival on the monotonic clock, in milliseconds.
     pub received_at_ms: u64,
-    /// Its place in the order of submissions and dependency lookups.
+    /// Sequence number among the submissions and dependency lookups of this process.
     pub sequence: u64,
-    /// A job that it depends on is cancelled: it is accepted as cancelled.
+    /// Whether a dependency is cancelled. The job is then accepted as cancelled.
     pub cancelled_by_dependency: bool,
 }
 
 impl PendingSubmission {
-    /// Name of the job.
+    /// Returns the job's name.
     pub fn job(&self) -> &str {
         &self.submission.id
     }
 
-    /// The record that accepts it.
+    /// Returns the record whose creation accepts the job.
     fn record(&self) -> Value {
         if self.cancelled_by_dependency {
             json!(FinalRecord { cancelled: true, tasks: self.submission.tasks, ended_at_ms: self.submitted_at_ms })
@@ -55,58 +55,60 @@
         }
     }
 
-    /// The key of that record.
+    /// Returns the key of [`PendingSubmission::record`].
     fn record_key(&self) -> String {
         if self.cancelled_by_dependency { keys::final_record(self.job()) } else { keys::job(self.job()) }
     }
 }
 
-/// Submissions that wait for a transaction, oldest first.
+/// Submissions that wait for an accepting transaction, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct AcceptanceQueue {
     waiting: VecDeque<PendingSubmission>,
+    /// Number of accepting transactions in flight.
     in_flight: u32,
-    /// Most submissions in one transaction; 0 counts as 1.
+    /// Maximum number of submissions in a transaction; 0 counts as 1.
     batch_limit: usize,
 }
 
-/// Submissions that one transaction accepts.
+/// Submissions taken from the queue for one transaction.
 #[derive(Debug, Default)]
 pub(super) struct AcceptanceBatch {
-    /// Creates the records.
+    /// Creates the records of `submissions`.
     pub transaction: Transaction,
-    /// The submissions in it.
+    /// The submissions that the transaction accepts.
     pub submissions: Vec<PendingSubmission>,
-    /// Submissions of a job that is in this batch already: they learn from the first one's outcome.
+    /// Further submissions of jobs that are already in `submissions`.
     pub duplicates: Vec<PendingSubmission>,
-    /// Submissions whose records take more than a value of the store.
+    /// Submissions whose records exceed the store's value size limit.
     pub oversized: Vec<PendingSubmission>,
+    /// Estimated size of the transaction.
     estimated_bytes: usize,
 }
 
 impl AcceptanceQueue {
-    /// Adds a submission.
+    /// Appends a submission.
     pub fn push(&mut self, submission: PendingSubmission) {
         self.waiting.push_back(submission);
     }
 
-    /// Puts a submission back in front.
+    /// Puts a submission back at the front of the queue.
     pub fn push_front(&mut self, submission: PendingSubmission) {
         self.waiting.push_front(submission);
     }
 
-    /// How many submissions wait.
+    /// Returns the number of queued submissions.
     pub fn len(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Takes out the oldest submission if it came more than `max_wait_ms` ago.
+    /// Removes and returns the oldest submission if it arrived more than `max_wait_ms` ago.
     pub fn pop_overdue(&mut self, now_ms: u64, max_wait_ms: u64) -> Option<PendingSubmission> {
         self.waiting.pop_front_if(|oldest| now_ms.saturating_sub(oldest.received_at_ms) > max_wait_ms)
     }
 
-    /// The next batch, if anything waits and a transaction may be sent. It counts as in flight if it
-    /// holds any submission.
+    /// Takes the next batch from the queue; `None` if the queue is empty or the maximum number of transactions is in
+    /// flight. The batch counts as in flight if it has any `submissions`.
     pub fn next_batch(&mut self, limits: &StoreLimits) -> Option<AcceptanceBatch> {
         if self.in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || self.waiting.is_empty() {
             return None;
@@ -116,8 +118,8 @@
         while batch.submissions.len() < max_submissions
             && let Some(submission) = self.waiting.pop_front()
         {
-            if let Err(left_over) = batch.add(submission, limits.value_bytes()) {
-                self.waiting.push_front(*left_over);
+            if let Err(remaining) = batch.add(submission, limits.value_bytes()) {
+                self.waiting.push_front(*remaining);
                 break;
             }
         }
@@ -127,18 +129,18 @@
         Some(batch)
     }
 
-    /// A transaction in flight was answered.
+    /// Records that a transaction in flight was answered.
     pub fn finish_transaction(&mut self) {
         self.in_flight -= 1;
     }
 
-    /// A transaction was committed: larger ones may follow.
+    /// Doubles the batch limit, up to the store's limit, after a commit.
     pub fn grow_batches(&mut self, limits: &StoreLimits) {
         self.batch_limit = (self.batch_limit * 2).clamp(2, limits.ops().max(2));
     }
 
-    /// A transaction was not carried out because of its size or the store's load: its submissions
-    /// wait again, in front and in their order, and batches are half as large.
+    /// Puts the submissions of a throttled or rejected transaction back at the front of the queue, in their order, and
+    /// sets the batch limit to half of their number.
     pub fn retry_in_smaller_batches(&mut self, submissions: Vec<PendingSubmission>) {
         self.batch_limit = submissions.len() / 2;
         for submission in submissions.into_iter().rev() {
@@ -148,10 +150,10 @@
 }
 
 impl AcceptanceBatch {
-    /// Adds a submission, to the transaction or to what cannot be part of it.
+    /// Adds a submission to the transaction, to `duplicates` or to `oversized`.
     ///
     /// # Errors
-    /// Hands the submission back if the transaction is full.
+    /// Returns the submission if the transaction is full.
     fn add(&mut self, submission: PendingSubmission, value_bytes: usize) -> Result<(), Box<PendingSubmission>> {
         let job_key = keys::job(submission.job());
         if self.transaction.conditions.iter().any(|condition| condition.path == job_key) {
--- a/crates/core/src/api/acceptance/tests.rs
+++ b/crates/core/src/api/acceptance/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
-use crate::api::tests::pending;
+use crate::api::tests::pending_submission;
 use crate::settings::{Limits, Settings};
 
 fn limits(value_kb: f64, txn_ops: usize) -> StoreLimits {
     StoreLimits::new(&Settings { state: Limits { value_kb, txn_ops, write_rps: 100.0 }, ..Settings::default() })
 }
 
-/// A queue that takes as many submissions into a batch as the store allows.
-fn grown(limits: &StoreLimits) -> AcceptanceQueue {
+/// A queue whose batch limit has grown to the store's limit.
+fn queue_with_full_batches(limits: &StoreLimits) -> AcceptanceQueue {
     let mut queue = AcceptanceQueue::default();
     for _ in 0..10 {
         queue.grow_batches(limits);
@@ -20,11 +20,11 @@
 }
 
 #[test]
-fn a_job_is_created_only_if_neither_of_its_records_exists() {
+fn acceptance_requires_that_neither_record_of_the_job_exists() {
     let limits = limits(64.0, 100);
     for (cancelled_by_dependency, key) in [(false, "j/wk-1"), (true, "f/wk-1")] {
         let mut queue = AcceptanceQueue::default();
-        queue.push(PendingSubmission { cancelled_by_dependency, ..pending(1, "wk-1", 0) });
+        queue.push(PendingSubmission { cancelled_by_dependency, ..pending_submission(1, "wk-1", 0) });
         let batch = queue.next_batch(&limits).unwrap();
         let conditions = ["j/wk-1", "f/wk-1"].map(|path| Condition { path: path.into(), version: Revision::ABSENT });
         assert_eq!(batch.transaction.conditions, conditions);
@@ -33,12 +33,14 @@
 }
 
 #[test]
-fn a_job_that_is_in_the_batch_already_and_a_large_one_are_left_out() {
+fn transaction_leaves_out_duplicate_and_oversized_submissions() {
     let limits = limits(1.0, 100);
-    let mut queue = grown(&limits);
-    let mut large = pending(3, "wk-3", 0);
+    let mut queue = queue_with_full_batches(&limits);
+    let mut large = pending_submission(3, "wk-3", 0);
     large.submission.dependencies = (0..100).map(|number| format!("wk-{number:010}")).collect();
-    for submission in [pending(1, "wk-1", 0), pending(2, "wk-1", 0), large, pending(4, "wk-4", 0)] {
+    for submission in
+        [pending_submission(1, "wk-1", 0), pending_submission(2, "wk-1", 0), large, pending_submission(4, "wk-4", 0)]
+    {
         queue.push(submission);
     }
     let batch = queue.next_batch(&limits).unwrap();
@@ -48,11 +50,11 @@
 }
 
 #[test]
-fn a_full_transaction_leaves_the_rest_in_the_queue() {
+fn full_transaction_leaves_the_remaining_submissions_queued() {
     let limits = limits(64.0, 10_000);
-    let mut queue = grown(&limits);
+    let mut queue = queue_with_full_batches(&limits);
     for request in 0..1000 {
-        queue.push(pending(request, &format!("wk-{request}"), 0));
+        queue.push(pending_submission(request, &format!("wk-{request}"), 0));
     }
     let batch = queue.next_batch(&limits).unwrap();
     let body = serde_json::to_string(&batch.transaction).unwrap();
@@ -63,11 +65,11 @@
 }
 
 #[test]
-fn batches_begin_with_one_grow_with_success_and_shrink_with_throttling() {
+fn batches_start_with_one_submission_double_after_commits_and_halve_after_throttling() {
     let limits = limits(64.0, 10);
     let mut queue = AcceptanceQueue::default();
     for request in 0..100 {
-        queue.push(pending(request, &format!("wk-{request}"), 0));
+        queue.push(pending_submission(request, &format!("wk-{request}"), 0));
     }
     for expected in [1, 2, 4, 8, 10, 10] {
         let batch = queue.next_batch(&limits).unwrap();
@@ -84,15 +86,15 @@
 }
 
 #[test]
-fn two_transactions_are_in_flight_at_most_and_empty_ones_do_not_count() {
+fn at_most_two_nonempty_transactions_are_in_flight() {
     let limits = limits(1.0, 10);
     let mut queue = AcceptanceQueue::default();
-    let mut large = pending(9, "wk-9", 0);
+    let mut large = pending_submission(9, "wk-9", 0);
     large.submission.image = "x".repeat(2000);
     queue.push(large);
     assert!(queue.next_batch(&limits).unwrap().submissions.is_empty());
     for request in 0..3 {
-        queue.push(pending(request, &format!("wk-{request}"), 0));
+        queue.push(pending_submission(request, &format!("wk-{request}"), 0));
     }
     assert!(queue.next_batch(&limits).is_some() && queue.next_batch(&limits).is_some());
     assert!(queue.next_batch(&limits).is_none());
@@ -101,10 +103,10 @@
 }
 
 #[test]
-fn submissions_are_overdue_after_their_users_patience() {
+fn submissions_are_overdue_after_the_maximum_wait() {
     let mut queue = AcceptanceQueue::default();
-    queue.push(pending(1, "wk-1", 100));
-    queue.push(pending(2, "wk-2", 200));
+    queue.push(pending_submission(1, "wk-1", 100));
+    queue.push(pending_submission(2, "wk-2", 200));
     assert!(queue.pop_overdue(1100, 1000).is_none());
     assert_eq!(queue.pop_overdue(1101, 1000).unwrap().request, 1);
     assert!(queue.pop_overdue(1101, 1000).is_none());
--- a/crates/core/src/api/admission.rs
+++ b/crates/core/src/api/admission.rs
@@ -1,4 +1,4 @@
-//! Admission control: whether a submission can ever run, by the team's limit and the machine types.
+//! Admission control: checks whether a submission can ever run, given the team's limit and the machine types.
 
 use crate::api::answers::RefusalReason;
 use crate::settings::Settings;
@@ -9,7 +9,7 @@
 /// Checks that a job can run on an otherwise empty cluster.
 ///
 /// # Errors
-/// The reason why it never can.
+/// Returns the reason why the job can never run.
 pub(super) fn check(settings: &Settings, catalog: &Catalog, submission: &Submission) -> Result<(), RefusalReason> {
     let team = settings.teams.get(&submission.team).ok_or(RefusalReason::UnknownTeam)?;
     let need = submission.need();
@@ -18,23 +18,23 @@
         return Err(RefusalReason::NoMachineTypeFits);
     }
     let mut total = Resources::default();
-    total.add(&need, least_concurrent_tasks(submission));
+    total.add(&need, min_concurrent_tasks(submission));
     if !team.allows(&total) {
         return Err(RefusalReason::OverTeamLimit);
     }
     Ok(())
 }
 
-/// Whether the job may use machines of a type.
+/// Returns whether the submission allows machines of a type.
 fn allows(submission: &Submission, machine_type: &MachineType) -> bool {
     let named = submission.machine_types.as_ref().is_none_or(|names| names.contains(&machine_type.name));
-    // A type without zones is to be had in all of them.
+    // A machine type without zones is available in all zones.
     let zone = |zone: &String| machine_type.zones.is_empty() || machine_type.zones.contains(zone);
     named && submission.zone.as_ref().is_none_or(zone)
 }
 
-/// How many tasks must at least run at the same time: an array makes progress one by one.
-fn least_concurrent_tasks(submission: &Submission) -> i64 {
+/// Returns the minimum number of tasks that must run at the same time: 1 for an array, whose tasks are independent.
+fn min_concurrent_tasks(submission: &Submission) -> i64 {
     match submission.kind {
         JobKind::Array => 1,
         JobKind::Service | JobKind::Gang => i64::from(submission.tasks),
--- a/crates/core/src/api/answers.rs
+++ b/crates/core/src/api/answers.rs
@@ -1,39 +1,39 @@
-//! Answers to users: the reasons that they may be given, and views of jobs.
+//! Responses to users: errors with their reasons, and job views.
 
 use crate::api::known_jobs::FinalState;
 use crate::io::Answer;
 use shaleshunt_wire::user::{JobStatus, JobView};
 
-/// Seconds after which a user shall repeat a request that could not be served.
+/// `Retry-After` of requests that cannot be served now, in seconds.
 const RETRY_AFTER_S: u32 = 1;
 
 const STATUS_NOT_FOUND: u16 = 404;
 const STATUS_UNPROCESSABLE: u16 = 422;
 const STATUS_UNAVAILABLE: u16 = 503;
 
-/// Why a request cannot be served now. The user may repeat it.
+/// Reason why a request cannot be served now. The user may retry.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum UnavailableReason {
-    /// The catalog of machine types has not been read yet.
+    /// No catalog of machine types has been read yet.
     CatalogUnknown,
-    /// The key-value store did not reply, or not as expected.
+    /// The key-value store did not reply, or sent an unexpected reply.
     StoreUnavailable,
-    /// More requests wait than can be served in time.
+    /// More requests are queued than can be served in time.
     TooManyRequests,
-    /// The submission is still being written in parts.
+    /// The submission is still being written to the store in parts.
     SubmissionInProgress,
-    /// The states of jobs that the job depends on could not be read in time.
+    /// The states of the job's dependencies could not be read in time.
     DependenciesUnknown,
-    /// A job that the job depends on is cancelled; its own cancellation is not recorded yet.
+    /// A dependency of the job is cancelled, but the job's own cancellation is not recorded yet.
     CancellationPending,
-    /// The job's record has a form that this version does not know.
+    /// This version cannot decode the job's record.
     RecordUnreadable,
     /// The job's records changed between two reads.
     RecordChanged,
 }
 
 impl UnavailableReason {
-    /// The text that users read.
+    /// Returns the error text of the response.
     pub fn message(self) -> &'static str {
         match self {
             UnavailableReason::CatalogUnknown => "machine types not known yet",
@@ -48,21 +48,21 @@
     }
 }
 
-/// Why a submission is refused for good.
+/// Reason why a submission is permanently refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum RefusalReason {
-    /// The settings name no such team.
+    /// The team is not configured.
     UnknownTeam,
-    /// No machine type that the job allows is large enough for one of its tasks.
+    /// No allowed machine type is large enough for one task.
     NoMachineTypeFits,
-    /// What must run at the same time exceeds the team's limit.
+    /// The resources of the tasks that must run at the same time exceed the team's limit.
     OverTeamLimit,
-    /// It depends on a job that was never accepted.
+    /// A dependency was never accepted.
     DependencyNeverAccepted,
 }
 
 impl RefusalReason {
-    /// The text that users read.
+    /// Returns the error text of the response.
     pub fn message(self) -> &'static str {
         match self {
             RefusalReason::UnknownTeam => "unknown team",
@@ -73,32 +73,32 @@
     }
 }
 
-/// The request cannot be served now: the user shall repeat it.
+/// Returns the response to a request that cannot be served now: 503 with `Retry-After`.
 pub(super) fn unavailable(reason: UnavailableReason) -> Answer {
     Answer::Problem { status: STATUS_UNAVAILABLE, error: reason.message(), retry_after: Some(RETRY_AFTER_S) }
 }
 
-/// The submission is refused.
+/// Returns the response to a refused submission: 422.
 pub(super) fn refused(reason: RefusalReason) -> Answer {
     Answer::Problem { status: STATUS_UNPROCESSABLE, error: reason.message(), retry_after: None }
 }
 
-/// No job of this name was ever accepted.
+/// Returns the response to a request about a job that was never accepted: 404.
 pub(super) fn no_such_job() -> Answer {
     Answer::Problem { status: STATUS_NOT_FOUND, error: "no such job", retry_after: None }
 }
 
-/// The job exists.
+/// Returns the response with the view of an existing job: 200.
 pub(super) fn job(view: JobView) -> Answer {
     Answer::Job(200, view)
 }
 
-/// The job has just been accepted.
+/// Returns the response to a submission that was just accepted: 201.
 pub(super) fn job_created(view: JobView) -> Answer {
     Answer::Job(201, view)
 }
 
-/// The view of a finished or cancelled job.
+/// Returns the view of a finished or cancelled job.
 pub(super) fn final_view(job: &str, state: FinalState) -> JobView {
     let (status, done) = match state {
         FinalState::Done { tasks } => (JobStatus::Done, Some(tasks)),
--- a/crates/core/src/api/answers/tests.rs
+++ b/crates/core/src/api/answers/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn users_read_the_same_texts_as_in_earlier_versions() {
+fn error_texts_are_the_same_as_in_earlier_versions() {
     use UnavailableReason::*;
     let unavailable_texts = [
         (CatalogUnknown, "machine types not known yet"),
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn only_a_finished_job_shows_its_done_tasks() {
+fn final_view_has_a_done_count_only_for_a_finished_job() {
     let done = final_view("wk-1", FinalState::Done { tasks: 3 });
     assert_eq!((done.status, done.done, done.running), (JobStatus::Done, Some(3), None));
     let cancelled = final_view("wk-1", FinalState::Cancelled);
--- a/crates/core/src/api/comparisons.rs
+++ b/crates/core/src/api/comparisons.rs
@@ -1,6 +1,5 @@
-//! Status queries that are answered by comparison: one transaction without writes tells of many jobs
-//! whether their records still have the known revisions. That is as fresh as reads, at a fraction of
-//! the requests.
+//! Batching of status queries by comparison: one transaction without writes checks for many jobs whether their records
+//! still have the known versions. The result is as fresh as a read of each record and needs far fewer requests.
 
 use crate::api::job_query::JobQuery;
 use crate::api::known_jobs::KnownJobs;
@@ -8,61 +7,64 @@
 use shaleshunt_wire::kv::{Condition, Transaction};
 use std::collections::VecDeque;
 
-/// Most comparing transactions in flight.
+/// Maximum number of comparing transactions in flight.
 const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
 
 /// Queries that wait for a comparison, oldest first.
 #[derive(Debug, Default)]
 pub(super) struct ComparisonQueue {
     waiting: VecDeque<WaitingQuery>,
+    /// Number of comparing transactions in flight.
     in_flight: u32,
 }
 
 #[derive(Debug)]
 struct WaitingQuery {
+    /// Time at which the query was queued on the monotonic clock; 0 for a retried query.
     since_ms: u64,
     query: JobQuery,
 }
 
-/// When a batch of comparisons is sent.
+/// Limits that decide when a batch of comparisons is sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ComparisonLimits {
-    /// A full batch, which is sent at once.
+    /// Number of conditions in a full batch. A full batch is sent at once.
     pub max_conditions: usize,
-    /// The longest time that a query waits for others, in milliseconds.
+    /// Maximum time that a query waits for its batch to fill, in milliseconds.
     pub max_delay_ms: u64,
 }
 
-/// Queries that one transaction answers.
+/// Queries taken from the queue for one transaction.
 #[derive(Debug, Default)]
 pub(super) struct ComparisonBatch {
-    /// The conditions: that the records still have the known revisions.
+    /// Conditions that the records still have the known versions; no writes.
     pub transaction: Transaction,
-    /// Queries that it answers.
+    /// Queries that the transaction answers.
     pub queries: Vec<JobQuery>,
-    /// Queries of jobs whose records are no longer known and must be read.
+    /// Queries for jobs whose record versions are no longer known. Their records must be read.
     pub unknown: Vec<JobQuery>,
 }
 
 impl ComparisonQueue {
-    /// Adds a query.
+    /// Appends a query.
     pub fn push(&mut self, now_ms: u64, query: JobQuery) {
         self.waiting.push_back(WaitingQuery { since_ms: now_ms, query });
     }
 
-    /// Puts queries back in front, in their order; they are due at once.
+    /// Puts queries back at the front of the queue, in their order. They are due at once.
     pub fn retry(&mut self, queries: Vec<JobQuery>) {
         for query in queries.into_iter().rev() {
             self.waiting.push_front(WaitingQuery { since_ms: 0, query });
         }
     }
 
-    /// Takes all queries out.
+    /// Removes and returns all queries.
     pub fn drain(&mut self) -> impl Iterator<Item = JobQuery> + use<> {
         std::mem::take(&mut self.waiting).into_iter().map(|waiting| waiting.query)
     }
 
-    /// The next batch, if one is due. It counts as in flight if it holds any query.
+    /// Takes the next batch from the queue; `None` if none is due or the maximum number of transactions is in flight.
+    /// The batch counts as in flight if it has any `queries`.
     pub fn next_batch(&mut self, now_ms: u64, limits: ComparisonLimits, known: &KnownJobs) -> Option<ComparisonBatch> {
         if self.in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || !self.is_due(now_ms, limits) {
             return None;
@@ -79,7 +81,7 @@
         Some(batch)
     }
 
-    /// A transaction in flight was answered.
+    /// Records that a transaction in flight was answered.
     pub fn finish_transaction(&mut self) {
         self.in_flight -= 1;
     }
--- a/crates/core/src/api/comparisons/tests.rs
+++ b/crates/core/src/api/comparisons/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_batch_is_due_when_it_is_full_or_its_oldest_query_has_waited() {
+fn batch_is_due_if_full_or_after_the_maximum_delay() {
     let known = known(&["wk-1", "wk-2"]);
     let mut queue = ComparisonQueue::default();
     queue.push(1000, query(1, "wk-1"));
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn queries_of_one_job_share_a_condition_and_unknown_jobs_are_handed_back() {
+fn queries_for_one_job_share_a_condition_and_unknown_jobs_are_returned() {
     let known = known(&["wk-1", "wk-2"]);
     let mut queue = ComparisonQueue::default();
     for (request, job) in [(1, "wk-1"), (2, "wk-9"), (3, "wk-1"), (4, "wk-2"), (5, "wk-2")] {
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn two_batches_are_in_flight_at_most_and_empty_ones_do_not_count() {
+fn at_most_two_nonempty_batches_are_in_flight() {
     let known = known(&["wk-1"]);
     let mut queue = ComparisonQueue::default();
     queue.push(0, query(1, "wk-9"));
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn queries_to_be_tried_again_come_first_and_are_due_at_once() {
+fn retried_queries_come_first_and_are_due_at_once() {
     let known = known(&["wk-1", "wk-2"]);
     let mut queue = ComparisonQueue::default();
     queue.push(1000, query(3, "wk-2"));
--- a/crates/core/src/api/dependencies.rs
+++ b/crates/core/src/api/dependencies.rs
@@ -1,44 +1,44 @@
-//! What is known of the jobs that a job depends on, directly or through others.
+//! Evaluates a job's dependencies, direct and transitive, from the known jobs.
 
 use crate::api::known_jobs::{FinalState, KnownJob, KnownJobs};
 use crate::controller::BatchTime;
 use std::collections::{BTreeMap, HashSet};
 
-/// Most dependencies of one job that are looked up together, so that no other job waits for long
-/// behind a long list.
+/// Maximum number of one job's dependencies that are looked up together, so that a long list does not delay the lookups
+/// for other jobs.
 pub(super) const MAX_LOOKUPS_PER_ROUND: usize = 64;
-/// More dependencies than this are too many to be looked up for each query.
+/// Maximum number of dependencies that are looked up for each query. A list with more is long.
 const MAX_LOOKUPS_PER_QUERY: usize = MAX_LOOKUPS_PER_ROUND * 4;
-/// Most jobs with long lists that are kept up to date.
+/// Maximum number of jobs with long lists whose dependencies are refreshed in the background.
 const MAX_TRACKED_LONG_LISTS: usize = 8;
 
-/// What is known of a job's dependencies.
+/// Combined state of a job's dependencies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum DependencyState {
-    /// Each is done, or was unfinished recently enough.
+    /// Each dependency is done, or was confirmed as unfinished recently enough.
     NoneCancelled,
-    /// One is cancelled, and all that the job names were accepted.
+    /// A dependency is cancelled, and all direct dependencies were accepted.
     Cancelled,
-    /// Of these not enough is known.
+    /// The current states of these jobs are not known.
     Unknown(Vec<String>),
 }
 
-/// A job's dependencies as they are known.
+/// Result of evaluating a job's dependencies.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct DependencyReport {
-    /// Their state.
+    /// The combined state.
     pub state: DependencyState,
-    /// They are too many to be looked up for each query.
+    /// Whether the dependencies are too many to be looked up for each query.
     pub is_long: bool,
 }
 
-/// Follows dependencies through the known jobs. A job that was unfinished counts only if that was
-/// confirmed no earlier than `since`.
+/// Evaluates dependencies by following them through the known jobs. An unfinished job counts as known only if it was
+/// confirmed as unfinished in the batch `since` or later.
 ///
-/// For a query, `since` is when it came: the answer is then as fresh as if the job's own record
-/// changed together with those of its dependencies, whoever leads and however long nobody did. For a
-/// new job, of which nobody has been told anything yet, what was seen well within the time limit of a
-/// cancellation is enough.
+/// For a query, `since` is the batch from which on its answer must hold. The answer is then as fresh as if the job's
+/// own record changed together with the records of its dependencies, regardless of which controller leads and of how
+/// long there was no leader. For a new job, whose state has not been reported to anybody, confirmations well within the
+/// time limit of a cancellation are sufficient.
 pub(super) fn resolve(known: &KnownJobs, dependencies: &[String], since: BatchTime) -> DependencyReport {
     let mut seen: HashSet<&str> = HashSet::new();
     let mut to_visit: Vec<&String> = dependencies.iter().collect();
@@ -58,10 +58,10 @@
         }
     }
     if any_cancelled {
-        // A job that names a cancelled one is cancelled too, but only if all that it names were
-        // accepted once. What was seen unfinished was.
-        let named: HashSet<&String> = dependencies.iter().collect();
-        unknown.retain(|job| named.contains(job) && known.unfinished(job).is_none());
+        // A job with a cancelled dependency is cancelled too, but only if all its direct dependencies were accepted.
+        // A job that was ever seen unfinished was accepted.
+        let direct: HashSet<&String> = dependencies.iter().collect();
+        unknown.retain(|job| direct.contains(job) && known.unfinished(job).is_none());
     }
     let is_long = seen.len() > MAX_LOOKUPS_PER_QUERY;
     let state = match (unknown.is_empty(), any_cancelled) {
@@ -72,27 +72,30 @@
     DependencyReport { state, is_long }
 }
 
-/// Jobs with long lists of dependencies that users lately asked about. Their dependencies are looked
-/// up again and again without further queries, since one query's time limit is too short for them.
+/// Recently queried jobs with long lists of dependencies. Their dependencies are looked up periodically in the
+/// background, since one query's time limit is too short to look up all of them.
 #[derive(Debug, Default)]
 pub(super) struct LongDependencyLists {
+    /// End of the background lookups by job name, on the monotonic clock.
     tracked_until_ms: BTreeMap<String, u64>,
 }
 
 impl LongDependencyLists {
-    /// Keeps a job's dependencies up to date until a time, unless there are too many such jobs.
+    /// Tracks a job's dependencies until `until_ms`, or extends the tracking. Ignored for a new job if the maximum
+    /// number of jobs is tracked.
     pub fn track(&mut self, job: &str, until_ms: u64) {
         if self.tracked_until_ms.len() < MAX_TRACKED_LONG_LISTS || self.tracked_until_ms.contains_key(job) {
             self.tracked_until_ms.insert(job.to_string(), until_ms);
         }
     }
 
-    /// Removes jobs that nobody asked about lately or that are no longer known as unfinished.
+    /// Removes jobs that were not queried recently or are no longer known as unfinished.
     pub fn expire(&mut self, now_ms: u64, known: &KnownJobs) {
         self.tracked_until_ms.retain(|job, until_ms| *until_ms > now_ms && known.unfinished(job).is_some());
     }
 
-    /// The dependencies, of the first job that has any, that were not seen since a time.
+    /// Returns the dependencies of a tracked job that were not confirmed since `since`, for the first job in name order
+    /// that has any.
     pub fn stale_dependencies(&self, known: &KnownJobs, since: BatchTime) -> Option<Vec<String>> {
         self.tracked_until_ms.keys().find_map(|job| {
             let dependencies = &known.unfinished(job)?.dependencies;
--- a/crates/core/src/api/dependencies/tests.rs
+++ b/crates/core/src/api/dependencies/tests.rs
@@ -14,7 +14,7 @@
     UnfinishedJob { record_version: Revision(1), dependencies: names(dependencies), confirmed_at }
 }
 
-/// Jobs whose names tell what is known of them.
+/// A cache of jobs whose names describe their cached state.
 fn known() -> KnownJobs {
     let mut known = KnownJobs::new(10_000);
     known.record_final("done", FinalState::Done { tasks: 1 });
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn dependencies_are_followed_through_what_is_known_since_the_query() {
+fn dependencies_are_resolved_transitively_with_confirmations_since_the_query() {
     let unknown = |jobs: &[&str]| DependencyState::Unknown(names(jobs));
     let cases: [(&[&str], DependencyState); 14] = [
         (&[], DependencyState::NoneCancelled),
@@ -45,7 +45,7 @@
         (&["stale"], unknown(&["stale"])),
         (&["after_stale"], unknown(&["stale"])),
         (&["after_unknown", "unknown", "done"], unknown(&["unknown"])),
-        // With a cancelled one, only what is named and may never have been accepted matters.
+        // If a dependency is cancelled, only direct dependencies that may never have been accepted are unknown.
         (&["cancelled", "unknown"], unknown(&["unknown"])),
         (&["cancelled", "stale"], DependencyState::Cancelled),
         (&["cancelled", "after_unknown"], DependencyState::Cancelled),
@@ -57,13 +57,13 @@
 }
 
 #[test]
-fn the_last_named_is_followed_first() {
+fn last_dependency_is_followed_first() {
     let report = resolve(&known(), &names(&["unknown", "after_stale", "other"]), SINCE);
     assert_eq!(report.state, DependencyState::Unknown(names(&["other", "stale", "unknown"])));
 }
 
 #[test]
-fn more_jobs_than_are_looked_up_for_each_query_make_a_long_list() {
+fn list_is_long_if_it_exceeds_the_lookups_per_query() {
     for (count, is_long) in [(MAX_LOOKUPS_PER_QUERY, false), (MAX_LOOKUPS_PER_QUERY + 1, true)] {
         let jobs: Vec<String> = (0..count).map(|number| format!("wk-{number}")).collect();
         assert_eq!(resolve(&known(), &jobs, SINCE).is_long, is_long);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn a_bounded_number_of_long_lists_is_kept_for_a_while() {
+fn bounded_number_of_long_lists_is_tracked_until_expiry() {
     let mut known = known();
     let mut lists = LongDependencyLists::default();
     for number in 0..=MAX_TRACKED_LONG_LISTS {
@@ -79,7 +79,7 @@
         known.record_unfinished(&job, unfinished(LATER, &["stale"]));
         lists.track(&job, 100);
     }
-    // The one too many is not kept; one that is kept may be prolonged.
+    // The job beyond the maximum is not tracked; the tracking of another job can be extended.
     assert_eq!(lists.tracked_until_ms.len(), MAX_TRACKED_LONG_LISTS);
     lists.track("wk-0", 200);
     lists.expire(100, &known);
--- a/crates/core/src/api/dependency_checks.rs
+++ b/crates/core/src/api/dependency_checks.rs
@@ -1,5 +1,5 @@
-//! Checks of the jobs that a job depends on: what is known, lookups of the rest, and the requests that
-//! wait for them.
+//! Dependency checks: evaluates a job's dependencies, sends lookups for unknown ones and resumes the requests that wait
+//! for the lookups.
 
 use crate::api::answers::{self, RefusalReason, UnavailableReason};
 use crate::api::dependencies::{self, DependencyReport, MAX_LOOKUPS_PER_ROUND};
@@ -8,12 +8,12 @@
 use crate::api::{Api, TaskCountSource};
 use crate::controller::{BatchTime, Context};
 
-/// Share of the time limit of cancellations for which what was seen of dependencies counts as recent.
+/// Fraction of the cancellation time limit (`cancel_s`) for which a confirmation of a dependency counts as recent.
 const RECENT_WINDOW_FRACTION: f64 = 0.25;
 
 impl Api {
-    /// What is known of the dependencies of a job that a user asks about; none for a lookup or if the
-    /// job's record is not known.
+    /// Evaluates the dependencies of a queried job; `None` if the query is a dependency lookup or the job's record is
+    /// not known.
     pub(super) fn dependency_report(
         &mut self,
         ctx: &Context,
@@ -28,8 +28,8 @@
         if !report.is_long {
             return Some(report);
         }
-        // Thousands cannot all be looked up for each query. Then what was seen lately is enough, and a
-        // cancellation is told once it is in the job's own record: no controller tells it sooner.
+        // Thousands of dependencies cannot be looked up for each query, so recent confirmations are sufficient. A
+        // cancellation is then reported only once the job's own record shows it. This holds for every controller.
         self.long_lists.track(&query.job, ctx.now_ms() + (ctx.settings.cancel_s * 1000.0) as u64);
         let recent = recency_threshold(ctx);
         let since = BatchTime { at_ms: since.at_ms.min(recent.at_ms), ..recent };
@@ -37,7 +37,7 @@
         Some(DependencyReport { state, is_long: true })
     }
 
-    /// Requests lookups of jobs: by comparison if their records are known, else by reads.
+    /// Requests dependency lookups: by comparison for jobs whose record version is known, by reads for the others.
     pub(super) fn look_up(&mut self, ctx: &Context, jobs: Vec<String>) {
         for job in jobs.into_iter().take(MAX_LOOKUPS_PER_ROUND) {
             if !self.lookups.request(&job) {
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Sends the reads of dependency lookups that are due.
+    /// Sends the reads of dependency lookups that are due, as far as the read budget allows.
     pub(super) fn send_lookup_reads(&mut self, ctx: &mut Context) {
         while self.lookups.is_read_due(ctx.now_ms())
             && self.try_take_read(ctx)
@@ -63,14 +63,14 @@
         }
     }
 
-    /// Tries deferred requests again once lookups have brought something new.
+    /// Resumes deferred requests after dependency lookups have finished or a request is overdue.
     pub(super) fn resume_deferred_requests(&mut self, ctx: &mut Context, progress: &dyn TaskCountSource) {
         let now_ms = ctx.now_ms();
-        let Some(ResumedRequests { requests, found }) = self.lookups.resume(now_ms) else { return };
+        let Some(ResumedRequests { requests, findings }) = self.lookups.resume(now_ms) else { return };
         for request in requests {
             let is_overdue = request.is_overdue(now_ms);
             match request {
-                DeferredRequest::Submit(submission) if found.shows_unaccepted_dependency(&submission) => {
+                DeferredRequest::Submit(submission) if findings.shows_unaccepted_dependency(&submission) => {
                     let purpose = QueryPurpose::Refusal(RefusalReason::DependencyNeverAccepted);
                     self.read(ctx, JobQuery::new(submission.request, submission.submission.id, purpose));
                 }
@@ -86,8 +86,8 @@
         }
     }
 
-    /// Looks up the dependencies of jobs with long lists again, one round at a time, when half of the
-    /// time has passed for which what was seen of them counts as recent.
+    /// Looks up the dependencies of jobs with long lists again, one round at a time. A dependency is due when half of
+    /// the time has passed for which its last confirmation counts as recent.
     pub(super) fn refresh_long_lists(&mut self, ctx: &Context) {
         let now_ms = ctx.now_ms();
         self.long_lists.expire(now_ms, &self.known);
@@ -95,14 +95,14 @@
             return;
         }
         let recent = recency_threshold(ctx);
-        let half_as_old = BatchTime { at_ms: recent.at_ms.midpoint(now_ms), ..recent };
-        if let Some(jobs) = self.long_lists.stale_dependencies(&self.known, half_as_old) {
+        let refresh_threshold = BatchTime { at_ms: recent.at_ms.midpoint(now_ms), ..recent };
+        if let Some(jobs) = self.long_lists.stale_dependencies(&self.known, refresh_threshold) {
             self.look_up(ctx, jobs);
         }
     }
 }
 
-/// Since when what was seen of a dependency is recent enough for a new job or a long list.
+/// Returns the earliest confirmation of a dependency that is recent enough for a new job or a long list.
 pub(super) fn recency_threshold(ctx: &Context) -> BatchTime {
     let window_ms = (ctx.settings.cancel_s * 1000.0 * RECENT_WINDOW_FRACTION) as u64;
     BatchTime { batch: 0, at_ms: ctx.now_ms().saturating_sub(window_ms).max(1) }
--- a/crates/core/src/api/job_query.rs
+++ b/crates/core/src/api/job_query.rs
@@ -1,26 +1,26 @@
-//! A query about one job, typed by what it is for.
+//! Queries about one job, typed by purpose.
 
 use crate::api::NO_REQUEST;
 use crate::api::answers::RefusalReason;
 use crate::io::RequestId;
 
-/// How often a read or a cancellation that lost a race is tried again.
+/// Maximum number of retries of a read or a cancellation after a conflict.
 const MAX_RETRIES: u32 = 3;
 
-/// What a query is for.
+/// Purpose of a query.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum QueryPurpose {
-    /// A user asks for the job's status.
+    /// A user's status query.
     Status,
-    /// A user submitted a job of this name, and there is one: its status is the answer.
+    /// A submission of a job that already exists. The answer is the job's status.
     Resubmission,
-    /// A submission is to be refused, unless the job has been accepted before.
+    /// A submission that is refused for this reason unless the job was accepted before.
     Refusal(RefusalReason),
-    /// A user cancels the job.
+    /// A user's cancellation.
     Cancellation,
-    /// Another job depends on it: nobody waits for an answer.
+    /// A lookup for another job that depends on this one. No user waits for an answer.
     DependencyLookup {
-        /// Its place in the order of submissions and lookups.
+        /// Sequence number among the submissions and lookups of this process.
         sequence: u64,
     },
 }
@@ -28,33 +28,33 @@
 /// A query about a job.
 #[derive(Debug, Clone)]
 pub(crate) struct JobQuery {
-    /// The user's request.
+    /// The user's request; [`NO_REQUEST`] for a dependency lookup.
     pub request: RequestId,
     /// Name of the job.
     pub job: String,
-    /// What it is for.
+    /// Purpose of the query.
     pub purpose: QueryPurpose,
-    /// How often it was tried again.
+    /// Number of retries so far.
     retries: u32,
 }
 
 impl JobQuery {
-    /// A user's query.
+    /// Creates a user's query.
     pub fn new(request: RequestId, job: String, purpose: QueryPurpose) -> JobQuery {
         JobQuery { request, job, purpose, retries: 0 }
     }
 
-    /// A lookup of a job that another one depends on.
+    /// Creates a lookup of a job that another job depends on.
     pub fn dependency_lookup(job: String, sequence: u64) -> JobQuery {
         JobQuery::new(NO_REQUEST, job, QueryPurpose::DependencyLookup { sequence })
     }
 
-    /// Whether it is a lookup.
+    /// Returns whether the query is a dependency lookup.
     pub fn is_dependency_lookup(&self) -> bool {
         matches!(self.purpose, QueryPurpose::DependencyLookup { .. })
     }
 
-    /// Counts another try. Returns false if it was tried too often.
+    /// Counts a retry. Returns false, without counting, if no retry is left.
     pub fn retry(&mut self) -> bool {
         let may_retry = self.retries < MAX_RETRIES;
         if may_retry {
--- a/crates/core/src/api/known_jobs.rs
+++ b/crates/core/src/api/known_jobs.rs
@@ -1,8 +1,8 @@
-//! What this process remembers of jobs' records.
+//! In-memory cache of job records.
 //!
-//! Final states never change, so they are answered from here. Unfinished jobs are remembered with the
-//! revision of their record: a transaction that only compares revisions shows whether they are still
-//! unfinished. Both kinds are bounded; the oldest entries are forgotten first.
+//! Final states never change, so queries for them are answered from the cache. Unfinished jobs are cached with the
+//! version of their record, so that a transaction that only compares versions shows whether they are still unfinished.
+//! Both kinds are bounded; the oldest entries are evicted first.
 
 use crate::controller::BatchTime;
 use shaleshunt_wire::Revision;
@@ -11,48 +11,48 @@
 /// The final state of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum FinalState {
-    /// All its tasks are done.
+    /// All tasks are done.
     Done {
-        /// How many it had.
+        /// Number of tasks.
         tasks: u32,
     },
-    /// It was cancelled.
+    /// The job was cancelled.
     Cancelled,
 }
 
-/// A job as it was when its record was last seen unfinished.
+/// State of a job whose record was unfinished when last seen.
 #[derive(Debug, Default)]
 pub(super) struct UnfinishedJob {
-    /// Revision of its record.
+    /// Version of the job record.
     pub record_version: Revision,
-    /// Jobs that it depends on, as far as they were not known to be done.
+    /// Names of the jobs that the record lists as dependencies. Jobs known to be done may be missing.
     pub dependencies: Vec<String>,
-    /// It was neither cancelled nor finished before this time.
+    /// The job was neither cancelled nor finished before this batch; the default (batch 0) if that is not confirmed.
     pub confirmed_at: BatchTime,
 }
 
-/// What is known of a job.
+/// Cached state of a job.
 #[derive(Debug)]
 pub(super) enum KnownJob<'a> {
-    /// Its final state.
+    /// The job has ended.
     Final(FinalState),
-    /// It was unfinished when last seen.
+    /// The job was unfinished when last seen.
     Unfinished(&'a UnfinishedJob),
-    /// Nothing.
+    /// The job is not in the cache.
     Unknown,
 }
 
-/// Jobs whose records have been seen.
+/// Cache of the jobs whose records have been seen.
 #[derive(Debug)]
 pub(super) struct KnownJobs {
     unfinished: BoundedMap<UnfinishedJob>,
     finals: BoundedMap<FinalState>,
-    /// Jobs found to be cancelled since [`KnownJobs::take_newly_cancelled`] was last called.
+    /// Names of jobs that were recorded as cancelled since the last call of [`KnownJobs::take_newly_cancelled`].
     newly_cancelled: Vec<String>,
 }
 
 impl KnownJobs {
-    /// Remembers at most `capacity` jobs of each kind.
+    /// Creates a cache of at most `capacity` unfinished and `capacity` ended jobs.
     pub fn new(capacity: usize) -> KnownJobs {
         KnownJobs {
             unfinished: BoundedMap::new(capacity),
@@ -61,7 +61,7 @@
         }
     }
 
-    /// What is known of a job. A final state counts above what was seen before it.
+    /// Returns the cached state of a job. A final state takes precedence over an unfinished one.
     pub fn get(&self, job: &str) -> KnownJob<'_> {
         match (self.finals.get(job), self.unfinished.get(job)) {
             (Some(state), _) => KnownJob::Final(*state),
@@ -70,17 +70,17 @@
         }
     }
 
-    /// The final state of a job, if known.
+    /// Returns a job's final state, if cached.
     pub fn final_state(&self, job: &str) -> Option<FinalState> {
         self.finals.get(job).copied()
     }
 
-    /// The job as it was last seen unfinished.
+    /// Returns a job's last seen unfinished state, if cached.
     pub fn unfinished(&self, job: &str) -> Option<&UnfinishedJob> {
         self.unfinished.get(job)
     }
 
-    /// Records a final state.
+    /// Records a job's final state.
     pub fn record_final(&mut self, job: &str, state: FinalState) {
         if state == FinalState::Cancelled {
             self.newly_cancelled.push(job.to_string());
@@ -93,7 +93,8 @@
         self.unfinished.insert(job, seen);
     }
 
-    /// The record of a job still had the known revision when a comparison was sent.
+    /// Records that a job's record still had the cached version, as shown by a comparison that was sent in the batch
+    /// `sent`.
     pub fn confirm_unfinished(&mut self, job: &str, sent: BatchTime) {
         if let Some(known) = self.unfinished.get_mut(job)
             && sent.is_at_or_after(known.confirmed_at)
@@ -102,8 +103,9 @@
         }
     }
 
-    /// Takes over the revision of a job's record from the leader, who shares it only for jobs that no
-    /// longer depend on any other. An old revision does no harm: the next comparison shows it.
+    /// Records the version of a job's record as shared by the leader, and clears the job's dependencies: the leader
+    /// shares versions only of jobs that no longer depend on others. An outdated version is safe, since the next
+    /// comparison detects it.
     pub fn learn_record_version(&mut self, job: &str, record_version: Revision) {
         match self.unfinished.get_mut(job) {
             Some(known) => {
@@ -114,23 +116,23 @@
         }
     }
 
-    /// The record of a job has changed: what was seen of it is void.
+    /// Removes a job's unfinished state because its record has changed.
     pub fn forget_unfinished(&mut self, job: &str) {
         self.unfinished.remove(job);
     }
 
-    /// Jobs found to be cancelled since the last call.
+    /// Takes the names of jobs that were recorded as cancelled since the last call.
     pub fn take_newly_cancelled(&mut self) -> Vec<String> {
         std::mem::take(&mut self.newly_cancelled)
     }
 }
 
-/// A map that holds a bounded number of entries and evicts the one inserted first.
+/// A map with bounded capacity that evicts the entry inserted first.
 #[derive(Debug)]
 struct BoundedMap<T> {
     entries: HashMap<String, T>,
-    /// Keys in the order of their insertion. The place of a removed key stays until its turn comes: it
-    /// then evicts nothing, or the same key if that was inserted again.
+    /// Keys in order of insertion. The position of a removed key stays until it becomes the oldest. It then evicts
+    /// nothing, or the same key if the key was inserted again.
     insertion_order: VecDeque<String>,
     capacity: usize,
 }
--- a/crates/core/src/api/known_jobs/tests.rs
+++ b/crates/core/src/api/known_jobs/tests.rs
@@ -9,18 +9,18 @@
 }
 
 #[test]
-fn the_oldest_job_is_forgotten_first() {
+fn oldest_job_is_evicted_first() {
     let mut known = KnownJobs::new(2);
     for job in ["wk-1", "wk-2", "wk-1", "wk-3"] {
         known.record_final(job, FinalState::Done { tasks: 1 });
     }
-    // To record a job again does not make it newer.
+    // Recording a job again does not change its position.
     assert_eq!(known.final_state("wk-1"), None);
     assert!(known.final_state("wk-2").is_some() && known.final_state("wk-3").is_some());
 }
 
 #[test]
-fn a_job_forgotten_on_purpose_keeps_its_place_in_the_order() {
+fn removed_job_keeps_its_position_in_the_eviction_order() {
     let mut known = KnownJobs::new(2);
     known.record_unfinished("wk-1", unfinished(1));
     known.forget_unfinished("wk-1");
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_final_state_counts_above_what_was_seen_before() {
+fn final_state_takes_precedence_over_an_unfinished_state() {
     let mut known = KnownJobs::new(10);
     assert!(matches!(known.get("wk-1"), KnownJob::Unknown));
     known.record_unfinished("wk-1", unfinished(1));
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn cancelled_jobs_are_handed_over_once() {
+fn newly_cancelled_jobs_are_returned_once() {
     let mut known = KnownJobs::new(10);
     known.record_final("wk-1", FinalState::Done { tasks: 1 });
     known.record_final("wk-2", FinalState::Cancelled);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_confirmation_never_goes_back_in_time() {
+fn confirmation_never_moves_back_in_time() {
     let mut known = KnownJobs::new(10);
     known.record_unfinished("wk-1", unfinished(1));
     for (sent, expected) in [(time(5), time(5)), (time(3), time(5)), (time(6), time(6))] {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn the_leaders_revisions_replace_older_ones_and_clear_dependencies() {
+fn versions_shared_by_the_leader_replace_older_ones_and_clear_dependencies() {
     let mut known = KnownJobs::new(10);
     known.record_unfinished("wk-1", unfinished(5));
     known.learn_record_version("wk-1", Revision(3));
--- a/crates/core/src/api/lookups.rs
+++ b/crates/core/src/api/lookups.rs
@@ -1,4 +1,4 @@
-//! Lookups of jobs that other jobs depend on, and the requests that wait for them.
+//! Lookups of dependencies, and the requests that wait for the lookups.
 
 use crate::api::acceptance::PendingSubmission;
 use crate::api::job_query::JobQuery;
@@ -11,12 +11,12 @@
 pub(super) enum DeferredRequest {
     /// A submission.
     Submit(Box<PendingSubmission>),
-    /// A query, with the time from which on its answer must hold.
+    /// A query, with the batch from which on its answer must hold.
     Query(JobQuery, BatchTime),
 }
 
 impl DeferredRequest {
-    /// Whether its user shall wait no longer.
+    /// Returns whether the request has waited for longer than its maximum wait and must be answered now.
     pub fn is_overdue(&self, now_ms: u64) -> bool {
         match self {
             DeferredRequest::Submit(submission) => {
@@ -27,7 +27,7 @@
     }
 }
 
-/// A job that a lookup showed never to have been accepted.
+/// A lookup's finding that a job was never accepted.
 #[derive(Debug)]
 struct NeverAccepted {
     job: String,
@@ -35,97 +35,101 @@
     sequence: u64,
 }
 
-/// Deferred requests that are to be tried again.
+/// Deferred requests to be resumed.
 #[derive(Debug)]
 pub(super) struct ResumedRequests {
-    /// In the order in which they were deferred.
+    /// The requests, in the order in which they were deferred.
     pub requests: Vec<DeferredRequest>,
-    /// What lookups found meanwhile.
-    pub found: LookupFindings,
+    /// Findings of the lookups since requests were last resumed.
+    pub findings: LookupFindings,
 }
 
-/// Jobs that lookups showed never to have been accepted.
+/// Lookup findings that jobs were never accepted.
 #[derive(Debug)]
 pub(super) struct LookupFindings(Vec<NeverAccepted>);
 
 impl LookupFindings {
-    /// Whether a lookup that began after a submission came found that a job which it names was never
-    /// accepted.
+    /// Returns whether a lookup that started after the submission arrived found that one of the submission's
+    /// dependencies was never accepted.
     pub fn shows_unaccepted_dependency(&self, submission: &PendingSubmission) -> bool {
-        let refutes = |found: &NeverAccepted| {
-            found.sequence > submission.sequence && submission.submission.dependencies.contains(&found.job)
+        let applies = |finding: &NeverAccepted| {
+            finding.sequence > submission.sequence && submission.submission.dependencies.contains(&finding.job)
         };
-        self.0.iter().any(refutes)
+        self.0.iter().any(applies)
     }
 }
 
-/// Lookups that wait, are in flight or have finished.
+/// State of the dependency lookups and the requests that wait for them.
 ///
-/// Always: a job in `to_read` is in `requested` too. A job stays in `requested` from the request for
-/// its lookup to its end.
+/// Invariants: each job in `to_read` is also in `requested`. A job is in `requested` from the request for its lookup
+/// until the lookup has finished or its unsent read is dropped.
 #[derive(Debug, Default)]
 pub(super) struct DependencyLookups {
+    /// Requests that wait for lookups, in order of arrival.
     deferred: Vec<DeferredRequest>,
+    /// Names of jobs whose lookups are queued or in flight.
     requested: HashSet<String>,
+    /// Names of jobs whose records are to be read, oldest request first.
     to_read: VecDeque<String>,
+    /// Findings since deferred requests were last resumed.
     never_accepted: Vec<NeverAccepted>,
-    /// A lookup has finished since deferred requests were last tried again.
+    /// Whether a lookup has finished since deferred requests were last resumed.
     any_finished: bool,
-    /// A lookup failed: none is sent before this time.
+    /// Time on the monotonic clock before which no read is sent, set after a failed lookup; 0 if no lookup has failed.
     retry_at_ms: u64,
 }
 
 impl DependencyLookups {
-    /// Lets a request wait for lookups.
+    /// Defers a request until lookups have finished.
     pub fn defer(&mut self, request: DeferredRequest) {
         self.deferred.push(request);
     }
 
-    /// Notes that a job is to be looked up. Returns false if that was noted before.
+    /// Requests a lookup of a job. Returns false if a lookup of the job is already queued or in flight.
     pub fn request(&mut self, job: &str) -> bool {
         self.requested.insert(job.to_string())
     }
 
-    /// The record of a requested job is to be read.
+    /// Queues the read of a requested job's record.
     pub fn push_read(&mut self, job: String) {
         self.to_read.push_back(job);
     }
 
-    /// Whether a read may be sent now.
+    /// Returns whether a read is queued and may be sent now.
     pub fn is_read_due(&self, now_ms: u64) -> bool {
         now_ms >= self.retry_at_ms && !self.to_read.is_empty()
     }
 
-    /// The next job whose record is to be read.
+    /// Removes and returns the next job whose record is to be read.
     pub fn pop_read(&mut self) -> Option<String> {
         self.to_read.pop_front()
     }
 
-    /// A lookup has finished.
+    /// Records that a lookup has finished.
     pub fn finish(&mut self, job: &str) {
         self.requested.remove(job);
         self.any_finished = true;
     }
 
-    /// A lookup could not be carried out. None is sent before `retry_at_ms`.
+    /// Records that a lookup failed. No read is sent before `retry_at_ms`.
     pub fn fail(&mut self, job: &str, retry_at_ms: u64) {
         self.finish(job);
         self.retry_at_ms = retry_at_ms;
     }
 
-    /// A lookup found that the job was never accepted.
+    /// Records that a lookup found that the job was never accepted.
     pub fn finish_never_accepted(&mut self, job: String, sequence: u64) {
         self.finish(&job);
         self.never_accepted.push(NeverAccepted { job, sequence });
     }
 
-    /// Whether no lookup waits or is in flight.
+    /// Returns whether no lookup is queued or in flight.
     pub fn is_idle(&self) -> bool {
         self.requested.is_empty()
     }
 
-    /// Takes out all deferred requests if a lookup has finished or one of them is overdue. Reads that
-    /// were not sent are dropped: what is still wanted is requested anew.
+    /// Takes all deferred requests if a lookup has finished or one of the requests is overdue. Queued reads are
+    /// dropped; a resumed request that still needs them requests them again.
     pub fn resume(&mut self, now_ms: u64) -> Option<ResumedRequests> {
         if self.deferred.is_empty() {
             self.never_accepted.clear();
@@ -135,7 +139,8 @@
         let any_finished = std::mem::take(&mut self.any_finished);
         let any_overdue = self.deferred.iter().any(|request| request.is_overdue(now_ms));
         if !(any_finished && may_retry || any_overdue) {
-            // Once lookups may be sent again, the requests are tried even if no other one finishes.
+            // Before `retry_at_ms`, the flag is set, so that the requests are resumed at that time even if no other
+            // lookup finishes.
             self.any_finished = !may_retry;
             return None;
         }
@@ -144,7 +149,7 @@
         }
         Some(ResumedRequests {
             requests: std::mem::take(&mut self.deferred),
-            found: LookupFindings(std::mem::take(&mut self.never_accepted)),
+            findings: LookupFindings(std::mem::take(&mut self.never_accepted)),
         })
     }
 }
--- a/crates/core/src/api/mod.rs
+++ b/crates/core/src/api/mod.rs
@@ -1,22 +1,25 @@
-//! Users' requests, on any controller: submissions, status queries and cancellations.
+//! Users' requests, served by every controller: submissions, status queries and cancellations.
 //!
-//! None of them needs the leader. A job is accepted or cancelled by compare-and-swap on its record in
-//! the key-value store, and its status is read from there.
+//! No request needs the leader. A job is accepted or cancelled by compare-and-swap on its record in the key-value
+//! store, and its status is read from the store.
 //!
-//! State: [`KnownJobs`], what has been seen of jobs' records; [`AcceptanceQueue`] and
-//! [`SplitSubmissions`], submissions on their way; [`ComparisonQueue`] and [`ReadBudget`], queries on
-//! their way; [`DependencyLookups`] and [`LongDependencyLists`], what is to be found out about jobs
-//! that others depend on. Each keeps its own invariants. [`Api`] composes them: `submissions`,
-//! `queries`, `dependency_checks` and `replies` hold the steps that requests go through.
+//! State:
+//! - [`KnownJobs`]: the cache of job records;
+//! - [`AcceptanceQueue`] and [`SplitSubmissions`]: submissions in progress;
+//! - [`ComparisonQueue`] and [`ReadBudget`]: queries in progress;
+//! - [`DependencyLookups`] and [`LongDependencyLists`]: lookups of dependencies.
 //!
-//! What always holds:
-//! - Whether a job is unfinished, done or cancelled is told as it was in the store after the query came;
-//!   only a final state, which never changes, is told from memory. How many tasks run or are done is
-//!   for display and may be older.
-//! - A repeated submission is idempotent: it finds the job's record and is answered with its state.
-//! - No request waits in a queue longer than its user's patience: then the user is told to come back.
+//! Each keeps its own invariants. [`Api`] composes them; the modules `submissions`, `queries`, `dependency_checks` and
+//! `replies` implement the steps of requests.
 //!
-//! Only the controller calls in here, in the course of its batches.
+//! Invariants:
+//! - The reported state of a job (unfinished, done or cancelled) is its state in the store after the query arrived.
+//!   Only final states, which never change, are reported from the cache. Counts of running and done tasks are for
+//!   display and may be older.
+//! - Submissions are idempotent: a repeated submission finds the job's record and is answered with the job's state.
+//! - No request stays queued for longer than its maximum wait. It is then answered with 503.
+//!
+//! Only the controller calls this module, while it handles a batch.
 
 use crate::api::acceptance::AcceptanceQueue;
 use crate::api::comparisons::ComparisonQueue;
@@ -49,38 +52,38 @@
 
 pub(crate) use requests::ApiRequest;
 
-/// Stands for a request in what nobody waits for.
+/// Request identifier of queries and submissions for whose answer no user waits.
 const NO_REQUEST: RequestId = 0;
-/// Share of a user's time limit after which a request that still waits is answered with the advice to
-/// come back: the answer must arrive within the limit.
+/// Maximum time that a request stays queued, as a fraction of the user's timeout. The rest of the timeout is for the
+/// 503 response, which must arrive in time.
 const MAX_WAIT_FRACTION: f64 = 0.6;
-/// How long a submission may wait, in milliseconds.
+/// Maximum time that a submission stays queued, in milliseconds.
 const MAX_SUBMIT_WAIT_MS: u64 = (SUBMIT_TIMEOUT_S * 1000.0 * MAX_WAIT_FRACTION) as u64;
-/// How long a status query may wait, in milliseconds.
+/// Maximum time that a status query stays queued, in milliseconds.
 const MAX_STATUS_WAIT_MS: u64 = (STATUS_TIMEOUT_S * 1000.0 * MAX_WAIT_FRACTION) as u64;
-/// How often a request that the store throttles is tried again in a heartbeat interval.
+/// Retries of a throttled request to the store per heartbeat interval.
 const RETRIES_PER_HEARTBEAT_INTERVAL: u64 = 60;
-/// Known jobs of each kind may take one part in so many of the memory limit.
+/// The cache of known jobs of each kind may use the memory limit divided by this number.
 const KNOWN_JOBS_MEMORY_DIVISOR: f64 = 100.0;
-/// Bytes that a known job takes, as estimated.
+/// Estimated memory use of a known job, in bytes.
 const KNOWN_JOB_BYTES: f64 = 200.0;
 
-/// How many tasks of a job are done or running, for display.
+/// Task counts of a job, for display.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(crate) struct TaskCounts {
-    /// Done tasks.
+    /// Number of done tasks.
     pub done: u32,
-    /// Running tasks.
+    /// Number of running tasks.
     pub running: u32,
 }
 
-/// Tells of jobs' progress, as the leader last reported it.
+/// Source of the jobs' task counts as last reported by the leader.
 pub(crate) trait TaskCountSource {
-    /// The counts of a job; zero if nothing is known of it.
+    /// Returns a job's counts; zero if the job is not known.
     fn task_counts(&self, job: &str) -> TaskCounts;
 }
 
-/// Users' requests and what they wait for.
+/// State of users' requests on one controller.
 pub(crate) struct Api {
     known: KnownJobs,
     acceptances: AcceptanceQueue,
@@ -89,14 +92,15 @@
     read_budget: ReadBudget,
     lookups: DependencyLookups,
     long_lists: LongDependencyLists,
-    /// Sequence number of the last submission or dependency lookup.
+    /// Sequence number of the last submission or dependency lookup; 0 if there was none.
     last_sequence: u64,
-    /// The store throttles writes: none is sent before this time.
+    /// Time on the monotonic clock before which no submission is written, set after a throttled write; 0 if no write
+    /// has been throttled.
     retry_writes_at_ms: u64,
 }
 
 impl Api {
-    /// A controller's side towards its users.
+    /// Creates the state of a process that has received no requests.
     pub fn new(settings: &Settings) -> Api {
         Api {
             known: KnownJobs::new(known_jobs_capacity(settings)),
@@ -111,17 +115,17 @@
         }
     }
 
-    /// Takes in a user's question for the status of a job.
+    /// Handles a user's status query.
     pub fn status(&mut self, ctx: &mut Context, request: RequestId, job: String) {
         self.query(ctx, JobQuery::new(request, job, QueryPurpose::Status));
     }
 
-    /// Takes in a user's cancellation of a job.
+    /// Handles a user's cancellation of a job.
     pub fn cancel(&mut self, ctx: &mut Context, request: RequestId, job: String) {
         self.query(ctx, JobQuery::new(request, job, QueryPurpose::Cancellation));
     }
 
-    /// Sends what is due and answers what is overdue, once a batch.
+    /// Sends requests that are due and answers overdue requests. Called once per batch.
     pub fn run_due(&mut self, ctx: &mut Context, progress: &dyn TaskCountSource) {
         self.resume_deferred_requests(ctx, progress);
         self.send_lookup_reads(ctx);
@@ -132,25 +136,25 @@
         self.send_acceptances(ctx);
     }
 
-    /// Takes over the revisions of records of jobs that no longer depend on others, as the leader
-    /// shares them.
+    /// Records the versions of job records as shared by the leader. The leader shares only those of jobs that no longer
+    /// depend on others.
     pub fn learn_record_versions<'a>(&mut self, jobs: impl Iterator<Item = (&'a str, Revision)>) {
-        for (job, revision) in jobs {
-            self.known.learn_record_version(job, revision);
+        for (job, record_version) in jobs {
+            self.known.learn_record_version(job, record_version);
         }
     }
 
-    /// How many submissions wait to be accepted.
+    /// Returns the number of queued submissions, without those being written in parts.
     pub fn pending_submissions(&self) -> u32 {
         self.acceptances.len() as u32
     }
 
-    /// Whether a job is known here to be cancelled.
+    /// Returns whether a job is cached as cancelled.
     pub fn is_cancelled(&self, job: &str) -> bool {
         self.known.final_state(job) == Some(FinalState::Cancelled)
     }
 
-    /// Jobs found to be cancelled since the last call, for the leader.
+    /// Takes the names of jobs found to be cancelled since the last call, for the leader.
     pub fn take_newly_cancelled(&mut self) -> Vec<String> {
         self.known.take_newly_cancelled()
     }
@@ -161,12 +165,12 @@
     }
 }
 
-/// Most jobs of each kind that are remembered.
+/// Returns the maximum number of cached jobs of each kind.
 fn known_jobs_capacity(settings: &Settings) -> usize {
     (settings.mem_mb * 1024.0 * 1024.0 / KNOWN_JOBS_MEMORY_DIVISOR / KNOWN_JOB_BYTES) as usize
 }
 
-/// How long to wait before a request that the store throttled is tried again, in milliseconds.
+/// Returns the delay before a throttled request is retried, in milliseconds.
 fn retry_delay_ms(settings: &Settings) -> u64 {
     settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT_INTERVAL
 }
--- a/crates/core/src/api/queries.rs
+++ b/crates/core/src/api/queries.rs
@@ -1,4 +1,4 @@
-//! Queries: reads and comparisons of jobs' records, and the answers to users.
+//! Queries: reads and comparisons of job records, and the answers to users.
 
 use crate::api::answers::{self, UnavailableReason};
 use crate::api::comparisons::ComparisonLimits;
@@ -15,16 +15,16 @@
 use shaleshunt_wire::STATUS_TIMEOUT_S;
 use shaleshunt_wire::user::{JobStatus, JobView};
 
-/// Share of the store's requests that the limited reads of all controllers take. Users whose queries
-/// are beyond it are told to come back, so that leases and elections find room.
+/// Fraction of the store's request rate (`kv_rps`) that limited reads of all controllers may use. Status queries beyond
+/// it are answered with 503, so that requests for leases and elections still get through.
 const READ_RATE_FRACTION: f64 = 0.5;
-/// Share of the store's requests that one controller's comparisons take.
+/// Fraction of the store's request rate (`kv_rps`) that one controller's comparisons use.
 const COMPARISON_RATE_FRACTION: f64 = 0.05;
-/// Share of a status query's time limit that it waits for others to be compared with it, at most.
+/// Maximum time that a status query waits for its comparison batch to fill, as a fraction of the query's timeout.
 const COMPARISON_DELAY_FRACTION: f64 = 0.25;
 
 impl Api {
-    /// Answers a query from what is known, or finds out.
+    /// Answers a query from the cache, or sends the requests that it needs.
     pub(super) fn query(&mut self, ctx: &mut Context, query: JobQuery) {
         if let Some(state) = self.known.final_state(&query.job) {
             ctx.answer(query.request, answers::job(answers::final_view(&query.job, state)));
@@ -33,7 +33,7 @@
         } else if query.purpose == QueryPurpose::Status
             && let Some(known) = self.known.unfinished(&query.job)
         {
-            // Its dependencies are compared along with it.
+            // The lookups are queued first, so that the dependencies are compared together with the job.
             let report = dependencies::resolve(&self.known, &known.dependencies, ctx.batch_time());
             if let DependencyState::Unknown(jobs) = report.state {
                 self.look_up(ctx, jobs);
@@ -44,7 +44,7 @@
         }
     }
 
-    /// Reads a job's record. Status queries beyond the limit on reads are told to come back.
+    /// Reads a job's record. A status query beyond the read budget is answered with 503.
     pub(super) fn read(&mut self, ctx: &mut Context, query: JobQuery) {
         if query.purpose == QueryPurpose::Status && !self.try_take_read(ctx) {
             ctx.answer(query.request, answers::unavailable(UnavailableReason::TooManyRequests));
@@ -53,14 +53,14 @@
         requests::send(ctx, KvRequest::Get { key: keys::job(&query.job) }, ApiRequest::ReadRecord(query));
     }
 
-    /// Whether a read that is limited may be sent now; it is counted then. The controllers that are
-    /// alive share the limit.
+    /// Takes a read from the budget; returns false if the budget is exhausted. The live controllers share the budget
+    /// equally.
     pub(super) fn try_take_read(&mut self, ctx: &Context) -> bool {
         let controllers = f64::from(1 + ctx.live_peers());
         self.read_budget.try_take(ctx.now_ms(), ctx.settings.kv_rps * READ_RATE_FRACTION / controllers)
     }
 
-    /// Sends the comparisons that are due.
+    /// Sends the comparisons that are due. While the store is unavailable, answers all waiting queries instead.
     pub(super) fn send_comparisons(&mut self, ctx: &mut Context) {
         if ctx.kv_unavailable() {
             for query in self.comparisons.drain() {
@@ -82,8 +82,8 @@
         }
     }
 
-    /// Answers a query about a job whose record shows it neither finished nor cancelled. If it depends
-    /// on others, it is called unfinished only when none of them is known to be cancelled.
+    /// Answers a query about a job whose record shows it neither finished nor cancelled. If the job depends on others,
+    /// it is reported as unfinished only if none of them is cancelled; the query is deferred while that is not known.
     pub(super) fn reply_unfinished(
         &mut self,
         ctx: &mut Context,
@@ -100,8 +100,8 @@
             DependencyState::Cancelled if report.is_long => {
                 ctx.answer(query.request, answers::unavailable(UnavailableReason::CancellationPending));
             }
-            // It can never run: that is as final as its own record will be, and every controller finds
-            // the same.
+            // The job can never run. This is as final as the job's own record will be, and every controller reaches the
+            // same result.
             DependencyState::Cancelled => self.reply_final(ctx, &query, FinalState::Cancelled),
             DependencyState::Unknown(jobs) => {
                 self.look_up(ctx, jobs);
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Answers a query about an unfinished job with its progress.
+    /// Answers a query about an unfinished job with the job's task counts.
     fn reply_progress(&mut self, ctx: &mut Context, query: &JobQuery, progress: &dyn TaskCountSource) {
         let counts = progress.task_counts(&query.job);
         let status = if counts.running > 0 { JobStatus::Running } else { JobStatus::Queued };
@@ -124,7 +124,7 @@
         self.reply_job(ctx, query, answers::final_view(&query.job, state));
     }
 
-    /// Answers a query with a job's state; a lookup has finished.
+    /// Answers a query with a job's view. A dependency lookup is finished instead.
     fn reply_job(&mut self, ctx: &mut Context, query: &JobQuery, view: JobView) {
         if query.is_dependency_lookup() {
             self.lookups.finish(&query.job);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Tells a user to come back; a lookup has failed.
+    /// Answers a query with 503. A dependency lookup is recorded as failed instead.
     pub(super) fn reply_unavailable(&mut self, ctx: &mut Context, query: &JobQuery, reason: UnavailableReason) {
         if query.is_dependency_lookup() {
             self.lookups.fail(&query.job, ctx.now_ms() + super::retry_delay_ms(&ctx.settings));
@@ -143,7 +143,7 @@
     }
 }
 
-/// The longest time that a status query waits for others to be compared with it.
+/// Returns the maximum time that a status query waits for its comparison batch to fill, in milliseconds.
 fn comparison_delay_ms(settings: &Settings) -> u64 {
     let interval_ms = 1000.0 / (settings.kv_rps * COMPARISON_RATE_FRACTION);
     interval_ms.min(STATUS_TIMEOUT_S * 1000.0 * COMPARISON_DELAY_FRACTION) as u64
--- a/crates/core/src/api/read_budget.rs
+++ b/crates/core/src/api/read_budget.rs
@@ -1,14 +1,17 @@
-//! Rate limit of reads that users and dependency lookups cause.
+//! Rate limit for reads caused by users and dependency lookups.
 
-/// A token bucket that holds one second's worth of reads, and at least one.
+/// A token bucket with a capacity of one second's reads, but at least one.
 #[derive(Debug, Default)]
 pub(super) struct ReadBudget {
+    /// Number of reads that may be sent; may be fractional.
     tokens: f64,
+    /// Time of the last refill on the monotonic clock.
     refilled_at_ms: u64,
 }
 
 impl ReadBudget {
-    /// Takes a token if there is one. The bucket has been refilled at this rate since the last call.
+    /// Refills the bucket at `reads_per_s` for the time since the last call, then takes a token. Returns false if none
+    /// is available.
     pub fn try_take(&mut self, now_ms: u64, reads_per_s: f64) -> bool {
         let gained = now_ms.saturating_sub(self.refilled_at_ms) as f64 / 1000.0 * reads_per_s;
         self.tokens = (self.tokens + gained).min(reads_per_s.max(1.0));
--- a/crates/core/src/api/read_budget/tests.rs
+++ b/crates/core/src/api/read_budget/tests.rs
@@ -5,7 +5,7 @@
 }
 
 #[test]
-fn the_bucket_holds_one_seconds_reads() {
+fn bucket_capacity_is_one_second_of_reads() {
     let mut budget = ReadBudget::default();
     assert_eq!(taken(&mut budget, 0, 50.0), 0);
     assert_eq!(taken(&mut budget, 60_000, 50.0), 50);
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_low_rate_lets_single_reads_through() {
+fn bucket_capacity_is_at_least_one_read() {
     let mut budget = ReadBudget::default();
     assert_eq!(taken(&mut budget, 1_000, 0.1), 0);
     assert_eq!(taken(&mut budget, 60_000, 0.1), 1);
--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of the key-value store to queries: one function for each kind of request.
+//! Handles replies of the key-value store: one method for each kind of request.
 
 use crate::api::answers::{self, UnavailableReason};
 use crate::api::job_query::{JobQuery, QueryPurpose};
@@ -16,7 +16,7 @@
 type KvResult = Result<KvReply, RequestError>;
 
 impl Api {
-    /// Takes in the reply to a request that was sent at `sent`.
+    /// Handles the reply to a request that was sent in the batch `sent`.
     pub fn handle_kv_reply(
         &mut self,
         ctx: &mut Context,
@@ -52,7 +52,7 @@
     ) {
         match result {
             Ok(KvReply::Committed(_)) => {
-                // All are confirmed before the first answer: one may depend on another.
+                // All jobs are confirmed before the first query is answered, since one job may depend on another.
                 for query in &batch {
                     self.known.confirm_unfinished(&query.job, sent);
                 }
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Records have changed since they were known. These are read; the others, of which the store said
-    /// nothing, are compared again. If no changed one is among the queries, all are read.
+    /// Handles a conflict of a comparison: reads the changed records and compares the others, about which the conflict
+    /// says nothing, again. If none of the queries is for a changed record, all records are read.
     fn handle_changed_records(&mut self, ctx: &mut Context, batch: Vec<JobQuery>, failed: &[String]) {
         for key in failed {
             self.known.forget_unfinished(keys::job_id(key));
@@ -97,8 +97,8 @@
     ) {
         match result {
             Ok(KvReply::Found(pair)) => self.handle_found_record(ctx, query, pair, sent, progress),
-            // Not among the unfinished at this time: either it finished before, and then its final
-            // record exists by now, or it was not accepted until now.
+            // Without a job record, the job either finished before the read, and its final record exists by now, or it
+            // had not been accepted.
             Ok(KvReply::Missing) => {
                 let key = keys::final_record(&query.job);
                 requests::send(ctx, KvRequest::Get { key }, ApiRequest::ReadFinalRecord(query));
@@ -141,7 +141,7 @@
         }
     }
 
-    /// Parts of a submission were read: they tell what the job depends on.
+    /// Handles a page of a submission's parts, which contain the job's dependencies.
     fn handle_parts_reply(
         &mut self,
         ctx: &mut Context,
@@ -160,11 +160,12 @@
             return;
         }
         let Some(record) = read.record.join(&read.parts) else {
-            // The job ended meanwhile, and its parts were removed.
+            // The job ended after its record was read, and its parts were removed.
             self.reply_unavailable(ctx, &read.query, UnavailableReason::RecordChanged);
             return;
         };
-        // The job's own record was read before the parts: whoever depends on the job looks it up again.
+        // The job record was read before the parts, so the job is not confirmed for jobs that depend on it: they look
+        // it up again.
         let seen = UnfinishedJob {
             record_version: read.record_version,
             dependencies: record.submission.dependencies,
@@ -186,11 +187,11 @@
         }
     }
 
-    /// Neither record of the job exists.
+    /// Handles a query for a job that has neither a job record nor a final record.
     fn handle_missing_job(&mut self, ctx: &mut Context, mut query: JobQuery) {
         match query.purpose {
             QueryPurpose::Refusal(reason) => ctx.answer(query.request, answers::refused(reason)),
-            // A conflict said that the job exists. Reads miss it only if it was accepted between them.
+            // A conflict showed that the job exists. The two reads miss it only if it was accepted between them.
             QueryPurpose::Resubmission => {
                 if query.retry() {
                     self.read(ctx, query);
@@ -209,19 +210,20 @@
                 ctx.emit(Event::JobCancellationRecorded { job: query.job.as_str().into() });
                 self.reply_final(ctx, &query, FinalState::Cancelled);
             }
-            // The record has changed since it was read.
+            // The record has changed since it was read, so it is read again.
             Ok(KvReply::Conflict(_)) if query.retry() => self.read(ctx, query),
             _ => self.reply_unavailable(ctx, &query, UnavailableReason::StoreUnavailable),
         }
     }
 }
 
-/// Reads the next page of a submission's parts.
+/// Sends the read of the next page of a submission's parts.
 fn read_parts(ctx: &mut Context, read: Box<PartsRead>) {
     requests::send(ctx, read.next_page(), ApiRequest::ReadSubmissionParts(read));
 }
 
-/// Marks a job as cancelled, in its record and by a key of its own that all controllers watch.
+/// Sends the transaction that marks a job as cancelled in its record and creates its cancellation key, which all
+/// controllers watch.
 fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, record_version: Revision) {
     let (job, cancellation) = (keys::job(&query.job), keys::cancellation(&query.job));
     let transaction = Transaction {
--- a/crates/core/src/api/requests.rs
+++ b/crates/core/src/api/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the key-value store that users' requests cause, by what their replies are for.
+//! Requests to the key-value store for users' requests, typed by the step that continues with the reply.
 
 use crate::api::acceptance::PendingSubmission;
 use crate::api::job_query::JobQuery;
@@ -9,40 +9,40 @@
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::kv::KeyValue;
 
-/// What a reply of the key-value store is for.
+/// A request in flight, with the state to continue with on its reply.
 #[derive(Debug)]
 pub(crate) enum ApiRequest {
-    /// Creates the records of jobs.
+    /// Creates job records.
     Accept(Vec<PendingSubmission>),
-    /// Creates parts of a submission, or the record that refers to them.
+    /// Creates parts of a split submission, or the record that refers to the parts.
     WriteSplitSubmission(Box<SplitSubmission>),
     /// Reads the parts of a job's submission.
     ReadSubmissionParts(Box<PartsRead>),
-    /// Compares the revisions of records with the known ones.
+    /// Compares the versions of job records with the known ones.
     CompareRecords(Vec<JobQuery>),
-    /// Reads the record of an unfinished job.
+    /// Reads a job record, which an unfinished job has.
     ReadRecord(JobQuery),
-    /// Reads the record of a finished job.
+    /// Reads a final record, which an ended job has.
     ReadFinalRecord(JobQuery),
-    /// Marks the record of an unfinished job as cancelled.
+    /// Marks a job record as cancelled.
     Cancel(JobQuery),
 }
 
-/// A job's submission while its parts are read.
+/// State of a read of a job's submission parts, which may take several pages.
 #[derive(Debug)]
 pub(crate) struct PartsRead {
-    /// What the parts are read for.
+    /// The query that needs the parts.
     pub query: JobQuery,
-    /// The job's record.
+    /// The job record that refers to the parts.
     pub record: SplitSubmissionRecord,
-    /// Revision of the record.
+    /// Version of the job record.
     pub record_version: Revision,
     /// Parts read so far, in order.
     pub parts: Vec<KeyValue>,
 }
 
 impl PartsRead {
-    /// The request for the parts that follow those read so far.
+    /// Returns the request for the page that follows the parts read so far.
     pub fn next_page(&self) -> KvRequest {
         let after = self.parts.last().map(|part| part.path.clone()).unwrap_or_default();
         KvRequest::Scan { prefix: self.record.parts_prefix.clone(), after }
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -1,9 +1,9 @@
-//! Submissions whose records take more than a value of the store.
+//! Submissions whose records exceed the store's value size limit.
 //!
-//! The submission's text is written in parts, under a prefix that is used once. The record that makes
-//! the parts count is written last, on the condition that the first part is still as it was written.
-//! Parts that no record refers to are removed by the leader, the first one before the others, so that
-//! a record which still comes fails.
+//! The submission's text is written in parts under a prefix that is never reused. The job record, which accepts the
+//! submission and refers to the parts, is written last, with the version of the first part as a precondition. The
+//! leader removes parts that no record refers to, the first part before the others, so that a job record written later
+//! fails its precondition.
 
 use crate::api::acceptance::PendingSubmission;
 use crate::controller::Context;
@@ -14,41 +14,43 @@
 use shaleshunt_wire::{MAX_BODY, Revision};
 use std::collections::{HashSet, VecDeque};
 
-/// Bytes that a part's write and condition take besides the prefix and the text, as estimated.
+/// Estimated size in bytes of a part's write and condition without the prefix and the text.
 const PART_OVERHEAD_BYTES: usize = 100;
-/// Bytes of the quotes around a JSON string.
+/// Size of the quotes around a JSON string, in bytes.
 const QUOTES_BYTES: usize = 2;
-/// Bytes of a quote or backslash in a JSON string.
+/// Size of an escaped quote or backslash in a JSON string, in bytes.
 const ESCAPED_BYTES: usize = 2;
-/// Bytes of a control character in a JSON string, at most.
-const ESCAPED_CONTROL_BYTES: usize = 6;
+/// Maximum size of an escaped control character in a JSON string, in bytes.
+const MAX_ESCAPED_CONTROL_BYTES: usize = 6;
 
-/// A submission that is written in parts.
+/// A submission that is being written in parts.
 #[derive(Debug)]
 pub(crate) struct SplitSubmission {
     submission: PendingSubmission,
+    /// Prefix of the keys of the parts.
     prefix: String,
+    /// Text of each part.
     parts: Vec<String>,
-    /// How many parts are written.
+    /// Number of committed parts.
     written: usize,
-    /// Revision of the first part.
+    /// Version of the first part's key; [`Revision::ABSENT`] until that part is committed.
     first_part_version: Revision,
     in_flight: InFlight,
-    /// Its user has been told to come back; the writing goes on.
+    /// Whether the user has already been answered with 503. The submission is still written.
     user_answered: bool,
 }
 
-/// What the transaction in flight holds.
+/// Content of the transaction in flight.
 #[derive(Debug, Clone, Copy)]
 enum InFlight {
-    /// So many parts.
+    /// This number of parts.
     Parts(usize),
-    /// The job's record.
+    /// The job record.
     Record,
 }
 
 impl SplitSubmission {
-    /// Cuts a submission into parts that fit into values of the store as it is now.
+    /// Splits a submission into parts that fit into the store's current value size limit.
     pub fn new(ctx: &Context, submission: PendingSubmission) -> SplitSubmission {
         let text = serde_json::to_string(&submission.submission).unwrap_or_default();
         let prefix = format!(
@@ -70,19 +72,19 @@
         }
     }
 
-    /// The next transaction: as many parts as it takes, or the record once all parts are written.
+    /// Returns the next transaction: as many parts as fit into it, or the job record once all parts are committed.
     pub fn next_transaction(&mut self, max_writes: usize) -> Transaction {
         let parts = self.next_parts(max_writes);
         self.in_flight = if parts == 0 { InFlight::Record } else { InFlight::Parts(parts) };
         if parts == 0 { self.record_transaction() } else { self.parts_transaction(parts) }
     }
 
-    /// Whether the transaction in flight holds parts: the record is still to come.
+    /// Returns whether the transaction in flight writes parts rather than the job record.
     pub fn is_writing_parts(&self) -> bool {
         matches!(self.in_flight, InFlight::Parts(_))
     }
 
-    /// Takes in that the parts in flight were committed.
+    /// Records that the parts in flight were committed at `revision`.
     pub fn commit_parts(&mut self, revision: Revision) {
         if self.written == 0 {
             self.first_part_version = revision;
@@ -92,18 +94,19 @@
         }
     }
 
-    /// The submission, to be written anew.
+    /// Returns the submission, to be split again.
     pub fn into_submission(self) -> PendingSubmission {
         self.submission
     }
 
-    /// The submission, to answer its user with an outcome: nobody if the user was answered before.
+    /// Returns the submission for the answer to its user; its request is [`super::NO_REQUEST`] if the user has already
+    /// been answered.
     pub fn into_answerable(self) -> PendingSubmission {
         let request = if self.user_answered { super::NO_REQUEST } else { self.submission.request };
         PendingSubmission { request, ..self.submission }
     }
 
-    /// How many of the parts not yet written fit into a transaction.
+    /// Returns how many of the parts not yet committed fit into a transaction: at least one, if any are left.
     fn next_parts(&self, max_writes: usize) -> usize {
         let (mut bytes, mut count) = (0, 0);
         for part in self.parts.iter().skip(self.written).take(max_writes) {
@@ -147,41 +150,44 @@
     }
 }
 
-/// Split submissions between two transactions, and the jobs whose submissions are being written.
+/// The split submissions that are being written.
 #[derive(Debug, Default)]
 pub(super) struct SplitSubmissions {
+    /// Submissions whose next transaction is to be sent, without those with a transaction in flight.
     waiting: VecDeque<Box<SplitSubmission>>,
+    /// Names of all jobs whose submissions are being written.
     jobs: HashSet<String>,
 }
 
 impl SplitSubmissions {
-    /// Begins to write a submission.
+    /// Starts writing a submission.
     pub fn begin(&mut self, submission: SplitSubmission) {
         self.jobs.insert(submission.submission.job().to_string());
         self.waiting.push_back(Box::new(submission));
     }
 
-    /// Goes on with a submission after those that wait.
+    /// Queues a submission for its next transaction.
     pub fn push(&mut self, submission: Box<SplitSubmission>) {
         self.waiting.push_back(submission);
     }
 
-    /// Takes out the submission that is to go on next.
+    /// Removes and returns the submission whose transaction is to be sent next.
     pub fn pop(&mut self) -> Option<Box<SplitSubmission>> {
         self.waiting.pop_front()
     }
 
-    /// Whether a submission of this job is being written.
+    /// Returns whether a submission of this job is being written.
     pub fn contains(&self, job: &str) -> bool {
         self.jobs.contains(job)
     }
 
-    /// The outcome of a job's submission is known.
+    /// Records that the outcome of a job's submission is known.
     pub fn finish(&mut self, job: &str) {
         self.jobs.remove(job);
     }
 
-    /// Requests whose submissions came more than `max_wait_ms` ago. They count as answered.
+    /// Returns the requests of queued submissions that arrived more than `max_wait_ms` ago and are not answered yet,
+    /// and marks them as answered.
     pub fn take_overdue_requests(&mut self, now_ms: u64, max_wait_ms: u64) -> Vec<RequestId> {
         let overdue = |split: &&mut Box<SplitSubmission>| {
             !split.user_answered && now_ms.saturating_sub(split.submission.received_at_ms) > max_wait_ms
@@ -194,14 +200,14 @@
     }
 }
 
-/// Cuts a text into parts of which each, as a JSON string, takes at most `max_bytes`.
+/// Splits a text into parts whose size as a JSON string is at most `max_bytes`.
 fn split_text(text: &str, max_bytes: usize) -> Vec<String> {
     let mut parts = vec![String::new()];
     let mut used = QUOTES_BYTES;
     for character in text.chars() {
         let size = match character {
             '"' | '\\' => ESCAPED_BYTES,
-            character if character.is_control() => ESCAPED_CONTROL_BYTES,
+            character if character.is_control() => MAX_ESCAPED_CONTROL_BYTES,
             character => character.len_utf8(),
         };
         if used + size > max_bytes {
--- a/crates/core/src/api/split_submission/tests.rs
+++ b/crates/core/src/api/split_submission/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 use crate::api::NO_REQUEST;
-use crate::api::tests::pending;
+use crate::api::tests::pending_submission;
 
 #[test]
-fn parts_fit_into_values_and_make_up_the_text_again() {
+fn parts_fit_into_values_and_concatenate_to_the_text() {
     let text = "a\"b\\c\u{1}ä€😀".repeat(500);
     let parts = split_text(&text, 300);
     assert!(parts.iter().all(|p| json!(p).to_string().len() <= 300) && parts.len() > 20);
@@ -12,7 +12,7 @@
 
 fn split(parts: &[&str]) -> SplitSubmission {
     SplitSubmission {
-        submission: pending(1, "wk-1", 100),
+        submission: pending_submission(1, "wk-1", 100),
         prefix: "s/wk-1/n0-5-1/".into(),
         parts: parts.iter().map(|part| part.to_string()).collect(),
         written: 0,
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn the_record_is_written_last_on_the_condition_that_the_first_part_is_still_there() {
+fn record_is_written_last_with_the_first_parts_version_as_precondition() {
     let mut split = split(&["one", "two", "three"]);
     let first = split.next_transaction(2);
     assert_eq!(paths(&first), [("s/wk-1/n0-5-1/0000", 0), ("s/wk-1/n0-5-1/0001", 0)]);
@@ -35,7 +35,7 @@
     split.commit_parts(Revision(7));
     let second = split.next_transaction(2);
     assert_eq!(paths(&second), [("s/wk-1/n0-5-1/0002", 0)]);
-    // Not carried out, and sent again.
+    // Without a commit, the same transaction is sent again.
     assert_eq!(split.next_transaction(2), second);
     split.commit_parts(Revision(8));
     let record = split.next_transaction(2);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_transaction_holds_no_more_parts_than_a_body_but_at_least_one() {
+fn transaction_holds_as_many_parts_as_fit_into_a_body_but_at_least_one() {
     let long = "x".repeat(MAX_BODY);
     let mut split = split(&[&long, "two", "three"]);
     assert_eq!(split.next_transaction(10).writes.len(), 1);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_overdue_user_is_answered_once_and_the_writing_goes_on() {
+fn overdue_user_is_answered_once_while_the_submission_is_still_written() {
     let mut all = SplitSubmissions::default();
     all.begin(split(&["one"]));
     assert!(all.contains("wk-1"));
--- a/crates/core/src/api/submissions.rs
+++ b/crates/core/src/api/submissions.rs
@@ -1,4 +1,4 @@
-//! Submissions: admission, the queue of acceptances, and the replies to them.
+//! Submissions: admission, the sending of accepting transactions, and the handling of their replies.
 
 use crate::api::acceptance::PendingSubmission;
 use crate::api::answers::{self, RefusalReason, UnavailableReason};
@@ -17,20 +17,20 @@
 use shaleshunt_wire::Revision;
 use shaleshunt_wire::user::{JobStatus, JobView, Submission};
 
-/// What is done with a submission that has come.
+/// Decision on a new submission.
 enum Decision {
-    /// The job has ended: its state is the answer.
+    /// Answers with the job's final state, since the job has ended.
     AlreadyFinal(FinalState),
-    /// The user shall come back.
+    /// Answers with 503 and this reason.
     Unavailable(UnavailableReason),
-    /// It is refused, unless the job was accepted before.
+    /// Refuses the submission for this reason, unless the job was accepted before.
     Refuse(RefusalReason),
-    /// It may be accepted.
+    /// Admits the submission.
     Admit,
 }
 
 impl Api {
-    /// Takes in a submission.
+    /// Handles a user's submission.
     pub fn submit(&mut self, ctx: &mut Context, request: RequestId, submission: Submission) {
         match self.decide(ctx, &submission) {
             Decision::AlreadyFinal(state) => {
@@ -71,13 +71,13 @@
             return Decision::Unavailable(UnavailableReason::SubmissionInProgress);
         }
         if submission.dependencies.contains(&submission.id) {
-            // It had not been accepted when its user named it.
+            // The job had not been accepted when its submission named it as a dependency.
             return Decision::Refuse(RefusalReason::DependencyNeverAccepted);
         }
         Decision::Admit
     }
 
-    /// Queues a submission for acceptance, unless its dependencies must be looked up first.
+    /// Queues a submission for acceptance, or defers it if its dependencies must be looked up first.
     pub(super) fn admit(&mut self, ctx: &mut Context, mut pending: PendingSubmission) {
         let report = dependencies::resolve(&self.known, &pending.submission.dependencies, recency_threshold(ctx));
         match report.state {
@@ -87,7 +87,8 @@
                 return;
             }
             DependencyState::Cancelled => pending.cancelled_by_dependency = true,
-            // What is done by now need not be waited for, nor found out again by each leader.
+            // Done dependencies are dropped: the job need not wait for them, and each leader would have to read their
+            // states again.
             DependencyState::NoneCancelled => {
                 pending.submission.dependencies.retain(|job| self.known.final_state(job).is_none());
             }
@@ -95,7 +96,7 @@
         self.acceptances.push(pending);
     }
 
-    /// Tells users to come back whose submissions have waited too long.
+    /// Answers submissions that have waited for longer than the maximum wait with 503.
     pub(super) fn answer_overdue_submissions(&mut self, ctx: &mut Context) {
         let now_ms = ctx.now_ms();
         while let Some(overdue) = self.acceptances.pop_overdue(now_ms, MAX_SUBMIT_WAIT_MS) {
@@ -106,7 +107,7 @@
         }
     }
 
-    /// Goes on with one split submission.
+    /// Sends the next transaction of one split submission, if any is waiting and writes are not delayed.
     pub(super) fn send_split_submission(&mut self, ctx: &mut Context) {
         if ctx.now_ms() >= self.retry_writes_at_ms
             && let Some(mut split) = self.split_submissions.pop()
@@ -116,7 +117,7 @@
         }
     }
 
-    /// Sends the acceptances that wait, many in one transaction.
+    /// Sends accepting transactions for the queued submissions, unless writes are delayed.
     pub(super) fn send_acceptances(&mut self, ctx: &mut Context) {
         while ctx.now_ms() >= self.retry_writes_at_ms
             && let Some(batch) = self.acceptances.next_batch(&ctx.limits)
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Some parts of a split submission, or its record, were written or not.
+    /// Handles the reply to a transaction of a split submission.
     pub(super) fn handle_split_submission_reply(
         &mut self,
         ctx: &mut Context,
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Records of jobs were created or not.
+    /// Handles the reply to a transaction that creates job records.
     pub(super) fn handle_acceptance_reply(
         &mut self,
         ctx: &mut Context,
@@ -173,7 +174,7 @@
         match result {
             Ok(KvReply::Committed(revision)) => self.record_acceptances(ctx, batch, sent, revision),
             Ok(KvReply::Conflict(failed)) => self.handle_acceptance_conflict(ctx, batch, &failed),
-            // Not carried out: again soon, within the users' patience.
+            // The transaction was not executed. It is retried soon, until the submissions' maximum wait.
             Err(RequestError::Throttled) => {
                 self.delay_writes(ctx);
                 self.acceptances.retry_in_smaller_batches(batch);
@@ -181,8 +182,7 @@
             Err(RequestError::Rejected(_)) if ctx.limits.too_large() => {
                 self.acceptances.retry_in_smaller_batches(batch);
             }
-            // The outcome is unknown. When the user repeats the submission, it finds the record if the
-            // transaction was carried out.
+            // The outcome is unknown. A repeated submission finds the job's record if the transaction was committed.
             _ => {
                 for pending in batch {
                     ctx.answer(pending.request, answers::unavailable(UnavailableReason::StoreUnavailable));
@@ -217,11 +217,12 @@
         JobView { id, status: JobStatus::Queued, done: None, running: None }
     }
 
-    /// Some jobs of a batch have records by now: these are read. The others are sent again.
+    /// Handles a conflict of an accepting transaction: reads the records of the jobs that already have one, and queues
+    /// the other submissions again.
     fn handle_acceptance_conflict(&mut self, ctx: &mut Context, batch: Vec<PendingSubmission>, failed: &[String]) {
         for pending in batch.into_iter().rev() {
-            let (job, end) = (keys::job(pending.job()), keys::final_record(pending.job()));
-            if failed.iter().any(|key| *key == job || *key == end) {
+            let (job_key, final_key) = (keys::job(pending.job()), keys::final_record(pending.job()));
+            if failed.iter().any(|key| *key == job_key || *key == final_key) {
                 self.read_resubmitted(ctx, pending);
             } else {
                 self.acceptances.push_front(pending);
@@ -229,12 +230,12 @@
         }
     }
 
-    /// Reads a job that was submitted again, to answer with its state.
+    /// Reads the record of a job that was submitted again, to answer with the job's state.
     fn read_resubmitted(&mut self, ctx: &mut Context, pending: PendingSubmission) {
         self.read(ctx, JobQuery::new(pending.request, pending.submission.id, QueryPurpose::Resubmission));
     }
 
-    /// The store throttles writes: none is sent for a while.
+    /// Delays all writes of submissions because the store throttles them.
     fn delay_writes(&mut self, ctx: &Context) {
         self.retry_writes_at_ms = ctx.now_ms() + super::retry_delay_ms(&ctx.settings);
     }
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the API as the controller uses it, and values that the tests of its modules begin with.
+//! Tests of the API through the methods that the controller calls, and test data for the tests of its modules.
 
 use super::*;
 use crate::api::acceptance::PendingSubmission;
@@ -10,7 +10,7 @@
 use shaleshunt_wire::user::{JobKind, JobStatus, Priority, Submission};
 use std::collections::BTreeMap;
 
-/// An array of three small tasks.
+/// The submission of an array of three small tasks.
 pub(super) fn submission(job: &str) -> Submission {
     Submission {
         id: job.into(),
@@ -37,8 +37,8 @@
     }
 }
 
-/// A submission that came at a time, with the request's number as its place in the order.
-pub(super) fn pending(request: u64, job: &str, received_at_ms: u64) -> PendingSubmission {
+/// A pending submission whose sequence number is the request's identifier.
+pub(super) fn pending_submission(request: u64, job: &str, received_at_ms: u64) -> PendingSubmission {
     PendingSubmission {
         request,
         submission: submission(job),
@@ -49,7 +49,7 @@
     }
 }
 
-/// A machine type of these cores, to be had in these zones.
+/// A machine type with `cores` that is available in `zones`.
 pub(super) fn machine_type(name: &str, cores: f64, zones: &[&str]) -> MachineType {
     MachineType {
         name: name.into(),
@@ -65,14 +65,14 @@
     }
 }
 
-/// A controller's API with a store that the test answers for.
+/// The API of a controller; the test supplies the store's replies.
 struct Fixture {
     ctx: Context,
     api: Api,
     now_ms: u64,
 }
 
-/// One task of each job runs.
+/// Reports one running task for each job.
 struct OneTaskRunning;
 
 impl TaskCountSource for OneTaskRunning {
@@ -100,13 +100,13 @@
         Fixture { ctx, api, now_ms: now.monotonic_ms }
     }
 
-    /// Begins a batch some time later.
-    fn advance(&mut self, ms: u64) {
-        self.now_ms += ms;
+    /// Advances the clock and begins a batch.
+    fn advance(&mut self, elapsed_ms: u64) {
+        self.now_ms += elapsed_ms;
         self.ctx.begin_batch(Timestamp { monotonic_ms: self.now_ms, wall_ms: 1_700_000_000_000 });
     }
 
-    /// Ends a batch: the answers to users and the requests to the store.
+    /// Ends the batch; returns the answers to users and the requests to the store.
     fn end_batch(&mut self) -> (Vec<(u64, Answer)>, Vec<KvRequest>) {
         self.api.run_due(&mut self.ctx, &OneTaskRunning);
         let (mut answers, mut requests) = (Vec::new(), Vec::new());
@@ -148,23 +148,23 @@
 }
 
 #[test]
-fn a_submission_is_answered_once_its_record_is_committed() {
+fn submission_is_answered_after_its_record_is_committed() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
     let (answers, requests) = fixture.end_batch();
     assert!(answers.is_empty() && matches!(requests[..], [KvRequest::Transaction(_)]));
-    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Ok(KvReply::Committed(Revision(7))));
+    fixture.reply(ApiRequest::Accept(vec![pending_submission(1, "wk-1", 10_000)]), Ok(KvReply::Committed(Revision(7))));
     assert_eq!(statuses(&fixture.end_batch().0), [(1, 201, Some(JobStatus::Queued))]);
 }
 
 #[test]
-fn a_repeated_submission_is_answered_with_the_jobs_state() {
+fn repeated_submission_is_answered_with_the_jobs_state() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
     fixture.end_batch();
-    let batch = ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]);
+    let batch = ApiRequest::Accept(vec![pending_submission(1, "wk-1", 10_000)]);
     fixture.reply(batch, Ok(KvReply::Conflict(vec!["j/wk-1".into()])));
     assert_eq!(fixture.end_batch().1, [get("j/wk-1")]);
     let read = JobQuery::new(1, "wk-1".into(), QueryPurpose::Resubmission);
@@ -174,12 +174,12 @@
 }
 
 #[test]
-fn only_the_jobs_of_a_conflict_are_read_and_the_others_are_sent_again() {
+fn after_a_conflict_only_conflicting_jobs_are_read_and_the_others_are_sent_again() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
     fixture.end_batch();
-    let batch = ApiRequest::Accept(vec![pending(1, "wk-1", 10_000), pending(2, "wk-2", 10_000)]);
+    let batch = ApiRequest::Accept(vec![pending_submission(1, "wk-1", 10_000), pending_submission(2, "wk-2", 10_000)]);
     fixture.reply(batch, Ok(KvReply::Conflict(vec!["f/wk-2".into()])));
     let (answers, requests) = fixture.end_batch();
     assert!(answers.is_empty());
@@ -188,22 +188,22 @@
 }
 
 #[test]
-fn throttled_acceptances_wait_and_unknown_outcomes_are_told_to_come_back() {
+fn throttled_acceptance_is_retried_and_unknown_outcome_is_answered_with_503() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.submit(&mut fixture.ctx, 1, submission("wk-1"));
     fixture.end_batch();
-    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Err(RequestError::Throttled));
+    fixture.reply(ApiRequest::Accept(vec![pending_submission(1, "wk-1", 10_000)]), Err(RequestError::Throttled));
     fixture.advance(99);
     assert!(fixture.end_batch().1.is_empty());
     fixture.advance(1);
     assert_eq!(fixture.end_batch().1.len(), 1);
-    fixture.reply(ApiRequest::Accept(vec![pending(1, "wk-1", 10_000)]), Err(RequestError::OutcomeUnknown));
+    fixture.reply(ApiRequest::Accept(vec![pending_submission(1, "wk-1", 10_000)]), Err(RequestError::OutcomeUnknown));
     assert_eq!(statuses(&fixture.end_batch().0), [(1, 503, None)]);
 }
 
 #[test]
-fn a_refusal_is_told_only_if_the_job_was_never_accepted() {
+fn submission_is_refused_only_if_the_job_was_never_accepted() {
     for (reply, expected) in [
         (Ok(KvReply::Missing), (1, 422, None)),
         (found("f/wk-1", json!({"x": false, "n": 3, "t": 5})), (1, 200, Some(JobStatus::Done))),
@@ -222,13 +222,13 @@
 }
 
 #[test]
-fn a_job_whose_dependency_is_cancelled_is_called_cancelled() {
+fn job_with_a_cancelled_dependency_is_reported_as_cancelled() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     let record = json!({"s": Submission { dependencies: vec!["wk-9".into()], ..submission("wk-1") }, "at": 5});
     fixture.reply(ApiRequest::ReadRecord(status_query(1, "wk-1")), found("j/wk-1", record));
     let (answers, requests) = fixture.end_batch();
-    // The query waits for a lookup, which is sent in the same batch.
+    // The query waits for a dependency lookup, which is sent in the same batch.
     assert!(answers.is_empty());
     assert_eq!(requests, [get("j/wk-9")]);
     let lookup = JobQuery::dependency_lookup("wk-9".into(), 1);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_cancellation_that_loses_a_race_is_tried_again_a_few_times() {
+fn cancellation_is_retried_three_times_after_conflicts() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.cancel(&mut fixture.ctx, 1, "wk-1".into());
@@ -257,7 +257,7 @@
 }
 
 #[test]
-fn of_changed_records_only_these_are_read_again() {
+fn after_a_failed_comparison_only_changed_records_are_read_again() {
     let mut fixture = Fixture::new();
     fixture.advance(0);
     fixture.api.learn_record_versions([("wk-1", Revision(3)), ("wk-2", Revision(4))].into_iter());
