--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -9,15 +9,15 @@
 use crate::records::{FinalRecord, JobRecord, keys};
 use crate::store_limits::StoreLimits;
 use serde_json::{Value, json};
-use shaleshunt_wire::kv::{Condition, Transaction, Write};
+use shaleshunt_wire::kv::{Precondition, Transaction, Write};
 use shaleshunt_wire::user::Submission;
-use shaleshunt_wire::{MAX_BODY, Revision};
+use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::VecDeque;
 
 /// Maximum number of accepting transactions in flight.
 const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
 /// Maximum estimated size of a transaction in bytes. The rest of the body limit is a margin for estimation errors.
-const MAX_TRANSACTION_BYTES: usize = MAX_BODY * 7 / 8;
+const MAX_TRANSACTION_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
 /// Estimated size in bytes of a write and its two conditions without their keys and the value.
 const WRITE_OVERHEAD_BYTES: usize = 64;
 /// Keys per submission in a transaction, all of the same length: those of two conditions and a write.
@@ -113,12 +113,12 @@
         if self.in_flight >= MAX_TRANSACTIONS_IN_FLIGHT || self.waiting.is_empty() {
             return None;
         }
-        let max_submissions = self.batch_limit.clamp(1, limits.ops().max(1));
+        let max_submissions = self.batch_limit.clamp(1, limits.max_writes().max(1));
         let mut batch = AcceptanceBatch::default();
         while batch.submissions.len() < max_submissions
             && let Some(submission) = self.waiting.pop_front()
         {
-            if let Err(remaining) = batch.add(submission, limits.value_bytes()) {
+            if let Err(remaining) = batch.add(submission, limits.max_value_bytes()) {
                 self.waiting.push_front(*remaining);
                 break;
             }
@@ -136,7 +136,7 @@
 
     /// Doubles the batch limit, up to the store's limit, after a commit.
     pub fn grow_batches(&mut self, limits: &StoreLimits) {
-        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.ops().max(2));
+        self.batch_limit = (self.batch_limit * 2).clamp(2, limits.max_writes().max(2));
     }
 
     /// Puts the submissions of a throttled or rejected transaction back at the front of the queue, in their order, and
@@ -156,7 +156,7 @@
     /// Returns the submission if the transaction is full.
     fn add(&mut self, submission: PendingSubmission, value_bytes: usize) -> Result<(), Box<PendingSubmission>> {
         let job_key = keys::job(submission.job());
-        if self.transaction.conditions.iter().any(|condition| condition.path == job_key) {
+        if self.transaction.preconditions.iter().any(|condition| condition.key == job_key) {
             self.duplicates.push(submission);
             return Ok(());
         }
@@ -171,8 +171,8 @@
             return Err(Box::new(submission));
         }
         let final_key = keys::final_record(submission.job());
-        self.transaction.conditions.push(Condition { path: job_key, version: Revision::ABSENT });
-        self.transaction.conditions.push(Condition { path: final_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: job_key, version: Revision::ABSENT });
+        self.transaction.preconditions.push(Precondition { key: final_key, version: Revision::ABSENT });
         self.transaction.writes.push(Write::set(submission.record_key(), record));
         self.submissions.push(submission);
         Ok(())
--- a/crates/core/src/api/answers.rs
+++ b/crates/core/src/api/answers.rs
@@ -75,17 +75,17 @@
 
 /// Returns the response to a request that cannot be served now: 503 with `Retry-After`.
 pub(super) fn unavailable(reason: UnavailableReason) -> Answer {
-    Answer::Problem { status: STATUS_UNAVAILABLE, error: reason.message(), retry_after: Some(RETRY_AFTER_S) }
+    Answer::Error { status: STATUS_UNAVAILABLE, error: reason.message(), retry_after: Some(RETRY_AFTER_S) }
 }
 
 /// Returns the response to a refused submission: 422.
 pub(super) fn refused(reason: RefusalReason) -> Answer {
-    Answer::Problem { status: STATUS_UNPROCESSABLE, error: reason.message(), retry_after: None }
+    Answer::Error { status: STATUS_UNPROCESSABLE, error: reason.message(), retry_after: None }
 }
 
 /// Returns the response to a request about a job that was never accepted: 404.
 pub(super) fn no_such_job() -> Answer {
-    Answer::Problem { status: STATUS_NOT_FOUND, error: "no such job", retry_after: None }
+    Answer::Error { status: STATUS_NOT_FOUND, error: "no such job", retry_after: None }
 }
 
 /// Returns the response with the view of an existing job: 200.
--- a/crates/core/src/controller/catalog.rs
+++ b/crates/core/src/controller/catalog.rs
@@ -40,7 +40,7 @@
 /// one.
 pub(super) fn handle_kv_reply(ctx: &mut Context, result: Result<KvReply, RequestError>) {
     let stored = match result {
-        Ok(KvReply::Found(pair)) => serde_json::from_value::<Catalog>(pair.v).ok(),
+        Ok(KvReply::Found(pair)) => serde_json::from_value::<Catalog>(pair.value).ok(),
         _ => None,
     };
     match stored {
--- a/crates/core/src/controller/kv_availability.rs
+++ b/crates/core/src/controller/kv_availability.rs
@@ -54,7 +54,10 @@
         | RequestError::LocalOverload
         | RequestError::OutcomeUnknown
         | RequestError::Unavailable => false,
-        RequestError::Throttled | RequestError::Rejected(_) | RequestError::TooLong | RequestError::Malformed => true,
+        RequestError::Throttled
+        | RequestError::Rejected(_)
+        | RequestError::ResponseTooLong
+        | RequestError::MalformedResponse => true,
     }
 }
 
--- a/crates/core/src/controller/peer_exchange.rs
+++ b/crates/core/src/controller/peer_exchange.rs
@@ -1,7 +1,7 @@
 //! Handles frames from peers, and sends this process's heartbeats and job progress to them.
 
 use super::Controller;
-use crate::step_down::StepDown;
+use crate::step_down::StepDownReason;
 use shaleshunt_peer::{Frame, HeartbeatEcho, JobProgress, PeerHeartbeat};
 use shaleshunt_wire::Epoch;
 
@@ -20,7 +20,7 @@
             return;
         }
         let now_ms = self.ctx.now_ms();
-        let echoed_at_ms = heartbeat.echo.sent_by(self.ctx.process_id(), now_ms);
+        let echoed_at_ms = heartbeat.echo.acknowledged_send_ms(self.ctx.process_id(), now_ms);
         self.peers.views_mut().record(from, now_ms, &heartbeat);
         self.ctx.peer_lease_reports.record(from, now_ms, heartbeat.lease_extension_age_ms, echoed_at_ms);
         if !heartbeat.is_leader {
@@ -31,7 +31,7 @@
         }
         if heartbeat.epoch > self.election.epoch() {
             if self.leader.as_ref().is_some_and(|leader| leader.epoch < heartbeat.epoch) {
-                self.step_down(StepDown::NewerLeader);
+                self.step_down(StepDownReason::NewerLeader);
             }
             self.election.follow(heartbeat.epoch, heartbeat.leader);
         }
--- a/crates/core/src/controller/zone_leases.rs
+++ b/crates/core/src/controller/zone_leases.rs
@@ -91,7 +91,7 @@
         let leader_unreachable = now_ms.saturating_sub(self.leader.last_heartbeat_at_ms) > timeout_ms;
         let leader_is_newest = self.leader.epoch > Epoch::NONE && self.leader.epoch == epoch;
         let token_is_current = heartbeat.token.epoch() == self.leader.epoch;
-        let in_own_zone = heartbeat.zone == settings.location;
+        let in_own_zone = heartbeat.zone == settings.zone;
         let both_confirmed_at_ms = self.leader.confirmed_at_ms.min(self.cancellations_known_at_ms);
         let term_ms = settings.lease_renewal_window_ms().min((ctx.tuning.zone_lease_term_s * 1000.0) as u64);
         let within_term = both_confirmed_at_ms > 0 && now_ms < both_confirmed_at_ms + term_ms;
--- a/crates/core/src/leader/autoscaler/plan.rs
+++ b/crates/core/src/leader/autoscaler/plan.rs
@@ -33,8 +33,8 @@
 /// the cheapest offers are rented.
 pub(super) fn plan_scale_out(view: &ScaleOutView) -> ScaleOutPlan {
     let demand = demand(view);
-    view.scheduling.work.round();
-    view.scheduling.work.spaces_examined(view.scheduling.machines.len());
+    view.scheduling.work.count_autoscaler_run();
+    view.scheduling.work.count_autoscaler_machines_examined(view.scheduling.machines.len());
     let mut planner = Planner::new(view, &demand);
     for job in demand {
         planner.cover(job);
@@ -99,14 +99,14 @@
             self.first_usable += 1;
         }
         for spare in &mut self.spare[self.first_usable..] {
-            self.view.scheduling.work.spaces_examined(1);
+            self.view.scheduling.work.count_autoscaler_machines_examined(1);
             if left == 0 {
                 break;
             }
             if !spare.free.fits(&job.need) || !allows(job, spare.offer.kind()) {
                 continue;
             }
-            let fitting = spare.free.times(&job.need, i64::from(left)) as u32;
+            let fitting = spare.free.fit_count(&job.need, i64::from(left)) as u32;
             let placed = by_zone.place(job, &spare.offer.zone, fitting);
             if placed == 0 {
                 continue;
@@ -136,7 +136,7 @@
     fn rent_machine(&mut self, job: &Job, tasks: u32, offer: &Offer) -> u32 {
         let machine_type = self.view.catalog.machine_type(&offer.machine_type);
         let mut free = machine_type.map(|machine_type| machine_type.resources()).unwrap_or_default();
-        let fitting = free.times(&job.need, i64::from(tasks)) as u32;
+        let fitting = free.fit_count(&job.need, i64::from(tasks)) as u32;
         let placed = fitting.min(zone_headroom(job, &offer.zone)).max(1);
         free.add(&job.need, -i64::from(placed));
         self.spare.push(SpareCapacity { offer: offer.clone(), free, machine: None });
