--- a/crates/core/src/api/acceptance.rs
+++ b/crates/core/src/api/acceptance.rs
@@ -18,9 +18,9 @@
 const MAX_TRANSACTIONS_IN_FLIGHT: u32 = 2;
 /// Maximum estimated size of a transaction in bytes. The rest of the body limit is a margin for estimation errors.
 const MAX_TRANSACTION_BYTES: usize = MAX_BODY_BYTES * 7 / 8;
-/// Estimated size in bytes of a write and its two conditions without their keys and the value.
+/// Estimated size in bytes of a write and its two preconditions without their keys and the value.
 const WRITE_OVERHEAD_BYTES: usize = 64;
-/// Keys per submission in a transaction, all of the same length: those of two conditions and a write.
+/// Keys per submission in a transaction, all of the same length: those of two preconditions and a write.
 const KEYS_PER_SUBMISSION: usize = 3;
 
 /// A submission that has not been accepted yet.
@@ -156,7 +156,7 @@
     /// Returns the submission if the transaction is full.
     fn add(&mut self, submission: PendingSubmission, value_bytes: usize) -> Result<(), Box<PendingSubmission>> {
         let job_key = keys::job(submission.job());
-        if self.transaction.preconditions.iter().any(|condition| condition.key == job_key) {
+        if self.transaction.preconditions.iter().any(|precondition| precondition.key == job_key) {
             self.duplicates.push(submission);
             return Ok(());
         }
--- a/crates/core/src/api/comparisons.rs
+++ b/crates/core/src/api/comparisons.rs
@@ -28,8 +28,8 @@
 /// Limits that decide when a batch of comparisons is sent.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct ComparisonLimits {
-    /// Number of conditions in a full batch. A full batch is sent at once.
-    pub max_conditions: usize,
+    /// Number of preconditions in a full batch. A full batch is sent at once.
+    pub max_preconditions: usize,
     /// Maximum time that a query waits for its batch to fill, in milliseconds.
     pub max_delay_ms: u64,
 }
@@ -37,7 +37,7 @@
 /// Queries taken from the queue for one transaction.
 #[derive(Debug, Default)]
 pub(super) struct ComparisonBatch {
-    /// Conditions that the records still have the known versions; no writes.
+    /// Preconditions that the records still have the known versions; no writes.
     pub transaction: Transaction,
     /// Queries that the transaction answers.
     pub queries: Vec<JobQuery>,
@@ -70,7 +70,7 @@
             return None;
         }
         let mut batch = ComparisonBatch::default();
-        while batch.transaction.preconditions.len() < limits.max_conditions
+        while batch.transaction.preconditions.len() < limits.max_preconditions
             && let Some(WaitingQuery { query, .. }) = self.waiting.pop_front()
         {
             batch.add(query, known);
@@ -88,7 +88,7 @@
 
     fn is_due(&self, now_ms: u64, limits: ComparisonLimits) -> bool {
         let Some(oldest) = self.waiting.front() else { return false };
-        self.waiting.len() >= limits.max_conditions || now_ms.saturating_sub(oldest.since_ms) >= limits.max_delay_ms
+        self.waiting.len() >= limits.max_preconditions || now_ms.saturating_sub(oldest.since_ms) >= limits.max_delay_ms
     }
 }
 
@@ -98,9 +98,9 @@
             self.unknown.push(query);
             return;
         };
-        let path = keys::job(&query.job);
-        if !self.transaction.preconditions.iter().any(|condition| condition.key == path) {
-            self.transaction.preconditions.push(Precondition { key: path, version });
+        let key = keys::job(&query.job);
+        if !self.transaction.preconditions.iter().any(|precondition| precondition.key == key) {
+            self.transaction.preconditions.push(Precondition { key, version });
         }
         self.queries.push(query);
     }
--- a/crates/core/src/api/queries.rs
+++ b/crates/core/src/api/queries.rs
@@ -68,7 +68,7 @@
             }
         }
         let limits = ComparisonLimits {
-            max_conditions: ctx.limits.max_preconditions().max(1),
+            max_preconditions: ctx.limits.max_preconditions().max(1),
             max_delay_ms: comparison_delay_ms(&ctx.settings),
         };
         while let Some(batch) = self.comparisons.next_batch(ctx.now_ms(), limits, &self.known) {
--- a/crates/core/src/api/split_submission.rs
+++ b/crates/core/src/api/split_submission.rs
@@ -14,7 +14,7 @@
 use shaleshunt_wire::{MAX_BODY_BYTES, Revision};
 use std::collections::{HashSet, VecDeque};
 
-/// Estimated size in bytes of a part's write and condition without the prefix and the text.
+/// Estimated size in bytes of a part's write and precondition without the prefix and the text.
 const PART_OVERHEAD_BYTES: usize = 100;
 /// Size of the quotes around a JSON string, in bytes.
 const QUOTES_BYTES: usize = 2;
@@ -137,12 +137,12 @@
             cancelled: false,
             has_cancellation_key: false,
         };
-        let conditions = vec![
+        let preconditions = vec![
             Precondition { key: keys::job(job), version: Revision::ABSENT },
             Precondition { key: keys::final_record(job), version: Revision::ABSENT },
             Precondition { key: self.part_key(0), version: self.first_part_version },
         ];
-        Transaction { preconditions: conditions, writes: vec![Write::set(keys::job(job), json!(record))] }
+        Transaction { preconditions, writes: vec![Write::set(keys::job(job), json!(record))] }
     }
 
     fn part_key(&self, number: usize) -> String {
--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -130,8 +130,8 @@
     JobQuery::new(request, job.into(), QueryPurpose::Status)
 }
 
-fn found(path: &str, v: Value) -> Result<KvReply, RequestError> {
-    Ok(KvReply::Found(KeyValue { key: path.into(), value: v, version: Revision(7), lease: None }))
+fn found(key: &str, value: Value) -> Result<KvReply, RequestError> {
+    Ok(KvReply::Found(KeyValue { key: key.into(), value, version: Revision(7), lease: None }))
 }
 
 fn get(key: &str) -> KvRequest {
--- a/crates/core/src/controller/zone_leases.rs
+++ b/crates/core/src/controller/zone_leases.rs
@@ -1,8 +1,8 @@
 //! Renews the leases of this zone's machines while the leader is unreachable.
 //!
-//! In a network partition, each zone's controller may renew the leases of the machines in its zone for a limited term.
-//! The controller replies with the fencing token that the machine has seen, which must be of the epoch of the last
-//! known leader. It starts no tasks, and stops the tasks of cancelled jobs.
+//! The leader grants each zone's controller the right to renew the leases of the machines in its zone for a limited
+//! term during a network partition. The controller replies with the fencing token that the machine has seen, which must
+//! be of the epoch of the last known leader. It starts no tasks, and stops the tasks of cancelled jobs.
 //!
 //! Invariant: the term ends `cancel_s - lease_s`, less a margin, after the latest time for which two facts are proven:
 //! the leader was leading, and no earlier cancellation is missing here. The current leader and the next one rely on
@@ -27,7 +27,8 @@
     confirmed_at_ms: u64,
 }
 
-/// State that decides whether this process may renew machine leases without the leader.
+/// State that decides whether this process may renew machine leases without the leader. Times are on the monotonic
+/// clock.
 #[derive(Debug, Default)]
 pub(super) struct ZoneLeases {
     leader: LeaderContact,
