--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -1,6 +1,6 @@
-//! What a controller logs: typed events with a stable name, a severity and named values.
+//! Log events of a controller: each has a stable name, a severity and named fields.
 //!
-//! The core only emits events, as effects in order; the process around it renders them.
+//! The core emits events as effects, in order; the surrounding process writes them to the log.
 
 mod fields;
 mod leader_status;
@@ -18,189 +18,189 @@
 use shaleshunt_wire::worker::ExitCause;
 use std::fmt;
 
-/// Something that happened, for the log.
+/// An event for the log.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Event {
-    /// This node was elected: it holds the leader's lease and has raised the epoch by compare-and-swap.
+    /// This controller was elected: it holds the leader lease and has raised the leader epoch by compare-and-swap.
     LeaderElected {
-        /// The new epoch; it is part of every fencing token that this leader hands out.
+        /// New leader epoch, part of every fencing token that this leader issues.
         epoch: Epoch,
     },
-    /// Failover is complete: the new leader has read all records and begins to schedule.
+    /// Recovery is complete: the new leader has read all records and begins to schedule.
     LeaderStateLoaded {
-        /// The leader's epoch.
+        /// Leader epoch.
         epoch: Epoch,
-        /// Unfinished jobs.
+        /// Number of unfinished jobs.
         jobs: usize,
-        /// Known machines.
+        /// Number of known machines.
         machines: usize,
     },
-    /// This node gives up leadership.
+    /// This controller gives up leadership.
     LeaderSteppedDown {
-        /// The epoch that it led.
+        /// Leader epoch that ends.
         epoch: Epoch,
-        /// Why.
+        /// Reason for stepping down.
         reason: StepDownReason,
     },
-    /// The leader's figures, once a reporting interval.
+    /// Metrics of the leader, emitted at regular intervals.
     LeaderStatus(Box<LeaderStatus>),
-    /// The state service fails only this node: its requests are relayed through a peer.
+    /// The key-value store is unreachable from this controller only: requests to it are relayed through a peer.
     StateServiceRelayStarted {
-        /// The peer.
+        /// Node name of the peer.
         peer: String,
     },
-    /// The state service serves this node directly again; nothing is relayed any more.
+    /// The key-value store is reachable from this controller again; requests are no longer relayed.
     StateServiceRelayEnded,
-    /// The state service throttles: fewer writes a second are sent from here on.
+    /// The key-value store throttles: the leader's write rate is reduced.
     WriteRateReduced {
-        /// The new rate.
+        /// New rate, in writes per second.
         writes_per_s: f64,
     },
-    /// The state service refused a transaction as malformed or too large.
+    /// The key-value store rejected a transaction as malformed or too large.
     TransactionRejected {
-        /// What the service said.
+        /// Reason that the store gave.
         reason: String,
     },
-    /// A record at the state service cannot be decoded; it is left out.
+    /// A stored record cannot be decoded and is skipped.
     RecordUnreadable {
-        /// The record's key.
+        /// Key of the record.
         key: String,
     },
-    /// The parts of a submission that takes more than one value do not make up a submission.
+    /// The stored parts of a submission that is larger than one value cannot be decoded as a submission.
     SubmissionPartsUnreadable {
-        /// What the parts' keys begin with.
+        /// Common prefix of the parts' keys.
         prefix: String,
     },
-    /// A job was committed and acknowledged to its user.
+    /// A submission was committed and its acceptance reported to the user.
     JobAccepted {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
     /// A user's cancellation was committed.
     JobCancellationRecorded {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
-    /// A job ended by cancellation: its final record is committed.
+    /// A cancelled job has ended: its final record is committed.
     JobCancelled {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
-    /// A job's tasks are all done: its final record is committed.
+    /// A job has completed: its final record is committed.
     JobCompleted {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
     /// All dependencies of a job have completed: its tasks may be placed.
     JobDependenciesMet {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
-    /// A job is cancelled because a dependency of it was.
+    /// A job is cancelled because one of its dependencies was cancelled.
     JobCancelledByDependency {
-        /// The dependent job.
+        /// Identifier of the dependent job.
         job: Id,
     },
     /// A job that would miss its deadline on owned machines is offloaded to rented machines.
     JobOffloaded {
-        /// The job.
+        /// Identifier of the job.
         job: Id,
     },
-    /// A task's attempt failed.
+    /// An attempt at a task failed.
     TaskFailed {
-        /// The task.
+        /// Name of the task.
         task: String,
-        /// The machine that ran it.
+        /// Machine that ran the attempt.
         machine: Id,
-        /// What the machine reports as the cause.
+        /// Cause that the agent reported.
         cause: ExitCause,
     },
-    /// Preemption: tasks on a machine are stopped to make room for a more urgent job.
+    /// Tasks on a machine are preempted to free capacity for a job of higher priority.
     TasksPreempted {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
-        /// The job that gets the room.
+        /// Job that gets the capacity.
         job: Id,
-        /// How many tasks are stopped.
+        /// Number of preempted tasks.
         tasks: usize,
     },
-    /// A machine that is not in the leader's records reports: it is taken into the cluster.
+    /// A machine that is not in the leader's records sent a heartbeat and is added to the cluster.
     MachineAdopted {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
     },
-    /// A machine announces that the provider takes it back (spot interruption).
+    /// An agent reports that the cloud will reclaim its machine (spot interruption).
     MachineInterruptionNotice {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
-        /// Seconds left.
+        /// Time until the interruption, in seconds.
         seconds_left: f64,
     },
-    /// A machine sent no heartbeat until lease expiry: its tasks have stopped by themselves and are placed anew.
+    /// A machine sent no heartbeat until lease expiry: its agent has stopped its tasks, which are placed again.
     MachineLeaseExpired {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
-        /// How many tasks it held.
+        /// Number of tasks that were placed on the machine.
         tasks: usize,
     },
-    /// A machine fails its tasks: it is in quarantine and gets none for a while.
+    /// Tasks keep failing on a machine: it gets no tasks while in quarantine.
     MachineQuarantined {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
-        /// How long the quarantine lasts, in seconds.
+        /// Duration of the quarantine, in seconds.
         seconds: f64,
     },
-    /// Several tasks at once overrun on a machine: little is placed there for a while.
+    /// Several tasks on a machine overrun at the same time: few tasks are placed there for some time.
     MachineSlow {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
     },
-    /// No machine of a zone is heard, as in a network partition: nothing new is placed there.
+    /// No machine of a zone sends heartbeats, as in a network partition: no tasks are placed there.
     ZoneUnreachable {
-        /// The zone.
+        /// Zone name.
         zone: String,
     },
-    /// Reconciliation with the provider's first list: machines that were up then count as owned.
+    /// The cloud's first list of machines was read: machines that are running in it count as owned.
     OwnedMachinesRecorded {
-        /// How many.
+        /// Number of owned machines.
         machines: usize,
     },
-    /// A setting grants less than the cluster needs.
+    /// A setting grants less than the fleet needs.
     SettingTooSmall(InsufficientSetting),
-    /// Scale out: the provider granted machines, perhaps fewer than requested.
+    /// Scale out: the cloud granted machines, possibly fewer than requested.
     ScaleOutGranted {
-        /// Name of the request; it makes a repeated request idempotent.
+        /// Name of the request, which makes retries idempotent.
         request: String,
-        /// The zone.
+        /// Zone name.
         zone: String,
-        /// Machines granted.
+        /// Number of machines granted.
         granted: usize,
-        /// Machines requested.
+        /// Number of machines requested.
         requested: u32,
     },
-    /// Scale out: the provider has no capacity; the request is over.
+    /// Scale out: the cloud has no capacity, and the request ends.
     ScaleOutNoCapacity {
         /// Name of the request.
         request: String,
-        /// The zone.
+        /// Zone name.
         zone: String,
     },
-    /// Scale out: the provider refused the request as invalid.
+    /// Scale out: the cloud rejected the request as invalid.
     ScaleOutRejected {
         /// Name of the request.
         request: String,
-        /// What the provider said.
+        /// Reason that the cloud gave.
         reason: String,
     },
-    /// Scale in: the provider confirmed that a machine is given back.
+    /// Scale in: the cloud confirmed the return of a machine.
     ScaleInCompleted {
-        /// The machine.
+        /// Identifier of the machine.
         machine: Id,
     },
 }
 
 impl Event {
-    /// The names of all events, in the order of the variants. `docs/operations.md` has an entry for each.
+    /// Names of all events, in the order of the variants. `docs/operations.md` has an entry for each.
     pub const NAMES: [&str; 31] = [
         "leader_elected",
         "leader_state_loaded",
@@ -235,7 +235,7 @@
         "scale_in_completed",
     ];
 
-    /// How much it matters to an operator.
+    /// Severity of the event for an operator.
     pub fn severity(&self) -> Severity {
         match self {
             Event::TransactionRejected { .. }
@@ -272,7 +272,7 @@
         }
     }
 
-    /// Its name, which stays the same between versions.
+    /// Name of the event; stable between versions.
     pub fn name(&self) -> &'static str {
         match self {
             Event::LeaderElected { .. } => "leader_elected",
@@ -309,13 +309,13 @@
         }
     }
 
-    /// Its fields as `key=value`, separated by spaces.
+    /// Fields as `key=value`, separated by spaces.
     pub fn details(&self) -> Details<'_> {
         Details(self)
     }
 }
 
-/// An event's fields, rendered when they are written.
+/// Fields of an event, formatted by `Display`.
 #[derive(Debug, Clone, Copy)]
 pub struct Details<'a>(&'a Event);
 
--- a/crates/core/src/event/fields.rs
+++ b/crates/core/src/event/fields.rs
@@ -1,11 +1,11 @@
-//! The fields of each event, by name.
+//! Names and values of the fields of each event.
 
 use super::{Event, EventValue, StepDownReason};
 use crate::capacity::InsufficientSetting;
 use shaleshunt_wire::Epoch;
 use shaleshunt_wire::worker::ExitCause;
 
-/// A field's name, which stays the same between versions, and its value.
+/// Name of a field, stable between versions, and its value.
 type Field<'a> = (&'static str, EventValue<'a>);
 
 fn field<'a>(name: &'static str, value: impl Into<EventValue<'a>>) -> Field<'a> {
@@ -13,7 +13,7 @@
 }
 
 impl Event {
-    /// Its fields, by name.
+    /// Fields of the event in the order in which they are logged.
     pub fn fields(&self) -> Vec<Field<'_>> {
         match self {
             Event::LeaderElected { epoch } => vec![field("epoch", *epoch)],
@@ -53,7 +53,7 @@
             }
             Event::ZoneUnreachable { zone } => vec![field("zone", zone.as_str())],
             Event::OwnedMachinesRecorded { machines } => vec![field("machines", *machines)],
-            Event::SettingTooSmall(shortage) => shortage_fields(shortage),
+            Event::SettingTooSmall(insufficient) => insufficient_setting_fields(insufficient),
             Event::ScaleOutGranted { request, zone, granted, requested } => {
                 let names = [field("request", request.as_str()), field("zone", zone.as_str())];
                 names.into_iter().chain([field("granted", *granted), field("requested", *requested)]).collect()
@@ -76,11 +76,11 @@
     vec![field("epoch", epoch), field("reason", reason.name()), field("detail", reason.to_string())]
 }
 
-fn shortage_fields(shortage: &InsufficientSetting) -> Vec<Field<'_>> {
+fn insufficient_setting_fields(insufficient: &InsufficientSetting) -> Vec<Field<'_>> {
     vec![
-        field("setting", shortage.setting),
-        field("value", shortage.value),
-        field("least", shortage.required),
-        field("machines", shortage.machines),
+        field("setting", insufficient.setting),
+        field("value", insufficient.value),
+        field("least", insufficient.required),
+        field("machines", insufficient.machines),
     ]
 }
--- a/crates/core/src/event/leader_status.rs
+++ b/crates/core/src/event/leader_status.rs
@@ -1,44 +1,44 @@
-//! The figures that a leader logs at regular intervals.
+//! Metrics that a leader logs at regular intervals.
 
 use super::EventValue;
 
-/// Figures of a leader: how much there is to do, and what holds it up.
+/// Metrics of a leader: pending work and the limits that delay it.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LeaderStatus {
-    /// Unfinished jobs.
+    /// Number of unfinished jobs.
     pub jobs: usize,
-    /// Tasks that wait for a place.
+    /// Number of tasks that wait for placement.
     pub tasks_waiting: u32,
-    /// Machines that may get tasks.
+    /// Number of machines on which tasks may be placed.
     pub machines_usable: usize,
-    /// Known machines.
+    /// Number of known machines.
     pub machines: usize,
-    /// Transactions sent since the last figures.
+    /// Transactions sent since the last `leader_status` event.
     pub transactions: u32,
-    /// Writes in them for jobs and their ends.
+    /// Writes of job records, final records and keys below `l/` (leadership, cancellations) in these transactions.
     pub writes_ends: u32,
-    /// Writes in them of pages of task facts.
+    /// Writes of task pages in these transactions.
     pub writes_pages: u32,
-    /// Writes in them of blocks of machines.
+    /// Writes of machine blocks in these transactions.
     pub writes_blocks: u32,
-    /// Other writes in them.
+    /// Other writes in these transactions.
     pub writes_other: u32,
-    /// Writes that the rate limit allows at once.
+    /// Writes that the rate limit allows now.
     pub write_budget: f64,
-    /// Ends to be written.
+    /// Number of job ends to be committed.
     pub ends_pending: usize,
-    /// Jobs to be written at once.
+    /// Number of jobs whose changes are to be committed as soon as possible.
     pub jobs_pending: usize,
-    /// Jobs that may be written later.
+    /// Number of jobs whose changes may be committed later.
     pub jobs_deferred: usize,
-    /// Pages of task facts.
+    /// Number of task pages.
     pub pages: usize,
-    /// Whether a transaction is under way.
+    /// Whether a transaction is in flight.
     pub transaction_in_flight: bool,
 }
 
 impl LeaderStatus {
-    /// The figures, by name.
+    /// Names and values of the metrics in the order in which they are logged.
     pub(super) fn fields(&self) -> Vec<(&'static str, EventValue<'static>)> {
         vec![
             ("jobs", self.jobs.into()),
--- a/crates/core/src/event/severity.rs
+++ b/crates/core/src/event/severity.rs
@@ -1,11 +1,11 @@
-//! How much an event matters.
+//! Severity of events.
 
-/// How much an event matters to an operator.
+/// Severity of an event for an operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Severity {
     /// Needs an operator's attention.
     Error,
-    /// A change of the cluster's state.
+    /// Change of the cluster's state.
     Info,
     /// Details of normal operation.
     Debug,
--- a/crates/core/src/event/tests.rs
+++ b/crates/core/src/event/tests.rs
@@ -78,8 +78,8 @@
         (
             Event::LeaderSteppedDown { epoch: Epoch(7), reason: StepDownReason::ForeignWrite(foreign) },
             Info,
-            "event=leader_stepped_down epoch=7 reason=foreign_write detail=\"somebody else writes the leader's keys: \
-             f/wk-1 expected at version 0, found at 7\"",
+            "event=leader_stepped_down epoch=7 reason=foreign_write detail=\"another client wrote a key of the leader: \
+             f/wk-1 expected at version 0, found at version 7\"",
         ),
         (
             Event::LeaderStatus(Box::new(figures)),
--- a/crates/core/src/event/value.rs
+++ b/crates/core/src/event/value.rs
@@ -1,4 +1,4 @@
-//! The value of an event's field.
+//! Values of event fields.
 
 use shaleshunt_wire::Epoch;
 use std::borrow::Cow;
@@ -7,13 +7,13 @@
 /// The value of an event's field.
 #[derive(Debug, Clone, PartialEq)]
 pub enum EventValue<'a> {
-    /// A name or a reason.
+    /// Name or reason; quoted in the log unless it is a single word.
     Text(Cow<'a, str>),
-    /// A count or a number that identifies something.
+    /// Count or numeric identifier.
     Count(u64),
-    /// A measure; rendered with three decimals at most.
+    /// Measured quantity; formatted with at most three decimals.
     Number(f64),
-    /// Yes or no.
+    /// Boolean.
     Flag(bool),
 }
 
@@ -68,7 +68,7 @@
 impl fmt::Display for EventValue<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            // Quoted where it would not be one word, so that a line stays one line and can be split.
+            // Quotes text that is not a single word, so that an event stays on one line and can be split at spaces.
             EventValue::Text(text) => {
                 let plain = |c: char| !c.is_whitespace() && !c.is_control() && !matches!(c, '=' | '"' | '\\');
                 if !text.is_empty() && text.chars().all(plain) { write!(f, "{text}") } else { write!(f, "{text:?}") }
--- a/crates/core/src/io.rs
+++ b/crates/core/src/io.rs
@@ -1,4 +1,4 @@
-//! Commands that go into a controller, effects that come out, and the requests and replies that they carry.
+//! Commands (inputs) and effects (outputs) of a controller, and the requests and replies that they carry.
 
 pub use crate::request_id::RequestId;
 pub use crate::time::Timestamp;
@@ -23,10 +23,10 @@
     Scan {
         /// Prefix of the keys.
         prefix: String,
-        /// The page begins after this key.
+        /// Exclusive start of the page: the last key of the page before; empty for the first page.
         after: String,
     },
-    /// Commits writes if all conditions hold (compare-and-swap).
+    /// Commits writes if all preconditions hold (compare-and-swap).
     #[serde(rename = "Txn")]
     Transaction(Transaction),
     /// Grants a new lease.
@@ -39,22 +39,22 @@
     /// Renews a lease.
     #[serde(rename = "Renew")]
     RenewLease {
-        /// The lease.
+        /// Identifier of the lease.
         #[serde(rename = "pass")]
         lease: u64,
     },
-    /// Revokes a lease, and removes the keys attached to it.
+    /// Revokes a lease, which deletes the keys attached to it.
     #[serde(rename = "EndHold")]
     RevokeLease {
-        /// The lease.
+        /// Identifier of the lease.
         #[serde(rename = "pass")]
         lease: u64,
     },
-    /// Waits for changes.
+    /// Waits for changes of keys.
     Watch {
         /// Prefix of the keys.
         prefix: String,
-        /// Only changes after this revision.
+        /// Revision after which changes are returned, exclusive.
         after: Revision,
         /// Longest wait for a change, in milliseconds.
         #[serde(rename = "hold_ms")]
@@ -62,55 +62,55 @@
     },
 }
 
-/// The key-value store's reply.
+/// Reply of the key-value store.
 #[derive(Debug, Clone, PartialEq)]
 pub enum KvReply {
-    /// The key with its value.
+    /// The key exists; its value and version.
     Found(KeyValue),
-    /// There is no such key or lease.
+    /// The key or the lease does not exist.
     Missing,
     /// A page of keys.
     Page(Page),
     /// The transaction was committed at this revision.
     Committed(Revision),
-    /// The conditions on these keys failed; nothing was changed.
+    /// The preconditions on these keys failed; nothing was written.
     Conflict(Vec<String>),
     /// The identifier of a new lease.
     LeaseGranted(u64),
     /// The lease was renewed or revoked.
     Done,
-    /// Changes that a watch saw; none if its wait ended first.
+    /// Changes since the watch's revision; empty if there were none within the longest wait.
     Changes(WatchReply),
-    /// The store no longer keeps changes since the watch's revision.
+    /// The store no longer keeps all changes since the watch's revision.
     Compacted,
 }
 
-/// Why a request to an outside service brought no reply.
+/// Errors of a request to an external service.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum RequestError {
-    /// The request was certainly not sent.
-    #[error("not sent")]
+    /// The request was certainly not sent, so it was not executed.
+    #[error("request was not sent")]
     NotSent,
-    /// Not sent, because too many requests are under way here: it says nothing about the other side.
-    #[error("too much under way")]
+    /// The request was not sent because too many are in flight at this process. This says nothing about the service.
+    #[error("request was not sent: too many requests are in flight")]
     LocalOverload,
-    /// No reply: it may have been carried out, or may be later.
-    #[error("no answer")]
+    /// No complete response: the request may have been executed or may be executed later.
+    #[error("no response: the request may have been executed")]
     OutcomeUnknown,
-    /// The service is unavailable; not carried out.
-    #[error("refused for now")]
+    /// The service is unavailable; the request was not executed.
+    #[error("service is unavailable")]
     Unavailable,
-    /// Throttled by the service; not carried out.
-    #[error("too many requests")]
+    /// The service throttled the request, which was not executed.
+    #[error("service throttled the request")]
     Throttled,
-    /// The service rejected the request as invalid, for this reason.
-    #[error("called wrong: {0}")]
+    /// The service rejected the request as invalid, for the given reason.
+    #[error("service rejected the request: {0}")]
     Rejected(String),
-    /// The reply is longer than the limit.
-    #[error("answer too long")]
+    /// The response is longer than this process accepts.
+    #[error("response is too long")]
     ResponseTooLong,
-    /// The reply cannot be decoded.
-    #[error("senseless answer")]
+    /// The response cannot be decoded.
+    #[error("response cannot be decoded")]
     MalformedResponse,
 }
 
@@ -125,12 +125,12 @@
     ScaleIn(Vec<String>),
     /// Reads a page of the list of machines.
     List {
-        /// The page begins after this name.
+        /// Exclusive start of the page: the last name of the page before; empty for the first page.
         after: String,
     },
 }
 
-/// The cloud's reply.
+/// Reply of the cloud.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CloudReply {
     /// The catalog of machine types.
@@ -139,7 +139,7 @@
     ScaledOut(Vec<String>),
     /// The cloud has no capacity.
     NoCapacity,
-    /// The machines are returned.
+    /// The cloud has accepted the returned machines.
     ScaledIn,
     /// A page of the list of machines.
     MachineList(ListPage),
@@ -148,13 +148,13 @@
 /// An agent's reply to direct commands.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DirectCommandsReply {
-    /// Executed; the agent's status afterwards.
+    /// The commands were executed; the agent's status afterwards.
     Executed(Heartbeat),
-    /// Nothing executed, because the fencing token or agent epoch is not current; the agent's status.
+    /// No command was executed because the fencing token or agent epoch is not current; the agent's status.
     Fenced(Heartbeat),
 }
 
-/// Something that happened outside, to be taken in by the controller.
+/// Input of the controller.
 #[derive(Debug)]
 pub enum Command {
     /// A user submits a job.
@@ -165,7 +165,7 @@
     Cancel(RequestId, String),
     /// The platform checks this process's health.
     HealthCheck(RequestId),
-    /// An agent's heartbeat with its status.
+    /// An agent sent a heartbeat.
     Heartbeat(RequestId, Box<Heartbeat>),
     /// The key-value store replied, or the request failed.
     Kv(RequestId, Result<KvReply, RequestError>),
@@ -173,15 +173,15 @@
     Cloud(RequestId, Result<CloudReply, RequestError>),
     /// An agent replied to direct commands, or the request failed.
     DirectCommands(RequestId, Result<DirectCommandsReply, RequestError>),
-    /// A frame from the controller of this name.
+    /// The controller with this node name sent a frame.
     Peer(String, shaleshunt_peer::Frame),
-    /// A connection from or to the controller of this name broke.
+    /// A connection from or to the controller with this node name broke.
     PeerDisconnected(String),
-    /// Nothing: time has passed.
+    /// No input; due work runs at the batch's time.
     Tick,
 }
 
-/// A batch of commands.
+/// Commands that a controller takes at the same time.
 pub type Batch = Vec<Command>;
 
 /// Response to a user, an agent or a health check.
@@ -193,31 +193,31 @@
     Error {
         /// HTTP status.
         status: u16,
-        /// The error's text.
+        /// Text of the `error` field of the response body.
         error: &'static str,
-        /// Seconds after which the request may be repeated.
+        /// Seconds after which the client may retry; `None` without such a hint.
         retry_after: Option<u32>,
     },
     /// Response to a heartbeat.
     Heartbeat(HeartbeatReply),
-    /// Heartbeats go to the leader, by node name; to any other node if `None`.
+    /// Redirect of a heartbeat to the leader with this node name; to any other controller if `None`.
     Redirect(Option<String>),
     /// This process is ready.
     Healthy,
 }
 
-/// Something that the controller wants done outside.
+/// Output of the controller, executed by the surrounding process.
 #[derive(Debug)]
 pub enum Effect {
-    /// Send a request to the key-value store; relayed through a peer if one is named.
+    /// Send a request to the key-value store, relayed through the peer with this node name if there is one.
     Kv(RequestId, KvRequest, Option<String>),
     /// Send a request to the cloud.
     Cloud(RequestId, CloudRequest),
     /// Send commands to the agent at an address.
     DirectCommands(RequestId, String, DirectCommands),
-    /// Respond to a request.
+    /// Respond to a client's request.
     Answer(RequestId, Answer),
-    /// Send a frame to the controller of this name.
+    /// Send a frame to the controller with this node name.
     Peer(String, shaleshunt_peer::Frame),
     /// Log an event.
     Log(Event),
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,16 +1,18 @@
-//! The controller's core: a deterministic state machine that owns all state. Commands go in, effects come out.
+//! Core of the controller: a deterministic state machine that owns all state, takes commands and returns effects.
 //!
-//! It does no I/O and reads no clock; the process around it hands over the time with every batch and carries out the
-//! effects in order.
+//! The core does no I/O and reads no clock. The surrounding process passes the time with every batch of commands and
+//! executes the effects in order.
 //!
-//! - [`controller`]: one process, [`Controller`]. Composes leader election, users' requests and the leader.
-//! - `api`: users' submissions, queries and cancellations, on any node.
-//! - `leader`: the work of the leader. Composes `store` (writes to the key-value store), `scheduler` (queue,
+//! - [`controller`]: the state of one process, [`Controller`]. Composes leader election, users' requests and the leader.
+//! - `api`: users' submissions, status queries and cancellations, on every controller.
+//! - `leader`: the tasks of the elected leader. Composes `store` (writes to the key-value store), `scheduler` (queue,
 //!   placement, preemption, offloading), `fleet` (machines, heartbeats, commands, health), `autoscaler` (scale out and
-//!   in) and recovery at a failover.
-//! - [`model`]: jobs, machines and placements. [`records`]: their stored forms and keys.
-//! - [`settings`], `store_limits`, [`capacity`]: what the platform grants.
-//! - [`io`]: commands and effects. [`time`]: the time of a batch. `step_down`: why a leader steps down. [`event`]: what is logged. [`work_counters`]: work done, for tests.
+//!   scale in) and recovery at a failover.
+//! - [`model`]: jobs, machines and placements. [`records`]: their stored records and keys.
+//! - [`settings`]: settings of the platform and of operators. `store_limits`: limits of the key-value store in force.
+//!   [`capacity`]: resources that a fleet needs compared with those granted.
+//! - [`io`]: commands and effects. [`time`]: the time of a batch. `step_down`: reasons for which a leader steps down.
+//!   [`event`]: log events. [`work_counters`]: counters of work done, for tests.
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
 
--- a/crates/core/src/request_id.rs
+++ b/crates/core/src/request_id.rs
@@ -1,5 +1,5 @@
-//! Identifiers of requests that wait for a reply.
+//! Identifiers of requests in flight.
 
-/// Identifies a request until its reply: one of this controller to an outside service, or one of a client to this
+/// Identifies a request until its reply: a request of this controller to an external service, or of a client to this
 /// controller.
 pub type RequestId = u64;
--- a/crates/core/src/settings.rs
+++ b/crates/core/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings: what the platform hands over, and the operators' own ([`Tuning`]).
+//! Settings that the platform provides, and the properties that operators set ([`Tuning`]).
 
 mod tuning;
 
@@ -16,12 +16,12 @@
     pub accelerators: i64,
 }
 
-/// A team's guarantee and limit.
+/// Guarantee and limit of a team's usage.
 #[derive(Debug, Clone, Default)]
 pub struct TeamQuota {
-    /// What the team gets before other teams exceed their guarantees; zero for no guarantee.
+    /// Amount that the team gets before other teams may exceed their guarantees; zero for no guarantee.
     pub guarantee: ComputeAmount,
-    /// The most that the team may use; zero for no limit.
+    /// Maximum that the team may use; zero for no limit.
     pub limit: ComputeAmount,
 }
 
@@ -32,7 +32,7 @@
         within(self.limit.cores, used.cores) && within(self.limit.accelerators, used.accelerators)
     }
 
-    /// How many times `need` fits between `used` and the limit.
+    /// Number of tasks that take `need` each and fit between `used` and the limit.
     pub fn max_tasks(&self, used: &Resources, need: &Resources) -> u32 {
         let cores = times_within(self.limit.cores, used.cores, need.cores);
         let accelerators = times_within(self.limit.accelerators, used.accelerators, need.accelerators);
@@ -45,7 +45,7 @@
     }
 }
 
-/// How many times `need` fits between `used` and a limit, zero being none.
+/// Number of times that `need` fits between `used` and `limit`; a limit or a need of zero sets no bound.
 fn times_within(limit: i64, used: i64, need: i64) -> i64 {
     match (limit, need) {
         (0, _) | (_, 0) => i64::from(u32::MAX),
@@ -53,59 +53,59 @@
     }
 }
 
-/// Service-level objectives of a class of jobs.
+/// Service-level objectives of a class of jobs. A class may have several of a kind.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ServiceObjective {
-    /// Tasks start within these times, in seconds.
+    /// Times within which tasks start, in seconds; empty without such an objective.
     pub start_s: Vec<f64>,
-    /// Jobs complete within these times, in seconds.
+    /// Times within which jobs complete, in seconds; empty without such an objective.
     pub finish_s: Vec<f64>,
-    /// Jobs complete within these multiples of their deadlines.
+    /// Multiples of their deadlines within which jobs complete; empty without such an objective.
     pub deadline_multiples: Vec<f64>,
 }
 
 impl ServiceObjective {
-    /// The shortest of the times within which tasks start, in seconds; `None` without such an objective.
+    /// Shortest of the times within which tasks start, in seconds; `None` without such an objective.
     pub fn shortest_start_s(&self) -> Option<f64> {
         self.start_s.iter().copied().reduce(f64::min)
     }
 
-    /// The shortest of the times within which jobs complete, in seconds; `None` without such an objective.
+    /// Shortest of the times within which jobs complete, in seconds; `None` without such an objective.
     pub fn shortest_finish_s(&self) -> Option<f64> {
         self.finish_s.iter().copied().reduce(f64::min)
     }
 }
 
 const BYTES_PER_KIB: f64 = 1024.0;
-/// Share of the largest value that is used; the rest is left to what the store adds to it.
-const VALUE_FILL: f64 = 0.95;
+/// Fraction of the largest value that is used; the rest is left to what the store adds to a value.
+const USABLE_VALUE_FRACTION: f64 = 0.95;
 
-/// Limits of the key-value store.
+/// Limits that the platform grants at the key-value store.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct StoreQuota {
     /// Largest value, in KiB.
     pub value_kb: f64,
-    /// Most writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub txn_ops: usize,
-    /// Most writes in a second.
+    /// Maximum number of writes per second.
     pub write_rps: f64,
 }
 
 impl StoreQuota {
     /// Largest value in bytes, less a margin for what the store adds.
     pub fn max_value_bytes(&self) -> usize {
-        (self.value_kb * BYTES_PER_KIB * VALUE_FILL) as usize
+        (self.value_kb * BYTES_PER_KIB * USABLE_VALUE_FRACTION) as usize
     }
 }
 
-/// The platform's settings, as the owner needs them.
+/// Settings of the platform, in the units in which the controller uses them.
 #[derive(Debug, Clone, Default)]
 pub struct Settings {
-    /// Name of this node.
+    /// Node name of this controller.
     pub node_name: String,
-    /// Zone of this node.
+    /// Zone of this controller.
     pub zone: String,
-    /// Names and zones of the other nodes.
+    /// Node names and zones of the other controllers.
     pub peers: Vec<(String, String)>,
     /// All zones.
     pub zones: Vec<String>,
@@ -113,50 +113,50 @@
     pub teams: BTreeMap<String, TeamQuota>,
     /// Service-level objectives by class of jobs.
     pub objectives: BTreeMap<String, ServiceObjective>,
-    /// Interval between an agent's heartbeats, in seconds.
+    /// Heartbeat interval of an agent, in seconds.
     pub heartbeat_interval_s: f64,
-    /// An agent's lease, in seconds: it stops its tasks when the lease expires.
+    /// Duration of a machine lease, in seconds. An agent stops its tasks when the lease expires without a renewal.
     pub lease_s: f64,
-    /// Time within which a cancelled job must have stopped everywhere, in seconds.
+    /// Time from a cancellation within which all tasks of the job must have stopped, in seconds.
     pub cancel_s: f64,
-    /// Key-value store: most requests in a second.
+    /// Maximum number of requests to the key-value store per second.
     pub kv_rps: f64,
-    /// Key-value store: its present limits.
+    /// Present limits of the key-value store.
     pub store_quota: StoreQuota,
-    /// Key-value store: limits that come into force at a time that is not announced.
+    /// Limits of the key-value store that come into force at an unknown time; `None` if no change is announced.
     pub next_store_quota: Option<StoreQuota>,
-    /// Cloud: most requests in a second.
+    /// Maximum number of requests to the cloud per second.
     pub cloud_rps: f64,
-    /// Cloud: how far its list of machines lags behind, in seconds.
+    /// Time by which the cloud's list of machines may lag behind, in seconds.
     pub machine_list_lag_s: f64,
     /// Memory that this process may use, in MiB.
     pub mem_mb: f64,
-    /// Share of a processor core that this process may use.
+    /// Fraction of a processor core that this process may use.
     pub core_share: f64,
-    /// Most sockets that this process may have open.
+    /// Maximum number of open sockets of this process.
     pub sockets: usize,
 }
 
 impl Settings {
-    /// How long a controller may go without an answer from the key-value store and still renew agents' leases, in
-    /// milliseconds: a cancellation that it missed just after the last answer must have taken effect, lease expiry
-    /// included, within `cancel_s`. The margin covers clocks (0.05% each way) and timers that fire late.
+    /// Time since the last response of the key-value store during which a controller may renew machine leases, in
+    /// milliseconds. A cancellation that is recorded just after that response must have taken effect, lease expiry
+    /// included, within `cancel_s`. The margin covers clock drift (0.05% each way) and timers that fire late.
     pub fn lease_renewal_window_ms(&self) -> u64 {
         let margin_s = (self.cancel_s * 0.015).max(0.2);
         ((self.cancel_s - self.lease_s * 1.002 - margin_s).max(0.0) * 1000.0) as u64
     }
 
-    /// Time after which a lease has surely expired, counted from the last heartbeat received, in milliseconds.
+    /// Time since the last heartbeat received after which the machine lease has certainly expired, in milliseconds.
     pub fn lease_expiry_ms(&self) -> u64 {
         (self.lease_s * 1002.0 + self.heartbeat_interval_s * 100.0) as u64
     }
 
-    /// Longest time between two batches of a process that is not short of processor time, in milliseconds.
+    /// Longest interval between two batches of a process that has enough processor time, in milliseconds.
     pub fn max_batch_interval_ms(&self) -> u64 {
         (self.heartbeat_interval_s * 1000.0 / 60.0) as u64
     }
 
-    /// Interval between an agent's heartbeats, in milliseconds.
+    /// Heartbeat interval of an agent, in milliseconds.
     pub fn heartbeat_interval_ms(&self) -> u64 {
         (self.heartbeat_interval_s * 1000.0) as u64
     }
--- a/crates/core/src/settings/tuning/tests.rs
+++ b/crates/core/src/settings/tuning/tests.rs
@@ -1,7 +1,7 @@
 use super::{PropertyError, RENAMED, Tuning, newer_names, renamed_key};
 
 #[test]
-fn each_earlier_name_sets_the_property_that_it_named() {
+fn earlier_names_set_the_renamed_property() {
     let earlier_names = [
         ("rent.plain-wait-s", "7", Tuning { scale_out_wait_s: 7.0, ..Tuning::default() }),
         ("rent.aim-share", "0.7", Tuning { objective_share: 0.7, ..Tuning::default() }),
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn renamed_properties_exist_and_no_name_is_used_twice() {
+fn renamed_properties_exist_and_names_are_unique() {
     let mut names: Vec<&str> = Tuning::default().entries().iter().map(|entry| entry.key).collect();
     for property in &RENAMED {
         assert!(names.contains(&property.current), "{}", property.current);
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn newer_names_lead_to_the_current_one() {
+fn newer_names_end_with_the_current_name() {
     let newer = |key: &str| newer_names(key).collect::<Vec<_>>();
     assert_eq!(newer("floor.sick-s"), ["machine.sick-s", "machine.quarantine-s"]);
     assert_eq!(newer("machine.sick-s"), ["machine.quarantine-s"]);
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn values_are_checked_and_a_wrong_one_changes_nothing() {
+fn invalid_values_and_unknown_names_are_errors_and_change_no_property() {
     let mut tuning = Tuning::default();
     let cases = [
         ("rent.idle-s", "x", "autoscaler.idle-before-scale-in-s: not a number: x"),
--- a/crates/core/src/store_limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -1,125 +1,129 @@
 //! Limits of the key-value store that are in force: sizes of values and transactions, and the rate of writes.
 //!
-//! Sizes are the smaller of the present ones and of those announced for later, so the time at which they change does
-//! not matter. The rate is the present one until throttling shows that it has fallen. Limits that fall unannounced
-//! show as rejected requests and as throttling too.
+//! The sizes in force are the smaller of the present quota and of the announced next one, so the time at which the
+//! store switches between them does not matter. The rate in force is the present one until throttling shows that the
+//! store has reduced it. A quota that shrinks without an announcement shows as rejected requests and as throttling too.
 //!
-//! What always holds: sizes never grow; the rate stays between a floor and the ceiling last known to be granted.
+//! Invariants: sizes never grow, and the rate stays between a floor and a ceiling, the highest rate known to be granted.
 
 use crate::settings::{Settings, StoreQuota};
 
-/// A value never shrinks below this, in KiB: a job's record takes about half of it.
-const MIN_VALUE_KB: f64 = 1.0;
-/// A transaction never shrinks below this many writes: the end of a job takes three.
-const MIN_OPS: usize = 3;
-/// This many throttled transactions, less those carried out, show that the rate has fallen as announced.
+/// Lower bound of the value size, in KiB: a job's record takes about half of it.
+const MIN_VALUE_KIB: f64 = 1.0;
+/// Lower bound of the writes in a transaction: the end of a job takes three.
+const MIN_WRITES_PER_TRANSACTION: usize = 3;
+/// Throttled transactions, less committed ones, that prove that an announced lower rate is in force.
 const THROTTLED_IF_ANNOUNCED: u32 = 4;
-/// It takes this many if nothing was announced.
+/// Throttled transactions, less committed ones, that prove that the rate is lower if none was announced.
 const THROTTLED_IF_UNANNOUNCED: u32 = 16;
-/// Factor of an unannounced decrease. The rate decreases once in a heartbeat interval: throttling goes on for a
-/// while afterwards, until the excess has been worked off.
-const DECREASE: f64 = 0.85;
-/// Factor by which a decreased rate grows in a heartbeat interval.
-const INCREASE: f64 = 1.03;
-/// The rate never falls below this share of the granted one.
-const MIN_RATE_SHARE: f64 = 0.5;
-/// An announced rate never falls below this share of it.
-const MIN_ANNOUNCED_RATE_SHARE: f64 = 0.85;
-/// Bytes that a machine takes in its block's record, images included.
+/// Factor of an unannounced decrease. The rate decreases at most once per heartbeat interval, because throttling goes
+/// on until the store has worked off the excess writes.
+const RATE_DECREASE_FACTOR: f64 = 0.85;
+/// Factor by which a decreased rate grows per heartbeat interval.
+const RATE_INCREASE_FACTOR: f64 = 1.03;
+/// Fraction of the granted rate below which an unannounced decrease does not go.
+const MIN_RATE_FRACTION: f64 = 0.5;
+/// Fraction of an announced rate below which a further decrease does not go.
+const MIN_ANNOUNCED_RATE_FRACTION: f64 = 0.85;
+/// Bytes that a machine takes in its machine block's record, images included.
 const BYTES_PER_MACHINE: usize = 200;
-/// Bytes of half a present value for each machine of a block: a change writes the whole block, so large values are
-/// not filled.
+/// Bytes of half a present value reserved per machine of a machine block. A change writes the whole block, so blocks do
+/// not fill a large value.
 const HALF_VALUE_BYTES_PER_MACHINE: usize = 180;
-/// Machines that a block may hold however small half a value is.
+/// Machines that a machine block may hold even if half a value is smaller.
 const MIN_BLOCK_MACHINES: usize = 9;
 
-/// Limits in force, as far as this process knows.
+/// Limits of the key-value store as far as this process knows them.
 #[derive(Debug, Clone)]
 pub(crate) struct StoreLimits {
-    now: StoreQuota,
-    /// Half of the present largest value, in bytes: a page is written again and again until it is full.
-    half_value: usize,
-    /// A lower rate that was announced and is not in force yet.
+    in_force: StoreQuota,
+    /// Half of the largest value of the present quota, in bytes. Task pages stay below it because a page is written
+    /// again with each addition until it is full.
+    half_value_bytes: usize,
+    /// Announced rate that is lower than the present one, in writes per second; `None` if there is none or once it is
+    /// in force.
     announced_rate: Option<f64>,
-    /// The rate that is aimed for.
-    ceiling: f64,
-    /// The rate never falls below this.
-    floor: f64,
-    /// Throttled transactions, less those carried out.
+    /// Upper bound of the rate and target of its recovery, in writes per second.
+    max_rate: f64,
+    /// Lower bound of the rate, in writes per second.
+    min_rate: f64,
+    /// Throttled transactions, less committed ones.
     throttled: u32,
-    decreased_at: u64,
-    increased_at: u64,
+    decreased_at_ms: u64,
+    increased_at_ms: u64,
 }
 
 impl StoreLimits {
-    /// The limits that the settings name.
+    /// Limits that follow from the settings alone.
     pub fn new(settings: &Settings) -> StoreLimits {
-        let (today, next) = (&settings.store_quota, settings.next_store_quota.as_ref());
-        let now = StoreQuota {
-            value_kb: next.map_or(today.value_kb, |n| n.value_kb.min(today.value_kb)),
-            txn_ops: next.map_or(today.txn_ops, |n| n.txn_ops.min(today.txn_ops)),
-            write_rps: today.write_rps,
+        let (present, next) = (&settings.store_quota, settings.next_store_quota.as_ref());
+        let in_force = StoreQuota {
+            value_kb: next.map_or(present.value_kb, |n| n.value_kb.min(present.value_kb)),
+            txn_ops: next.map_or(present.txn_ops, |n| n.txn_ops.min(present.txn_ops)),
+            write_rps: present.write_rps,
         };
         StoreLimits {
-            half_value: today.max_value_bytes() / 2,
-            announced_rate: next.map(|n| n.write_rps).filter(|r| *r < today.write_rps),
-            ceiling: now.write_rps,
-            floor: now.write_rps * MIN_RATE_SHARE,
+            half_value_bytes: present.max_value_bytes() / 2,
+            announced_rate: next.map(|n| n.write_rps).filter(|r| *r < present.write_rps),
+            max_rate: in_force.write_rps,
+            min_rate: in_force.write_rps * MIN_RATE_FRACTION,
             throttled: 0,
-            decreased_at: 0,
-            increased_at: 0,
-            now,
+            decreased_at_ms: 0,
+            increased_at_ms: 0,
+            in_force,
         }
     }
 
-    /// Most writes in a transaction.
+    /// Maximum number of writes in a transaction.
     pub fn max_writes(&self) -> usize {
-        self.now.txn_ops
+        self.in_force.txn_ops
     }
 
-    /// Most conditions in a transaction.
+    /// Maximum number of preconditions in a transaction.
     pub fn max_preconditions(&self) -> usize {
-        self.now.txn_ops * shaleshunt_wire::PRECONDITIONS_PER_WRITE
+        self.in_force.txn_ops * shaleshunt_wire::PRECONDITIONS_PER_WRITE
     }
 
-    /// Writes in a second.
+    /// Rate in force, in writes per second.
     pub fn write_rate(&self) -> f64 {
-        self.now.write_rps
+        self.in_force.write_rps
     }
 
     /// Largest value in bytes, less a margin for what the store adds.
     pub fn max_value_bytes(&self) -> usize {
-        self.now.max_value_bytes()
+        self.in_force.max_value_bytes()
     }
 
-    /// Bytes of a page of task facts: half of a present value, so that writing the newest page again stays cheap, or
-    /// all of a value that is smaller.
+    /// Largest task page in bytes: half of a present value, so that rewriting the newest page stays cheap, or the whole
+    /// value in force if that is smaller.
     pub fn max_page_bytes(&self) -> usize {
-        self.half_value.min(self.max_value_bytes())
+        self.half_value_bytes.min(self.max_value_bytes())
     }
 
-    /// Machines that are kept in one block.
+    /// Maximum number of machines in a machine block.
     pub fn machines_per_block(&self) -> usize {
-        let most = (self.half_value / HALF_VALUE_BYTES_PER_MACHINE).max(MIN_BLOCK_MACHINES);
+        let most = (self.half_value_bytes / HALF_VALUE_BYTES_PER_MACHINE).max(MIN_BLOCK_MACHINES);
         (self.max_value_bytes() / BYTES_PER_MACHINE).clamp(1, most)
     }
 
-    /// A request was rejected as too large: later ones are made smaller. False if they cannot be.
+    /// Halves the sizes after the store rejected a request as too large. Returns false if they are at their lower
+    /// bounds already.
     pub fn reduce_sizes(&mut self) -> bool {
-        let smallest = self.now.txn_ops <= MIN_OPS && self.now.value_kb <= MIN_VALUE_KB;
-        self.now.txn_ops = (self.now.txn_ops / 2).max(MIN_OPS.min(self.now.txn_ops));
-        self.now.value_kb = (self.now.value_kb / 2.0).max(MIN_VALUE_KB.min(self.now.value_kb));
-        !smallest
+        let at_minimum = self.in_force.txn_ops <= MIN_WRITES_PER_TRANSACTION && self.in_force.value_kb <= MIN_VALUE_KIB;
+        self.in_force.txn_ops = (self.in_force.txn_ops / 2).max(MIN_WRITES_PER_TRANSACTION.min(self.in_force.txn_ops));
+        self.in_force.value_kb = (self.in_force.value_kb / 2.0).max(MIN_VALUE_KIB.min(self.in_force.value_kb));
+        !at_minimum
     }
 
-    /// A transaction was carried out.
+    /// Counts a committed transaction against the throttled ones.
     pub fn record_commit(&mut self) {
         self.throttled = self.throttled.saturating_sub(1);
     }
 
-    /// The leader's writes were throttled, though it keeps to its share. True if the rate is taken to have fallen.
-    pub fn record_throttling(&mut self, now: u64, heartbeat_interval_ms: u64) -> bool {
-        if self.decreased_at > 0 && now.saturating_sub(self.decreased_at) < heartbeat_interval_ms {
+    /// Counts a throttled transaction of a leader that keeps to its share of the rate. Returns true if the rate is
+    /// thereby reduced.
+    pub fn record_throttling(&mut self, now_ms: u64, heartbeat_interval_ms: u64) -> bool {
+        if self.decreased_at_ms > 0 && now_ms.saturating_sub(self.decreased_at_ms) < heartbeat_interval_ms {
             return false;
         }
         self.throttled += 1;
@@ -127,23 +131,23 @@
         if self.throttled < needed {
             return false;
         }
-        (self.throttled, self.decreased_at, self.increased_at) = (0, now, now);
-        let before = self.now.write_rps;
+        (self.throttled, self.decreased_at_ms, self.increased_at_ms) = (0, now_ms, now_ms);
+        let before = self.in_force.write_rps;
         match self.announced_rate.take() {
             Some(rate) => {
-                (self.ceiling, self.now.write_rps) = (rate, rate);
-                self.floor = rate * MIN_ANNOUNCED_RATE_SHARE;
+                (self.max_rate, self.in_force.write_rps) = (rate, rate);
+                self.min_rate = rate * MIN_ANNOUNCED_RATE_FRACTION;
             }
-            None => self.now.write_rps = (before * DECREASE).max(self.floor),
+            None => self.in_force.write_rps = (before * RATE_DECREASE_FACTOR).max(self.min_rate),
         }
-        self.now.write_rps < before
+        self.in_force.write_rps < before
     }
 
-    /// Raises a rate that fell unannounced again, little by little.
-    pub fn recover_rate(&mut self, now: u64, heartbeat_interval_ms: u64) {
-        if now.saturating_sub(self.increased_at) >= heartbeat_interval_ms {
-            self.increased_at = now;
-            self.now.write_rps = (self.now.write_rps * INCREASE).min(self.ceiling);
+    /// Raises a reduced rate by a small factor, once per heartbeat interval, up to the ceiling.
+    pub fn recover_rate(&mut self, now_ms: u64, heartbeat_interval_ms: u64) {
+        if now_ms.saturating_sub(self.increased_at_ms) >= heartbeat_interval_ms {
+            self.increased_at_ms = now_ms;
+            self.in_force.write_rps = (self.in_force.write_rps * RATE_INCREASE_FACTOR).min(self.max_rate);
         }
     }
 }
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,10 +1,10 @@
-//! The time that a controller is told with each batch; it reads no clock itself.
+//! Time of a batch of commands. The core reads no clock; each batch carries the time.
 
 /// The time of a batch of commands.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timestamp {
-    /// Steady clock, in milliseconds.
+    /// Monotonic clock, in milliseconds.
     pub monotonic_ms: u64,
-    /// Time of day, in milliseconds since the Unix epoch; only for deadlines, never for safety.
+    /// Wall clock, in milliseconds since the Unix epoch. Only deadlines use it; leases and fencing must not depend on it.
     pub wall_ms: u64,
 }
