--- a/crates/core/src/leader/fleet/lease_expiry/tests.rs
+++ b/crates/core/src/leader/fleet/lease_expiry/tests.rs
@@ -1,32 +1,37 @@
 use super::*;
 use crate::model::samples;
 
-const CLOCK: LeaseClock = LeaseClock { now: 1000, lease: 100, renewal_window: 30, elected_at: 500 };
+const CLOCK: LeaseTiming = LeaseTiming { now_ms: 1000, lease_ms: 100, renewal_window_ms: 30, elected_at_ms: 500 };
 
 fn machine(last_heard: Option<u64>, token_confirmed: bool) -> Machine {
     let mut machine = samples::machine("vm-1");
     machine.zone = "a".into();
-    machine.agent.last_heard = last_heard;
+    machine.agent.last_heartbeat_ms = last_heard;
     machine.agent.token_confirmed = token_confirmed;
     machine
 }
 
 /// A controller that says it kept no lease since before the machine was last heard.
 fn peer(zone: &str) -> PeerLeaseReport {
-    PeerLeaseReport { zone: zone.into(), last_heard: 1000, sent_after: 1000, kept: 0 }
+    PeerLeaseReport { zone: zone.into(), last_heartbeat_at_ms: 1000, sent_after_ms: 1000, last_renewal_at_ms: 0 }
 }
 
 #[test]
 fn a_lease_expires_after_the_last_time_that_it_could_be_renewed() {
-    let early = LeaseClock { now: 630, ..CLOCK };
+    let early = LeaseTiming { now_ms: 630, ..CLOCK };
     let cases = [
         ("heard a lease ago", CLOCK, machine(Some(900), true), false),
         ("heard longer ago", CLOCK, machine(Some(899), true), true),
         ("heard, but an earlier leader may have replied since", early, machine(Some(400), false), false),
-        ("a lease after an earlier leader's term", LeaseClock { now: 631, ..CLOCK }, machine(Some(400), false), true),
+        (
+            "a lease after an earlier leader's term",
+            LeaseTiming { now_ms: 631, ..CLOCK },
+            machine(Some(400), false),
+            true,
+        ),
         ("the same with a confirmed token", early, machine(Some(400), true), true),
         ("never heard", early, machine(None, false), false),
-        ("never heard, a lease after the term", LeaseClock { now: 631, ..CLOCK }, machine(None, false), true),
+        ("never heard, a lease after the term", LeaseTiming { now_ms: 631, ..CLOCK }, machine(None, false), true),
     ];
     for (name, clock, machine, expected) in cases {
         assert_eq!(clock.has_expired(&machine, &[]), expected, "{name}");
@@ -36,9 +41,9 @@
 #[test]
 fn a_lease_does_not_expire_while_a_controller_of_the_zone_may_keep_it() {
     let silent = machine(Some(800), true);
-    let kept = PeerLeaseReport { kept: 901, ..peer("a") };
-    let not_said = PeerLeaseReport { sent_after: 899, last_heard: 870, ..peer("a") };
-    let term_over = PeerLeaseReport { sent_after: 0, last_heard: 869, ..peer("a") };
+    let kept = PeerLeaseReport { last_renewal_at_ms: 901, ..peer("a") };
+    let not_said = PeerLeaseReport { sent_after_ms: 899, last_heartbeat_at_ms: 870, ..peer("a") };
+    let term_over = PeerLeaseReport { sent_after_ms: 0, last_heartbeat_at_ms: 869, ..peer("a") };
     let cases = [
         ("kept none", peer("a"), true),
         ("kept it until less than a lease ago", kept.clone(), false),
--- a/crates/core/src/leader/watch/mod.rs
+++ b/crates/core/src/leader/watch/mod.rs
@@ -3,7 +3,7 @@
 //! `JobWatch` owns the place up to which changes have been seen. Changes are applied once, in their
 //! order; a record that is older than what is known of a job changes nothing.
 
-mod split_jobs;
+mod split_submissions;
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -79,7 +79,7 @@
         self.watch.retry_at = None;
         let after = self.watch.revision.unwrap_or(Revision::ABSENT);
         let max_wait_ms = ctx.settings.heartbeat_interval_ms() / WATCHES_PER_HEARTBEAT;
-        let wait = self.wait(LeaderRequest::Watch);
+        let wait = self.pending_request(LeaderRequest::WatchJobs);
         ctx.send_kv(KvRequest::Watch { prefix: keys::JOBS.into(), after, max_wait_ms }, wait);
     }
 
@@ -91,7 +91,7 @@
                 self.apply_changes(ctx, news);
                 self.watch_jobs(ctx);
             }
-            Ok(KvReply::Compacted) => self.down = Some(StepDownReason::ChangesMissed),
+            Ok(KvReply::Compacted) => self.step_down = Some(StepDownReason::ChangesMissed),
             _ => {
                 let pause_ms = ctx.settings.heartbeat_interval_ms() / RETRIES_PER_HEARTBEAT;
                 self.watch.retry_at = Some(ctx.now.monotonic_ms + pause_ms);
@@ -106,7 +106,7 @@
                     self.apply_job_record(ctx, &path, value, version);
                 }
                 Change { deleted_key: Some(path), version, .. } => {
-                    let id = keys::job_of(&path);
+                    let id = keys::job_id(&path);
                     self.store.job_record_removed(id, version);
                     if self.jobs.get(id).is_some_and(|job| job.record.version < version) {
                         self.apply_job_removal(ctx, id);
@@ -120,7 +120,7 @@
 
     /// The record of an unfinished job has been read.
     pub(crate) fn apply_job_record(&mut self, ctx: &mut Context, key: &str, value: Value, version: Revision) {
-        let id = keys::job_of(key);
+        let id = keys::job_id(key);
         let is_newer_known = self.jobs.get(id).is_some_and(|job| job.record.version > version);
         if self.watch.ended_jobs.contains_key(id) || is_newer_known {
             return;
@@ -135,7 +135,7 @@
         }
         match record {
             StoredJob::Whole(record) => self.add_job(ctx, *record, version),
-            StoredJob::SplitSubmission(record) => self.add_split_record(ctx, record, version),
+            StoredJob::SplitSubmission(record) => self.handle_split_submission_record(ctx, record, version),
         }
     }
 
@@ -150,9 +150,9 @@
         if record.is_cancelled() && !job.cancelled {
             job.cancelled = true;
             self.stop_job(ctx, &id);
-            self.cancelled(ctx, &id);
+            self.job_cancelled(ctx, &id);
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// A job that was not known has come.
@@ -169,12 +169,12 @@
         if self.active {
             self.add_dependencies(ctx, &id);
             if is_cancelled {
-                self.cancelled(ctx, &id);
+                self.job_cancelled(ctx, &id);
             } else if !is_blocked {
                 self.record_arrival(ctx.now.monotonic_ms, &id);
             }
         }
-        self.queue_write(ctx.now.monotonic_ms, &id);
+        self.queue_job_write(ctx.now.monotonic_ms, &id);
     }
 
     /// A user's request has shown that a job is cancelled: what runs is stopped and what has not left
@@ -186,7 +186,7 @@
         let id = job.id.clone();
         self.stop_job(ctx, &id);
         if self.active {
-            self.refresh(ctx, id);
+            self.refresh_job_record(ctx, id);
         }
     }
 
@@ -200,20 +200,25 @@
             self.store.forget_job(&job);
             self.remove_dependencies(&job);
         }
-        self.dependency_vanished(ctx.now.monotonic_ms, &id);
+        self.job_record_removed(ctx.now.monotonic_ms, &id);
         self.scheduler.jobs_changed();
         self.scheduler.request_pass();
     }
 
     /// Reads a job's record again, after a condition on it failed.
-    pub(crate) fn refresh(&mut self, ctx: &mut Context, id: Id) {
+    pub(crate) fn refresh_job_record(&mut self, ctx: &mut Context, id: Id) {
         let key = keys::job(&id);
-        let wait = self.wait(LeaderRequest::Refresh(id));
+        let wait = self.pending_request(LeaderRequest::ReadJobRecord(id));
         ctx.send_kv(KvRequest::Get { key }, wait);
     }
 
     /// A job's record was read again, or not: then once more.
-    pub(crate) fn handle_refresh_reply(&mut self, ctx: &mut Context, id: Id, result: Result<KvReply, RequestError>) {
+    pub(crate) fn handle_job_refresh_reply(
+        &mut self,
+        ctx: &mut Context,
+        id: Id,
+        result: Result<KvReply, RequestError>,
+    ) {
         match result {
             Ok(KvReply::Found(pair)) => {
                 // A job that has ended meanwhile never comes back.
@@ -222,7 +227,7 @@
                 }
             }
             Ok(KvReply::Missing) => self.apply_job_removal(ctx, &id),
-            _ => self.refresh(ctx, id),
+            _ => self.refresh_job_record(ctx, id),
         }
     }
 
