--- a/crates/core/src/event.rs
+++ b/crates/core/src/event.rs
@@ -44,12 +44,12 @@
     },
     /// Metrics of the leader, emitted at regular intervals.
     LeaderStatus(Box<LeaderStatus>),
-    /// The key-value store is unreachable from this controller only: requests to it are relayed through a peer.
+    /// The key-value store fails for this controller only: its requests are relayed through a peer.
     StateServiceRelayStarted {
         /// Node name of the peer.
         peer: String,
     },
-    /// The key-value store is reachable from this controller again; requests are no longer relayed.
+    /// The key-value store serves this controller directly again; requests are no longer relayed.
     StateServiceRelayEnded,
     /// The key-value store throttles: the leader's write rate is reduced.
     WriteRateReduced {
@@ -155,7 +155,7 @@
         /// Identifier of the machine.
         machine: Id,
     },
-    /// No machine of a zone sends heartbeats, as in a network partition: no tasks are placed there.
+    /// No machine of a zone sends heartbeats, as in a network partition: no new tasks are placed there.
     ZoneUnreachable {
         /// Zone name.
         zone: String,
--- a/crates/peer/src/codec.rs
+++ b/crates/peer/src/codec.rs
@@ -1,4 +1,4 @@
-//! Frames as bytes.
+//! Encoding and decoding of frames.
 
 mod reader;
 mod writer;
@@ -10,10 +10,10 @@
 use shaleshunt_wire::{Epoch, Revision};
 use writer::FieldWriter;
 
-/// Bytes of the length before each frame.
+/// Size of the length field before each frame.
 const LENGTH_BYTES: usize = size_of::<u32>();
 
-/// Kinds of frames as numbered on the wire.
+/// Kinds of frames on the wire.
 mod kind {
     pub(super) const HELLO: u8 = 1;
     pub(super) const HEARTBEAT: u8 = 2;
@@ -23,12 +23,12 @@
 }
 
 impl Frame {
-    /// Appends the frame to `out`, its length included.
+    /// Appends the frame to `out`, including its length.
     ///
-    /// Texts longer than 65,535 bytes are cut there.
+    /// Texts longer than 65,535 bytes are truncated to that length.
     pub fn encode(&self, out: &mut BytesMut) {
         let start = out.len();
-        // Written over once it is known.
+        // Placeholder for the length, which is known only after the fields are written.
         out.put_u32(0);
         let mut writer = FieldWriter::new(out);
         writer.put_u8(PROTOCOL_VERSION);
@@ -37,11 +37,11 @@
         out[start..start + LENGTH_BYTES].copy_from_slice(&(length as u32).to_be_bytes());
     }
 
-    /// Removes one frame from the front of `buffer`; `None` if it has not arrived completely.
+    /// Removes one frame from the start of `buffer`. Returns `None` if the frame is incomplete.
     ///
     /// # Errors
     ///
-    /// The bytes are no frame of this version; see [`FrameError`]. The connection is of no further use.
+    /// Fails if the bytes are not a frame of this version; see [`FrameError`]. The connection cannot be used after that.
     pub fn decode(buffer: &mut BytesMut) -> Result<Option<Frame>, FrameError> {
         let Some((length_bytes, _)) = buffer.split_first_chunk::<LENGTH_BYTES>() else { return Ok(None) };
         let length = u32::from_be_bytes(*length_bytes) as usize;
@@ -122,7 +122,7 @@
     writer.put_u32(heartbeat.pending_submissions);
 }
 
-/// The fields are evaluated in the order written here, which is that of the wire.
+/// Fields of a struct expression are evaluated in the order written, which is the order on the wire.
 fn read_heartbeat(reader: &mut FieldReader) -> Result<PeerHeartbeat, FrameError> {
     Ok(PeerHeartbeat {
         epoch: Epoch(reader.u64()?),
@@ -146,7 +146,7 @@
 
 fn read_all_progress(reader: &mut FieldReader) -> Result<Vec<JobProgress>, FrameError> {
     let count = reader.u32()?;
-    // Not allocated ahead: the count is the peer's word, the entries are what has arrived.
+    // The count is not trusted for an allocation; reading stops with an error at the end of the received bytes.
     let mut jobs = Vec::new();
     for _ in 0..count {
         jobs.push(JobProgress {
--- a/crates/peer/src/codec/writer.rs
+++ b/crates/peer/src/codec/writer.rs
@@ -1,4 +1,4 @@
-//! Writes the fields of one frame.
+//! Writer of the fields of a frame.
 
 use bytes::{BufMut, Bytes, BytesMut};
 
@@ -28,14 +28,14 @@
         self.out.put_u64(value);
     }
 
-    /// A text with a `u16` length, cut to what that length can state.
+    /// Writes a text with a `u16` length, truncated to the largest length.
     pub(super) fn put_text(&mut self, text: &str) {
         let length = text.len().min(usize::from(u16::MAX));
         self.put_u16(length as u16);
         self.out.put_slice(&text.as_bytes()[..length]);
     }
 
-    /// Bytes with a `u32` length.
+    /// Writes bytes with a `u32` length.
     pub(super) fn put_blob(&mut self, blob: &Bytes) {
         self.put_u32(blob.len() as u32);
         self.out.put_slice(blob);
--- a/crates/peer/src/error.rs
+++ b/crates/peer/src/error.rs
@@ -2,41 +2,41 @@
 
 use crate::frame::{MAX_FRAME_BYTES, PROTOCOL_VERSION};
 
-/// Why bytes from a peer are not a frame of this protocol.
+/// Errors of decoding a frame.
 ///
-/// None of these can be recovered from on the same connection: where the next frame begins is unknown.
+/// The connection cannot be used after an error, because the start of the next frame is unknown.
 #[derive(Debug, thiserror::Error, PartialEq, Eq)]
 pub enum FrameError {
-    /// The stated length is greater than [`MAX_FRAME_BYTES`].
-    #[error("frame of {length} bytes is too long: at most {MAX_FRAME_BYTES} are accepted")]
+    /// The length is greater than [`MAX_FRAME_BYTES`].
+    #[error("frame of {length} bytes is too long: the limit is {MAX_FRAME_BYTES}")]
     TooLong {
-        /// Length that the frame states, in bytes.
+        /// Length field of the frame, in bytes.
         length: usize,
     },
     /// The frame ends within a field.
-    #[error("frame ends early: a field needs {needed} bytes, {available} are left")]
+    #[error("frame is truncated: a field needs {needed} bytes, {available} are left")]
     Truncated {
-        /// Bytes that the field takes.
+        /// Size of the field in bytes.
         needed: usize,
-        /// Bytes that are left of the frame.
+        /// Number of bytes left in the frame.
         available: usize,
     },
     /// Bytes follow the last field.
-    #[error("frame has {count} bytes left over")]
+    #[error("frame has {count} bytes after its last field")]
     TrailingBytes {
-        /// How many.
+        /// Number of bytes.
         count: usize,
     },
-    /// The frame is of another version of the protocol.
-    #[error("frame of version {found}: only version {PROTOCOL_VERSION} is understood")]
+    /// The frame has another version of the protocol.
+    #[error("frame has version {found}; only version {PROTOCOL_VERSION} is supported")]
     UnsupportedVersion {
-        /// The version that the frame states.
+        /// Version field of the frame.
         found: u8,
     },
-    /// No such kind of frame.
-    #[error("frame of unknown kind {found}")]
+    /// The kind of the frame is unknown.
+    #[error("frame has unknown kind {found}")]
     UnknownKind {
-        /// The kind that the frame states.
+        /// Kind field of the frame.
         found: u8,
     },
     /// A text is not UTF-8.
--- a/crates/wire/src/ids.rs
+++ b/crates/wire/src/ids.rs
@@ -1,10 +1,10 @@
-//! Numbers that identify something, each a type of its own so that none is taken for another. In
-//! JSON and in binary frames they are the bare numbers.
+//! Numeric identifiers, each with a type of its own so that one cannot be used in place of another. In JSON and in
+//! binary frames they are plain numbers.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-macro_rules! number {
+macro_rules! numeric_id {
     ($(#[$doc:meta])* $name:ident) => {
         $(#[$doc])*
         #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
@@ -19,89 +19,88 @@
     };
 }
 
-number! {
-    /// Number of a leadership. It only grows: of two leaders the one with the higher epoch is the
-    /// newer, and what the other still sends is refused.
+numeric_id! {
+    /// Leader epoch, which grows with each election. Of two leaders the one with the higher epoch is the newer, and the
+    /// messages of the other are rejected.
     Epoch
 }
 
 impl Epoch {
-    /// Before the first leadership.
+    /// Epoch before the first election.
     pub const NONE: Epoch = Epoch(0);
 
-    /// The epoch after this one.
+    /// Next epoch.
     pub fn next(self) -> Epoch {
         Epoch(self.0 + 1)
     }
 }
 
-number! {
-    /// What the wire calls `baton`: shows a machine which leader speaks, and which of that leader's
-    /// commands still count. The epoch is in the high bits, the machine's own counter below it; a
-    /// machine refuses whatever comes with a lower token than the highest it has seen.
+numeric_id! {
+    /// Fencing token, called `baton` in the protocol. It identifies the leader and the state of its command channel to a
+    /// machine. The high bits are the leader epoch, the low bits a counter per machine; an agent rejects commands with
+    /// a token that is lower than the highest that it has seen.
     FencingToken
 }
 
 impl FencingToken {
-    /// Bits below the epoch: the machine's counter.
+    /// Width of the counter per machine, below the epoch.
     const COUNTER_BITS: u32 = 20;
 
-    /// The token of an epoch for a machine whose counter is this.
+    /// Token of a leader epoch and a machine's counter.
     pub fn new(epoch: Epoch, counter: u64) -> FencingToken {
         FencingToken((epoch.0 << Self::COUNTER_BITS) + counter)
     }
 
-    /// The epoch that it was made in.
+    /// Leader epoch in which the token was issued.
     pub fn epoch(self) -> Epoch {
         Epoch(self.0 >> Self::COUNTER_BITS)
     }
 }
 
-number! {
-    /// What the wire calls `shift`: the incarnation of a worker agent. It grows each time that the
-    /// worker's lease runs out; what was placed in an earlier one is gone from the machine.
+numeric_id! {
+    /// Agent epoch, called `shift` in the protocol. It grows each time that the machine lease expires; tasks that were
+    /// placed in an earlier agent epoch are no longer on the machine.
     AgentEpoch
 }
 
 impl AgentEpoch {
-    /// Of a machine that has never reported.
+    /// Agent epoch of a machine that has never sent a heartbeat.
     pub const NONE: AgentEpoch = AgentEpoch(0);
 
-    /// The incarnation after this one.
+    /// Next agent epoch.
     pub fn next(self) -> AgentEpoch {
         AgentEpoch(self.0 + 1)
     }
 }
 
-number! {
-    /// What the wire calls `try`: one attempt at a task, or one shared by the tasks of a gang that
-    /// start together. The epoch of the leader that chose it is in the high bits, that leader's
-    /// counter below it, so none is used twice and a later attempt has the higher number.
+numeric_id! {
+    /// Attempt at a task, called `try` in the protocol. Tasks of a gang that start together share an attempt. The high
+    /// bits are the epoch of the leader that chose it, the low bits a counter of that leader, so attempts are unique
+    /// and a later attempt has the higher number.
     Attempt
 }
 
 impl Attempt {
-    /// Bits below the epoch: the leader's counter.
+    /// Width of the leader's counter, below the epoch.
     const COUNTER_BITS: u32 = 28;
 
-    /// The attempt of an epoch with this number.
+    /// Attempt of a leader epoch and the leader's counter.
     pub fn new(epoch: Epoch, counter: u64) -> Attempt {
         Attempt((epoch.0 << Self::COUNTER_BITS) + counter)
     }
 }
 
-number! {
-    /// A revision of the state service, which the wire calls `ledger`, and so the version of a key,
-    /// which it calls `stamp`: the revision of its last change. It only grows, and does with each
-    /// transaction that changes something.
+numeric_id! {
+    /// Revision of the key-value store, called `ledger` in the protocol, and version of a key, called `stamp`: the
+    /// revision of the key's last change. It grows with each transaction that changes a key.
     Revision
 }
 
 impl Revision {
-    /// The version of a key that does not exist, and before the first revision.
+    /// Version of a key that does not exist; also the revision before the first change.
     pub const ABSENT: Revision = Revision(0);
 
-    /// The revision after this one.
+    /// Next revision.
     pub fn next(self) -> Revision {
         Revision(self.0 + 1)
     }
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -1,133 +1,133 @@
-//! The state service's interface.
+//! Interface of the key-value store.
 
 use crate::Revision;
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// A key with its value.
+/// Key with its value.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct KeyValue {
-    /// Key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Value.
+    /// JSON value of the key.
     #[serde(rename = "v")]
     pub value: Value,
-    /// Revision of its last change.
+    /// Version of the key: the revision of its last change.
     #[serde(rename = "stamp")]
     pub version: Revision,
-    /// Lease that it is attached to.
+    /// Lease that the key is attached to, and with which it is deleted; `None` if it has none.
     #[serde(rename = "pass", default, skip_serializing_if = "Option::is_none")]
     pub lease: Option<u64>,
 }
 
-/// A page of keys.
+/// Page of keys.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Page {
-    /// Keys in order.
+    /// Keys in ascending order.
     pub pairs: Vec<KeyValue>,
-    /// Whether there is more.
+    /// Whether further pages follow; false if absent.
     #[serde(default)]
     pub truncated: bool,
-    /// Revision that the page shows.
+    /// Revision at which the page was read.
     #[serde(rename = "ledger")]
     pub revision: Revision,
 }
 
-/// A condition on a key's version; [`Revision::ABSENT`] means that it does not exist.
+/// Precondition on the version of a key; [`Revision::ABSENT`] requires that the key does not exist.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Precondition {
-    /// Key.
+    /// Name of the key.
     #[serde(rename = "path")]
     pub key: String,
-    /// Version.
+    /// Required version.
     #[serde(rename = "stamp")]
     pub version: Revision,
 }
 
-/// A change in a transaction.
+/// Write of a transaction.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(untagged)]
 pub enum Write {
     /// Sets a key.
     Set {
-        /// Key.
+        /// Name of the key.
         #[serde(rename = "set")]
         key: String,
-        /// Value.
+        /// JSON value.
         #[serde(rename = "v")]
         value: Value,
-        /// Lease to attach it to.
+        /// Lease to attach the key to; `None` for none.
         #[serde(rename = "pass", default, skip_serializing_if = "Option::is_none")]
         lease: Option<u64>,
     },
-    /// Removes a key.
+    /// Deletes a key.
     Delete {
-        /// Key.
+        /// Name of the key.
         #[serde(rename = "drop")]
         key: String,
     },
 }
 
 impl Write {
-    /// A `set` without a lease.
+    /// Write that sets a key without a lease.
     pub fn set(key: impl Into<String>, value: Value) -> Write {
         Write::Set { key: key.into(), value, lease: None }
     }
-    /// A `drop`.
+    /// Write that deletes a key.
     pub fn delete(key: impl Into<String>) -> Write {
         Write::Delete { key: key.into() }
     }
 }
 
-/// A transaction.
+/// Transaction: commits all writes if all preconditions hold, and none otherwise.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Transaction {
-    /// What must hold.
+    /// Preconditions, all of which must hold.
     #[serde(rename = "if")]
     pub preconditions: Vec<Precondition>,
-    /// What changes.
+    /// Writes, committed together.
     pub writes: Vec<Write>,
 }
 
-/// Answer to a transaction.
+/// Response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TransactionReply {
-    /// Keys whose conditions failed; empty on success.
+    /// Keys whose preconditions failed; empty if the transaction was committed.
     #[serde(default)]
     pub failed: Vec<String>,
-    /// Revision.
+    /// Revision of the store after the transaction.
     #[serde(rename = "ledger")]
     pub revision: Revision,
 }
 
-/// Asks for a lease.
+/// Request for a new lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct LeaseRequest {
-    /// Life without renewal.
+    /// Time to live without renewal, in milliseconds.
     #[serde(rename = "lifeMs")]
     pub ttl_ms: u64,
 }
 
-/// A new lease.
+/// Response with a new lease.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct LeaseGrant {
-    /// Its number.
+    /// Identifier of the lease.
     #[serde(rename = "pass")]
     pub lease: u64,
 }
 
-/// A change seen by a watch.
+/// Change of a key; exactly one of `set_key` and `deleted_key` is present.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Change {
     /// Key that was set.
     #[serde(rename = "set", default)]
     pub set_key: Option<String>,
-    /// Key that was removed.
+    /// Key that was deleted.
     #[serde(rename = "drop", default)]
     pub deleted_key: Option<String>,
-    /// Its value.
+    /// New value of a key that was set.
     #[serde(rename = "v", default)]
     pub value: Option<Value>,
     /// Revision of the change.
@@ -135,13 +135,13 @@
     pub version: Revision,
 }
 
-/// Answer to a watch.
+/// Response to a watch.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WatchReply {
-    /// Revision up to which the changes go.
+    /// Revision up to which the changes are complete.
     #[serde(rename = "ledger")]
     pub revision: Revision,
-    /// Changes.
+    /// Changes in the order of their revisions; empty if absent.
     #[serde(rename = "news", default)]
     pub changes: Vec<Change>,
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,8 +1,8 @@
-//! Wire formats of shaleshunt: the JSON bodies, paths and limits that its users, agents, the
-//! cloud and the key-value store see. This package is the only home of protocol names; clients may
-//! depend on it alone.
+//! Wire formats of shaleshunt: JSON bodies, paths and limits of the interfaces to users, agents, the cloud and the
+//! key-value store. A client needs no other package.
 //!
-//! The protocol has words of its own. Only the `serde` attributes and paths here use them:
+//! The protocol's names differ from the terms in the code. In this package only `serde` attributes, names of erroneous
+//! fields and paths use them:
 //!
 //! | protocol | code |
 //! | --- | --- |
@@ -40,66 +40,66 @@
 
 pub use ids::{AgentEpoch, Attempt, Epoch, FencingToken, Revision};
 
-/// Largest request body, in bytes, and longest line of a response.
+/// Largest request body and longest line of a response, in bytes.
 pub const MAX_BODY_BYTES: usize = 64 * 1024;
-/// Most tasks that one job may have.
+/// Maximum number of tasks of a job.
 pub const MAX_TASKS: u32 = 100_000;
-/// Most machines that one scale-out request may ask for.
+/// Maximum number of machines in a scale-out request.
 pub const MAX_MACHINES_PER_SCALE_OUT: u32 = 50;
-/// Most machines that one scale-in request may name.
+/// Maximum number of machines in a scale-in request.
 pub const MAX_MACHINES_PER_SCALE_IN: usize = 100;
-/// Most machines on one page of the cloud's list.
+/// Maximum number of machines on a page of the cloud's list.
 pub const MAX_MACHINES_PER_PAGE: u32 = 500;
-/// Conditions allowed in a transaction for each write allowed.
+/// Preconditions that a transaction may have per write that it may have.
 pub const PRECONDITIONS_PER_WRITE: usize = 4;
-/// Longest time that a user waits for the answer to a submission, in seconds.
+/// Time after which a user gives up waiting for the response to a submission, in seconds.
 pub const SUBMIT_TIMEOUT_S: f64 = 5.0;
-/// Longest time that a user waits for the answer to a poll, in seconds.
+/// Time after which a user gives up waiting for the response to a status query, in seconds.
 pub const STATUS_TIMEOUT_S: f64 = 2.0;
-/// Longest time that a worker waits for the answer to a report, in seconds.
+/// Time after which an agent gives up waiting for the response to a heartbeat, in seconds.
 pub const HEARTBEAT_TIMEOUT_S: f64 = 4.0;
 
-/// Paths of all interfaces.
+/// HTTP paths of all interfaces.
 pub mod paths {
-    /// Submit; status and withdrawal are below it.
+    /// Submission of a job. Paths of status queries and cancellations begin with it.
     pub const SUBMISSIONS: &str = "/submissions";
-    /// Last part of a withdrawal's path.
+    /// Last segment of the path of a cancellation.
     pub const CANCEL: &str = "withdraw";
-    /// Health check.
+    /// Health check of a controller.
     pub const HEALTH: &str = "/up";
-    /// Workers' reports.
+    /// Heartbeats of agents.
     pub const HEARTBEAT: &str = "/checkin";
-    /// Direct commands, on a worker.
+    /// Direct commands to an agent.
     pub const COMMANDS: &str = "/orders";
-    /// A worker's report on request.
+    /// Status of an agent on request.
     pub const STATUS: &str = "/status";
-    /// The cloud's machine types.
+    /// Catalog of machine types of the cloud.
     pub const CATALOG: &str = "/catalog";
-    /// The cloud's machines: hire and list.
+    /// Machines of the cloud: scale-out and list.
     pub const MACHINES: &str = "/machines";
-    /// Return machines to the cloud.
+    /// Scale-in: return of machines to the cloud.
     pub const RETURN: &str = "/machines/return";
-    /// Keys of the state service.
+    /// Keys of the key-value store.
     pub const KV: &str = "/kv";
-    /// Transactions of the state service.
+    /// Transactions of the key-value store.
     pub const TXN: &str = "/txn";
-    /// Leases of the state service.
+    /// Leases of the key-value store.
     pub const LEASES: &str = "/holds";
-    /// Last part of a renewal's path.
+    /// Last segment of the path of a lease renewal.
     pub const RENEW: &str = "renew";
-    /// Changes of the state service.
+    /// Watch for changes in the key-value store.
     pub const WATCH: &str = "/watch";
 }
 
-/// An amount (CPUs, cards, GB) in thousandths, so that sums never drift.
+/// Amount of CPUs, accelerator cards or GB in thousandths. Integers keep sums exact.
 pub type Milli = i64;
 
-/// Turns a decimal amount into thousandths, rounded up.
+/// Converts a decimal amount to thousandths, rounded up.
 pub fn to_milli(amount: f64) -> Milli {
     (amount * 1000.0 - 1e-6).ceil().clamp(0.0, 9e15) as Milli
 }
 
-/// Resources that a task takes or a machine has.
+/// Resources that a task needs or a machine has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Default, Hash)]
 pub struct Resources {
     /// CPUs, in thousandths.
@@ -111,26 +111,26 @@
 }
 
 impl Resources {
-    /// Room from decimal amounts; rounding is up, as for a task's need.
+    /// Resources from decimal amounts, rounded up as for the need of a task.
     pub fn new(cores: f64, accelerators: f64, memory_gb: f64) -> Resources {
         Resources { cores: to_milli(cores), accelerators: to_milli(accelerators), memory: to_milli(memory_gb) }
     }
-    /// Whether `need` fits in this room.
+    /// Whether `need` fits in these resources.
     pub fn fits(&self, need: &Resources) -> bool {
         need.cores <= self.cores && need.accelerators <= self.accelerators && need.memory <= self.memory
     }
-    /// How many times `need` fits in this room, at most `cap`.
-    pub fn fit_count(&self, need: &Resources, cap: i64) -> i64 {
-        let part = |have: Milli, want: Milli| if want > 0 { (have / want).max(0) } else { cap };
+    /// Number of times that `need` fits in these resources, at most `max_count`.
+    pub fn fit_count(&self, need: &Resources, max_count: i64) -> i64 {
+        let part = |have: Milli, want: Milli| if want > 0 { (have / want).max(0) } else { max_count };
         part(self.cores, need.cores)
             .min(part(self.accelerators, need.accelerators))
             .min(part(self.memory, need.memory))
-            .min(cap)
+            .min(max_count)
     }
-    /// Adds `n` times `other`.
-    pub fn add(&mut self, other: &Resources, n: i64) {
-        self.cores += other.cores * n;
-        self.accelerators += other.accelerators * n;
-        self.memory += other.memory * n;
+    /// Adds `count` times `other`.
+    pub fn add(&mut self, other: &Resources, count: i64) {
+        self.cores += other.cores * count;
+        self.accelerators += other.accelerators * count;
+        self.memory += other.memory * count;
     }
 }
--- a/crates/wire/src/user.rs
+++ b/crates/wire/src/user.rs
@@ -1,207 +1,209 @@
-//! Users' interface: submissions and their states.
+//! Interface of the users: submissions, status queries and cancellations.
 
 use crate::{MAX_TASKS, Resources};
 use serde::{Deserialize, Serialize};
 
-/// What kind of job it is.
+/// Kind of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobKind {
-    /// Independent tasks, each runs to completion.
+    /// Independent tasks, each of which runs to completion.
     Array,
     /// Replicas that run until the job is cancelled.
     #[serde(rename = "daemon")]
     Service,
-    /// A gang: tasks that run together or not at all.
+    /// Gang: tasks that run together or not at all.
     #[serde(rename = "ensemble")]
     Gang,
 }
 
-/// Priority, lowest first so that the order of the variants is the order of priority.
+/// Priority of a job. The order of the variants, lowest first, is the order of priority.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Priority {
-    /// Runs in what nobody else wants.
+    /// Uses capacity that no other work needs.
     BestEffort,
     /// Ordinary work.
     Normal,
     /// Urgent work.
     High,
-    /// Services that people wait for.
+    /// Services that users wait for.
     #[serde(rename = "prod")]
     Production,
 }
 
-/// A submission as its user sends it.
+/// Submission of a job.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub struct Submission {
-    /// Unique job id.
+    /// Job identifier, unique among all jobs.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Class of jobs that it belongs to.
+    /// Class of jobs, to which service-level objectives apply.
     #[serde(rename = "jobline")]
     pub class: String,
-    /// Team.
+    /// Team whose guarantee and limit apply.
     #[serde(rename = "crew")]
     pub team: String,
-    /// Kind of job.
+    /// Kind of the job.
     #[serde(rename = "shape")]
     pub kind: JobKind,
-    /// Priority.
+    /// Priority of the job.
     #[serde(rename = "urgency")]
     pub priority: Priority,
-    /// Number of tasks.
+    /// Number of tasks, from 1 to [`MAX_TASKS`].
     #[serde(rename = "pieces")]
     pub tasks: u32,
-    /// CPUs of a task.
+    /// CPUs per task.
     pub cores: f64,
-    /// Cards of a task.
+    /// Accelerator cards per task.
     #[serde(rename = "cards")]
     pub accelerators: f64,
-    /// Memory of a task in GB.
+    /// Memory per task, in GB.
     #[serde(rename = "ramGb")]
     pub memory_gb: f64,
-    /// Image that a machine must have.
+    /// Image that a machine must have fetched before a task starts.
     #[serde(rename = "bundle")]
     pub image: String,
-    /// Its size in GB.
+    /// Size of the image, in GB.
     pub image_gb: f64,
-    /// Allowed machine types; none means any.
+    /// Names of the allowed machine types; `None` for any.
     #[serde(rename = "frames", default, skip_serializing_if = "Option::is_none")]
     pub machine_types: Option<Vec<String>>,
-    /// The only allowed zone.
+    /// Only allowed zone; `None` for any.
     #[serde(rename = "hall", default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<String>,
-    /// All tasks in one zone.
+    /// Whether all tasks must run in one zone.
     #[serde(rename = "oneZone")]
     pub single_zone: bool,
-    /// At most half of the tasks, rounded up, in one zone.
+    /// Whether at most half of the tasks, rounded up, may run in one zone.
     #[serde(rename = "scatter")]
     pub spread_zones: bool,
-    /// May use spot machines.
+    /// Whether spot machines are allowed.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// The owner's estimate of a task's run time.
+    /// Run time of a task as estimated by the user, in seconds.
     #[serde(rename = "expectS")]
     pub estimated_run_s: f64,
-    /// Interval between checkpoints, 0 for none.
+    /// Interval between checkpoints, in seconds; 0 without checkpoints.
     #[serde(rename = "markEveryS")]
     pub checkpoint_interval_s: f64,
-    /// Time that saving takes when stopped.
+    /// Time to save a checkpoint when the task is stopped, in seconds.
     #[serde(rename = "markTakesS")]
     pub checkpoint_duration_s: f64,
-    /// Deadline, from the submission.
+    /// Deadline in seconds after the submission; `None` without a deadline.
     #[serde(rename = "dueS", default, skip_serializing_if = "Option::is_none")]
     pub deadline_s: Option<f64>,
-    /// Jobs that have to be done before any task of this one starts.
+    /// Jobs that must be done before any task of this job starts; empty without dependencies.
     #[serde(rename = "awaits", default, deserialize_with = "null_is_none", skip_serializing_if = "Vec::is_empty")]
     pub dependencies: Vec<String>,
 }
 
-/// A list that may also be null.
+/// Deserializes a list; null is an empty list.
 fn null_is_none<'de, D: serde::Deserializer<'de>>(from: D) -> Result<Vec<String>, D::Error> {
     Ok(Option::<Vec<String>>::deserialize(from)?.unwrap_or_default())
 }
 
-/// Why a submission is malformed.
+/// Errors of a malformed submission.
 #[derive(Debug, thiserror::Error)]
 pub enum SubmissionError {
-    /// Not JSON, or a field is missing or mistyped.
+    /// The body is not JSON, or a field is missing or has another type.
     #[error("not a submission: {0}")]
     Json(#[from] serde_json::Error),
-    /// A field's value is out of its range.
+    /// The value of the named field is out of its range.
     #[error("field {0} is out of its range")]
     Field(&'static str),
 }
 
-/// Largest amount taken for a decimal field.
-const HUGE: f64 = 1e9;
-/// Longest name taken for a team, class, image or type.
-const LONG_NAME: usize = 200;
+/// Largest valid value of a decimal field.
+const MAX_AMOUNT: f64 = 1e9;
+/// Longest valid name of a team, class, image or machine type, in bytes.
+const MAX_NAME_BYTES: usize = 200;
 
 impl Submission {
-    /// Reads a submission from a request's body and checks every field.
+    /// Decodes a submission from the body of a request and checks all fields.
     ///
     /// # Errors
     ///
-    /// If the body is no submission, or a field is out of its range; the error names the field.
+    /// Fails if the body is not a submission or a field is out of its range; the error names the field.
     pub fn parse(body: &[u8]) -> Result<Submission, SubmissionError> {
-        let mut s: Submission = serde_json::from_slice(body)?;
-        let name = |n: &str| !n.is_empty() && n.len() <= LONG_NAME;
-        let amount = |x: f64| x.is_finite() && (0.0..=HUGE).contains(&x);
+        let mut submission: Submission = serde_json::from_slice(body)?;
+        let is_name = |name: &str| !name.is_empty() && name.len() <= MAX_NAME_BYTES;
+        let is_amount = |x: f64| x.is_finite() && (0.0..=MAX_AMOUNT).contains(&x);
         let check = |ok: bool, field: &'static str| if ok { Ok(()) } else { Err(SubmissionError::Field(field)) };
-        check(is_valid_job_id(&s.id), "ref")?;
-        check(name(&s.class), "jobline")?;
-        check(name(&s.team), "crew")?;
-        check((1..=MAX_TASKS).contains(&s.tasks), "pieces")?;
-        check(amount(s.cores), "cores")?;
-        check(amount(s.accelerators), "cards")?;
-        check(amount(s.memory_gb), "ramGb")?;
-        check(s.image.len() <= LONG_NAME, "bundle")?;
-        check(amount(s.image_gb), "imageGb")?;
-        let frames_fine =
-            s.machine_types.as_ref().is_none_or(|f| f.len() <= LONG_NAME / 4 && f.iter().all(|n| name(n)));
-        check(frames_fine, "frames")?;
-        check(s.zone.as_ref().is_none_or(|h| name(h)), "hall")?;
-        check(amount(s.estimated_run_s), "expectS")?;
-        check(amount(s.checkpoint_interval_s), "markEveryS")?;
-        check(amount(s.checkpoint_duration_s), "markTakesS")?;
-        check(s.deadline_s.is_none_or(amount), "dueS")?;
-        check(s.dependencies.iter().all(|id| is_valid_job_id(id)), "awaits")?;
-        // Named twice counts once.
+        check(is_valid_job_id(&submission.id), "ref")?;
+        check(is_name(&submission.class), "jobline")?;
+        check(is_name(&submission.team), "crew")?;
+        check((1..=MAX_TASKS).contains(&submission.tasks), "pieces")?;
+        check(is_amount(submission.cores), "cores")?;
+        check(is_amount(submission.accelerators), "cards")?;
+        check(is_amount(submission.memory_gb), "ramGb")?;
+        check(submission.image.len() <= MAX_NAME_BYTES, "bundle")?;
+        check(is_amount(submission.image_gb), "imageGb")?;
+        let machine_types_valid = submission
+            .machine_types
+            .as_ref()
+            .is_none_or(|types| types.len() <= MAX_NAME_BYTES / 4 && types.iter().all(|n| is_name(n)));
+        check(machine_types_valid, "frames")?;
+        check(submission.zone.as_ref().is_none_or(|zone| is_name(zone)), "hall")?;
+        check(is_amount(submission.estimated_run_s), "expectS")?;
+        check(is_amount(submission.checkpoint_interval_s), "markEveryS")?;
+        check(is_amount(submission.checkpoint_duration_s), "markTakesS")?;
+        check(submission.deadline_s.is_none_or(is_amount), "dueS")?;
+        check(submission.dependencies.iter().all(|id| is_valid_job_id(id)), "awaits")?;
+        // Removes duplicates; the first occurrence keeps its place.
         let mut seen = std::collections::BTreeSet::new();
-        s.dependencies.retain(|id| seen.insert(id.clone()));
-        Ok(s)
+        submission.dependencies.retain(|id| seen.insert(id.clone()));
+        Ok(submission)
     }
 
-    /// What one task takes.
+    /// Resources that one task takes.
     pub fn task_resources(&self) -> Resources {
         Resources::new(self.cores, self.accelerators, self.memory_gb)
     }
 }
 
-/// Whether a text has the form of a job id (and is safe inside a key of the state service).
+/// Whether a text has the form of a job identifier, which makes it safe as a part of a key.
 pub fn is_valid_job_id(id: &str) -> bool {
     id.strip_prefix("wk-").is_some_and(|rest| {
         !rest.is_empty() && rest.len() <= 60 && rest.bytes().all(|b| b.is_ascii_alphanumeric() || b == b'-')
     })
 }
 
-/// A job's state as users see it.
+/// Status of a job as users see it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum JobStatus {
-    /// No task runs.
+    /// No task is running.
     Queued,
-    /// Some task runs.
+    /// At least one task is running.
     Running,
     /// All tasks are done.
     Done,
-    /// Cancelled.
+    /// The job was cancelled.
     #[serde(rename = "aborted")]
     Cancelled,
 }
 
-/// Answer to a submission, poll or withdrawal.
+/// Response to a submission, status query or cancellation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct JobView {
-    /// The job.
+    /// Job identifier.
     #[serde(rename = "ref")]
     pub id: String,
-    /// Its state.
+    /// Status of the job.
     pub status: JobStatus,
-    /// Tasks done, for display.
+    /// Number of tasks that are done, for display; `None` if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub done: Option<u32>,
-    /// Tasks running, for display.
+    /// Number of running tasks, for display; `None` if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub running: Option<u32>,
 }
 
-/// Body of an answer that is no success.
+/// Body of an error response.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ErrorBody {
-    /// What is wrong.
+    /// Description of the error.
     pub error: String,
 }
--- a/crates/wire/src/worker.rs
+++ b/crates/wire/src/worker.rs
@@ -1,163 +1,164 @@
-//! Workers' interface: reports and commands.
+//! Interface of the agents: heartbeats and task commands.
 
 use crate::{AgentEpoch, Attempt, FencingToken};
 use serde::{Deserialize, Serialize};
 
-/// State of a task on a machine.
+/// Status of a task on a machine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum TaskStatus {
-    /// Waiting for its image.
+    /// Waits for its image.
     Fetching,
-    /// A gang's task that waits for its mates.
+    /// Waits for the other tasks of its gang.
     #[serde(rename = "gathering")]
     WaitingForGang,
-    /// Running.
+    /// Runs.
     Running,
-    /// Told to stop, saving.
+    /// Saves its progress after a stop command.
     #[serde(rename = "flushing")]
     Checkpointing,
-    /// Ended.
+    /// Has ended.
     Exited,
-    /// A state that this version does not know: on the machine, not ended.
+    /// Status that this version does not know. The task is on the machine and has not ended.
     #[serde(other)]
     Unknown,
 }
 
-/// Why a task ended.
+/// Cause for which a task ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ExitCause {
-    /// Completed.
+    /// The task completed.
     Done,
-    /// Stopped by command.
+    /// The task was stopped by a command.
     Stopped,
-    /// Failed.
+    /// The task failed.
     Error,
-    /// Refused: not enough room.
+    /// The agent rejected the task: the machine lacks free resources.
     #[serde(rename = "no_room")]
     InsufficientResources,
-    /// Refused: another attempt is here.
+    /// The agent rejected the task: another attempt at it is on the machine.
     #[serde(rename = "in_use")]
     AttemptConflict,
-    /// A gang's task whose mates did not come.
+    /// The other tasks of the gang did not start in time.
     #[serde(rename = "alone")]
     GangIncomplete,
-    /// A gang's task whose mates are gone.
+    /// Other tasks of the gang are gone.
     #[serde(rename = "mates_gone")]
     GangLost,
-    /// Refused: no such job or task.
+    /// The agent rejected the task: there is no such job or task.
     #[serde(rename = "no_such")]
     UnknownTask,
-    /// A cause that this version does not know.
+    /// Cause that this version does not know.
     #[serde(other)]
     Unknown,
 }
 
-/// One task in a report.
+/// Task in a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct TaskReport {
-    /// Task name, `wk-000412/3`.
+    /// Task name, for example `wk-000412/3`.
     #[serde(rename = "piece")]
     pub task: String,
-    /// Attempt.
+    /// Attempt at the task.
     #[serde(rename = "try")]
     pub attempt: Attempt,
-    /// State.
+    /// Status of the attempt.
     pub status: TaskStatus,
-    /// Why it ended.
+    /// Cause for which the task ended; `None` unless it has exited.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub cause: Option<ExitCause>,
-    /// Whether its progress was saved.
+    /// Whether the progress was saved; `None` unless the task has exited.
     #[serde(rename = "stored", default, skip_serializing_if = "Option::is_none")]
     pub checkpointed: Option<bool>,
 }
 
-/// A worker's report.
+/// Heartbeat of an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Machine.
+    /// Name of the machine.
     #[serde(rename = "loom")]
     pub machine: String,
-    /// Address for direct commands.
+    /// Address of the agent for direct commands.
     pub endpoint: String,
-    /// Machine type.
+    /// Name of the machine type.
     #[serde(rename = "frame")]
     pub machine_type: String,
-    /// Zone.
+    /// Zone of the machine.
     #[serde(rename = "hall")]
     pub zone: String,
-    /// Spot machine.
+    /// Whether the machine is a spot machine.
     #[serde(rename = "borrowed")]
     pub spot: bool,
-    /// Session.
+    /// Current agent epoch.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
-    /// Order among the reports of a session.
+    /// Sequence number within the agent epoch.
     #[serde(rename = "tick")]
     pub sequence: u64,
-    /// Highest token seen.
+    /// Highest fencing token that the agent has seen.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Seconds until the cloud takes the machine.
+    /// Time until the cloud reclaims the machine, in seconds; `None` without a notice.
     #[serde(default, rename = "warnS")]
     pub preemption_notice_s: Option<f64>,
-    /// All tasks on the machine.
+    /// All tasks on the machine; empty if absent.
     #[serde(rename = "pieces", default)]
     pub tasks: Vec<TaskReport>,
 }
 
 impl Heartbeat {
-    /// Reads a report and checks what the scheduler relies on.
+    /// Decodes a heartbeat and checks the names that become parts of keys; `None` if it is invalid.
     pub fn parse(body: &[u8]) -> Option<Heartbeat> {
-        let r: Heartbeat = serde_json::from_slice(body).ok()?;
-        let key_safe =
-            |n: &str| !n.is_empty() && n.len() <= 100 && n.bytes().all(|b| b.is_ascii_graphic() && b != b'/');
-        (key_safe(&r.machine) && r.endpoint.len() <= 100).then_some(r)
+        let heartbeat: Heartbeat = serde_json::from_slice(body).ok()?;
+        let key_safe = |name: &str| {
+            !name.is_empty() && name.len() <= 100 && name.bytes().all(|b| b.is_ascii_graphic() && b != b'/')
+        };
+        (key_safe(&heartbeat.machine) && heartbeat.endpoint.len() <= 100).then_some(heartbeat)
     }
 }
 
-/// A command to a worker.
+/// Command to an agent.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "verb", rename_all = "snake_case")]
 pub enum TaskCommand {
-    /// Start a task.
+    /// Starts a task.
     Run {
-        /// Task.
+        /// Task name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Attempt at the task.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
-    /// Stop a task.
+    /// Stops a task.
     #[serde(rename = "halt")]
     Stop {
-        /// Task.
+        /// Task name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Attempt at the task.
         #[serde(rename = "try")]
         attempt: Attempt,
-        /// Time to save.
+        /// Time to save progress before the task is killed, in seconds.
         #[serde(rename = "windDownS")]
         grace_period_s: f64,
     },
-    /// Remove an exited task from the reports.
+    /// Removes an exited task from the heartbeats.
     Forget {
-        /// Task.
+        /// Task name.
         #[serde(rename = "piece")]
         task: String,
-        /// Attempt.
+        /// Attempt at the task.
         #[serde(rename = "try")]
         attempt: Attempt,
     },
 }
 
-/// Answer to a report.
+/// Response to a heartbeat.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HeartbeatReply {
-    /// Token.
+    /// Fencing token of the leader for this machine.
     #[serde(rename = "baton")]
     pub token: FencingToken,
     /// Commands, executed in order.
@@ -165,13 +166,13 @@
     pub commands: Vec<TaskCommand>,
 }
 
-/// Direct commands.
+/// Commands that the leader sends to an agent between heartbeats.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DirectCommands {
-    /// Token.
+    /// Fencing token of the leader for this machine.
     #[serde(rename = "baton")]
     pub token: FencingToken,
-    /// Session that they are meant for.
+    /// Agent epoch for which the commands are valid.
     #[serde(rename = "shift")]
     pub agent_epoch: AgentEpoch,
     /// Commands, executed in order.
@@ -179,15 +180,15 @@
     pub commands: Vec<TaskCommand>,
 }
 
-/// Answer that sends a worker to another node.
+/// Response that sends an agent to another controller.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Redirect {
-    /// The node to report to.
+    /// Node name of the leader; `None` for any other controller.
     #[serde(rename = "foreman", default, skip_serializing_if = "Option::is_none")]
     pub known_leader: Option<String>,
 }
 
-/// Splits a task name into job and number.
+/// Splits a task name into job identifier and task number; `None` if the name has another form.
 pub fn split_task_name(task: &str) -> Option<(&str, u32)> {
     let (job, number) = task.rsplit_once('/')?;
     Some((job, number.parse().ok()?))
