--- a/crates/core/src/event/fields.rs
+++ b/crates/core/src/event/fields.rs
@@ -21,7 +21,7 @@
                 vec![field("epoch", *epoch), field("jobs", *jobs), field("machines", *machines)]
             }
             Event::LeaderSteppedDown { epoch, reason } => step_down_fields(*epoch, reason),
-            Event::LeaderStatus(figures) => figures.fields(),
+            Event::LeaderStatus(status) => status.fields(),
             Event::StateServiceRelayStarted { peer } => vec![field("peer", peer.as_str())],
             Event::StateServiceRelayEnded => Vec::new(),
             Event::WriteRateReduced { writes_per_s } => vec![field("writes_per_s", *writes_per_s)],
