--- a/crates/simulation/src/cloud.rs
+++ b/crates/simulation/src/cloud.rs
@@ -52,7 +52,7 @@
     /// Reply to the requester.
     pub reply: Result<CloudReply, RequestError>,
     /// Names of the machines that the request scaled in.
-    pub returned: Vec<String>,
+    pub scaled_in: Vec<String>,
 }
 
 /// The list of machines at one time.
@@ -96,9 +96,9 @@
     /// Executes a request and returns its outcome.
     pub fn handle(&mut self, now: u64, request: CloudRequest) -> CloudOutcome {
         if self.down {
-            return CloudOutcome { reply: Err(RequestError::Unavailable), returned: Vec::new() };
+            return CloudOutcome { reply: Err(RequestError::Unavailable), scaled_in: Vec::new() };
         }
-        let mut returned = Vec::new();
+        let mut scaled_in = Vec::new();
         let reply = match request {
             CloudRequest::Catalog => CloudReply::Catalog(self.catalog.clone()),
             CloudRequest::ScaleOut(request) => self.scale_out(now, request),
@@ -106,12 +106,12 @@
                 for name in &names {
                     self.release(name);
                 }
-                returned = names;
+                scaled_in = names;
                 CloudReply::ScaledIn
             }
             CloudRequest::List { after } => CloudReply::MachineList(self.list(now, &after)),
         };
-        CloudOutcome { reply: Ok(reply), returned }
+        CloudOutcome { reply: Ok(reply), scaled_in }
     }
 
     /// Grants the requested number of machines or as many as remain; a repeated request gets its first reply again.
--- a/crates/simulation/src/simulation/fault.rs
+++ b/crates/simulation/src/simulation/fault.rs
@@ -142,7 +142,7 @@
     Slow {
         /// Duration of the fault, in ms.
         duration_ms: u64,
-        /// Additional delay, in ms.
+        /// Additional round-trip time, in ms; half of it delays each direction.
         delay_ms: u64,
     },
     /// The answers to some transactions are lost.
--- a/crates/simulation/src/simulation/inject.rs
+++ b/crates/simulation/src/simulation/inject.rs
@@ -18,11 +18,11 @@
 }
 
 impl Simulation {
-    /// Schedules a fault to begin at the simulated time `at`, in ms.
-    pub fn add_fault(&mut self, at: u64, fault: Fault) {
+    /// Schedules a fault to begin at the simulated time `at_ms`.
+    pub fn add_fault(&mut self, at_ms: u64, fault: Fault) {
         let index = self.fault_schedule.faults.len();
         self.fault_schedule.faults.push(fault);
-        self.queue.schedule(at, Event::FaultBegins(index));
+        self.queue.schedule(at_ms, Event::FaultBegins(index));
     }
 
     pub(super) fn begin_fault(&mut self, index: usize) {
@@ -106,7 +106,7 @@
                 self.store.lost_answers.execution = execution;
             }
             StoreFault::DelayTransactions { count, delay_ms } => {
-                self.store.delayed_transactions.left = count;
+                self.store.delayed_transactions.remaining = count;
                 self.store.delayed_transactions.delay_ms = delay_ms;
             }
             StoreFault::LowerLimits { limits } => self.store.service.limits = limits,
--- a/crates/simulation/src/simulation/previous_version.rs
+++ b/crates/simulation/src/simulation/previous_version.rs
@@ -43,8 +43,8 @@
     }
 }
 
-/// Removes a submission's dependencies and the fields of records that are split over several keys, which the
-/// previous version doesn't know.
+/// Removes a submission's dependencies, and the fields of a record that is stored in parts, which is not a valid
+/// record to the previous version.
 fn remove_later_fields(record: &mut Value) {
     if let Some(submission) = record.get_mut("s").and_then(Value::as_object_mut) {
         submission.remove("awaits");
--- a/crates/simulation/src/simulation/users.rs
+++ b/crates/simulation/src/simulation/users.rs
@@ -277,13 +277,13 @@
         }
     }
 
-    /// Plans the cancellation of a job at the time `at`, in ms, unless an earlier cancellation is planned.
-    pub(super) fn cancel_at(&mut self, job: &str, at: u64) {
+    /// Plans the cancellation of a job at the time `at_ms`, unless an earlier cancellation is planned.
+    pub(super) fn cancel_at(&mut self, job: &str, at_ms: u64) {
         let Some(user) = self.users.by_job.get_mut(job).filter(|user| user.is_waiting()) else { return };
-        let planned = user.job.cancel_at_ms.unwrap_or(at);
-        user.job.cancel_at_ms = Some(planned.min(at));
+        let planned = user.job.cancel_at_ms.unwrap_or(at_ms);
+        user.job.cancel_at_ms = Some(planned.min(at_ms));
         user.next_step_at_ms = 0;
-        self.queue.schedule(at, Event::UserStep(job.into()));
+        self.queue.schedule(at_ms, Event::UserStep(job.into()));
     }
 
     /// Has users cancel running jobs, and hangs some of the machines that run them.
--- a/crates/simulation/src/store.rs
+++ b/crates/simulation/src/store.rs
@@ -31,7 +31,7 @@
 pub struct WatchAnswer {
     /// The watch request that is answered.
     pub request: RequestKey,
-    /// The changes, which are empty if the watch reached its deadline.
+    /// Reply with the changes; with none if the watch reached its deadline.
     pub reply: KvReply,
 }
 
@@ -73,12 +73,15 @@
     pub down: bool,
     /// Number of transactions rejected because they exceed the limits.
     pub rejections: u32,
+    /// Rate limit of writes, which counts each write of a transaction.
     write_rate: RateLimit,
+    /// Rate limit of all requests.
     request_rate: RateLimit,
     entries: BTreeMap<String, Entry>,
     revision: Revision,
     leases: BTreeMap<u64, Lease>,
     last_lease_id: u64,
+    /// All changes so far, in the order of their revisions; none are compacted.
     changes: Vec<Change>,
     watches: Vec<Watch>,
 }
