--- a/crates/load-test/src/controllers.rs
+++ b/crates/load-test/src/controllers.rs
@@ -1,4 +1,4 @@
-//! Real controllers: started as processes, ended and started again.
+//! Processes of the real controllers: started, killed and restarted.
 
 use crate::error::LoadTestError;
 use crate::process_usage::ProcessUsage;
@@ -6,60 +6,62 @@
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 
-/// A controller's process.
+/// A controller's process, killed when this value is dropped.
 pub struct Controller {
-    /// Label in its settings.
+    /// Node name, the `label` of its settings file.
     pub node_name: String,
     program: PathBuf,
-    settings: PathBuf,
-    log: PathBuf,
+    settings_path: PathBuf,
+    log_path: PathBuf,
     process: Child,
 }
 
 impl Controller {
-    /// Starts a controller with these settings; its log goes to a file beside them.
+    /// Writes the settings file `NODE_NAME.toml` to `folder` and starts a controller with it. The controller's log is
+    /// appended to `NODE_NAME.log` beside it.
     pub fn start(program: &Path, folder: &Path, node_name: &str, settings: &str) -> Result<Controller, LoadTestError> {
-        let file = folder.join(format!("{node_name}.toml"));
-        std::fs::write(&file, settings).map_err(|source| LoadTestError::Write { path: file.clone(), source })?;
-        let log = folder.join(format!("{node_name}.log"));
-        let process = spawn(program, &file, &log)?;
-        Ok(Controller { node_name: node_name.into(), program: program.into(), settings: file, log, process })
+        let settings_path = folder.join(format!("{node_name}.toml"));
+        std::fs::write(&settings_path, settings)
+            .map_err(|source| LoadTestError::Write { path: settings_path.clone(), source })?;
+        let log_path = folder.join(format!("{node_name}.log"));
+        let process = spawn(program, &settings_path, &log_path)?;
+        Ok(Controller { node_name: node_name.into(), program: program.into(), settings_path, log_path, process })
     }
 
-    /// Ends the process at once and starts it again.
+    /// Kills the process and starts it again with the same settings and log file.
     pub fn restart(&mut self) -> Result<(), LoadTestError> {
-        self.end();
-        self.process = spawn(&self.program, &self.settings, &self.log)?;
+        self.kill();
+        self.process = spawn(&self.program, &self.settings_path, &self.log_path)?;
         Ok(())
     }
 
-    /// Ends the process at once.
-    pub fn end(&mut self) {
+    /// Kills the process without a chance to shut down, and waits until it has ended.
+    pub fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
 
-    /// Its process id.
-    pub fn id(&self) -> u32 {
+    /// Process id, which changes with each restart.
+    pub fn process_id(&self) -> u32 {
         self.process.id()
     }
 
-    /// What it has used since its last start.
+    /// Resource usage since the last start.
     pub fn usage(&self) -> ProcessUsage {
-        ProcessUsage::of(self.id())
+        ProcessUsage::of(self.process_id())
     }
 }
 
 impl Drop for Controller {
     fn drop(&mut self) {
-        self.end();
+        self.kill();
     }
 }
 
-fn spawn(program: &Path, settings: &Path, log: &Path) -> Result<Child, LoadTestError> {
-    let opened = File::options().create(true).append(true).open(log);
-    let log = opened.map_err(|source| LoadTestError::Write { path: log.into(), source })?;
+fn spawn(program: &Path, settings_path: &Path, log_path: &Path) -> Result<Child, LoadTestError> {
+    let opened = File::options().create(true).append(true).open(log_path);
+    let log = opened.map_err(|source| LoadTestError::Write { path: log_path.into(), source })?;
     let mut command = Command::new(program);
-    command.args(["serve", "--config"]).arg(settings).stdin(Stdio::null()).stderr(log);
+    command.args(["serve", "--config"]).arg(settings_path).stdin(Stdio::null()).stderr(log);
     command.spawn().map_err(|source| LoadTestError::Start { program: program.into(), source })
 }
--- a/crates/load-test/src/error.rs
+++ b/crates/load-test/src/error.rs
@@ -1,39 +1,39 @@
-//! Why a run could not begin or go on.
+//! Errors that prevent a run from starting or continuing.
 
 use std::io;
 use std::path::PathBuf;
 
-/// What failed, on what.
+/// An error that ends the run, with the argument to change where there is one.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadTestError {
-    /// A controller could not be started.
+    /// The process of a controller could not be started.
     #[error("--program: cannot start {}: {source}", program.display())]
     Start {
-        /// The program.
+        /// Path of the controller program.
         program: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// A file of settings or a log could not be written.
+    /// A settings file, a log file or their folder could not be written.
     #[error("--folder: cannot write {}: {source}", path.display())]
     Write {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
-    /// No address was left to listen on, or too few files may be open.
+    /// A listener could not be bound: the free ports or the process's open files are exhausted.
     #[error("cannot listen on {address}: {source}")]
     Listen {
-        /// The address.
+        /// Address on which to listen.
         address: &'static str,
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
     /// The asynchronous runtime could not be started.
     #[error("cannot start the runtime: {source}")]
     Runtime {
-        /// Why.
+        /// Error of the operating system.
         source: io::Error,
     },
 }
--- a/crates/load-test/src/failover.rs
+++ b/crates/load-test/src/failover.rs
@@ -1,35 +1,35 @@
-//! How long after the end of controllers every machine has an answer again.
+//! Measures the time from the kill of controllers until every machine has had an answer again.
 
 use std::collections::BTreeSet;
 use tokio::time::Instant;
 
-/// A failover that is over.
+/// A failover after which every machine has had an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Recovery {
-    /// Machines of the fleet.
+pub struct CompletedFailover {
+    /// Number of machines in the fleet.
     pub machines: usize,
-    /// Seconds from the end of the controllers until the last machine had an answer.
-    pub seconds: f64,
+    /// Time from the kill of the controllers until the last machine had an answer, in seconds.
+    pub duration_s: f64,
 }
 
-/// Machines that have not had an answer since controllers were ended.
+/// Machines that have not had an answer since controllers were last killed.
 #[derive(Debug, Default)]
-pub struct FailoverClock {
-    /// All machines that ever had an answer.
+pub struct FailoverTimer {
+    /// All machines that have ever had an answer.
     known: BTreeSet<String>,
     unanswered: BTreeSet<String>,
-    began: Option<Instant>,
+    started_at: Option<Instant>,
 }
 
-impl FailoverClock {
-    /// Controllers were ended just now.
+impl FailoverTimer {
+    /// Starts to measure, as controllers have just been killed; a failover still being measured is discarded.
     pub fn start(&mut self) {
         self.unanswered = self.known.clone();
-        self.began = Some(Instant::now());
+        self.started_at = Some(Instant::now());
     }
 
-    /// A machine had an answer; the recovery, if it was the last one.
-    pub fn answered(&mut self, machine: &str) -> Option<Recovery> {
+    /// Records that a machine had an answer. Returns the failover if it was the last machine without one.
+    pub fn record_answer(&mut self, machine: &str) -> Option<CompletedFailover> {
         if !self.known.contains(machine) {
             self.known.insert(machine.into());
         }
@@ -37,7 +37,7 @@
         if !self.unanswered.is_empty() {
             return None;
         }
-        let began = self.began.take()?;
-        Some(Recovery { machines: self.known.len(), seconds: began.elapsed().as_secs_f64() })
+        let started_at = self.started_at.take()?;
+        Some(CompletedFailover { machines: self.known.len(), duration_s: started_at.elapsed().as_secs_f64() })
     }
 }
--- a/crates/load-test/src/fleet.rs
+++ b/crates/load-test/src/fleet.rs
@@ -1,79 +1,80 @@
-//! What all machines and users of a run share.
+//! State that all simulated agents and users of a run share.
 
-use crate::failover::FailoverClock;
+use crate::failover::FailoverTimer;
 use shaleshunt_wire::user::Submission;
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A controller as machines and users know it.
+/// A controller as agents and users know it.
 #[derive(Debug, Clone)]
 pub struct ControllerAddress {
-    /// Label, by which controllers name each other.
+    /// Node name, by which a redirect names the leader.
     pub node_name: String,
-    /// Address for machines and users.
+    /// Address for agents and users, as `host:port`.
     pub address: String,
 }
 
-/// What happened to all machines together.
+/// Totals over all agents since the start of the run.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Counts {
-    /// Reports answered.
+pub struct AgentCounters {
+    /// Heartbeats that a controller has answered.
     pub heartbeats: u64,
-    /// Reports that another controller was named for, or that failed.
+    /// Heartbeats after which the agent turned to another controller: redirected or failed ones.
     pub redirects: u64,
-    /// Direct calls.
-    pub calls: u64,
-    /// Sessions ended by lease expiry.
-    pub leases_lost: u64,
+    /// Direct calls received.
+    pub direct_calls: u64,
+    /// Machine leases that expired, each of which ended an agent epoch.
+    pub leases_expired: u64,
 }
 
-/// The fleet.
+/// The controllers that agents and users call, and what is known of jobs and agents.
 pub struct Fleet {
-    /// The controllers.
+    /// All controllers; agents refer to them by index.
     pub controllers: Vec<ControllerAddress>,
-    /// Jobs submitted so far.
+    /// Jobs submitted so far, by name.
     pub jobs: RefCell<BTreeMap<String, Submission>>,
-    /// Heartbeat interval.
+    /// Mean interval between an agent's heartbeats.
     pub heartbeat_interval: Duration,
-    /// Counts of the run.
-    pub counts: RefCell<Counts>,
-    /// Names of the tasks that have completed.
+    /// Totals over all agents.
+    pub counters: RefCell<AgentCounters>,
+    /// Names of completed tasks, as the simulated agents expect them; the load test adds none.
     pub completed: RefCell<BTreeSet<String>>,
-    began: Instant,
-    failover: RefCell<FailoverClock>,
+    started_at: Instant,
+    failover_timer: RefCell<FailoverTimer>,
 }
 
 impl Fleet {
-    /// A fleet that reports to these controllers, at times counted from `began`.
-    pub fn new(controllers: Vec<ControllerAddress>, heartbeat_interval: Duration, began: Instant) -> Fleet {
+    /// Creates a fleet without jobs or agents, whose clock counts from `started_at`.
+    pub fn new(controllers: Vec<ControllerAddress>, heartbeat_interval: Duration, started_at: Instant) -> Fleet {
         Fleet {
             controllers,
             jobs: RefCell::default(),
             heartbeat_interval,
-            counts: RefCell::default(),
+            counters: RefCell::default(),
             completed: RefCell::default(),
-            began,
-            failover: RefCell::default(),
+            started_at,
+            failover_timer: RefCell::default(),
         }
     }
 
-    /// Time since the beginning, in ms.
-    pub fn now(&self) -> u64 {
-        self.began.elapsed().as_millis() as u64
+    /// Time since the start of the run, in ms.
+    pub fn elapsed_ms(&self) -> u64 {
+        self.started_at.elapsed().as_millis() as u64
     }
 
-    /// Controllers were ended just now: how long it takes until every machine has an answer is printed.
-    pub fn begin_failover(&self) {
-        self.failover.borrow_mut().start();
+    /// Starts to measure a failover, as controllers have just been killed; its duration is printed once every machine
+    /// has had an answer.
+    pub fn start_failover_timer(&self) {
+        self.failover_timer.borrow_mut().start();
     }
 
-    /// A machine's report was answered.
-    pub fn heartbeat_answered(&self, machine: &str) {
-        self.counts.borrow_mut().heartbeats += 1;
-        if let Some(recovery) = self.failover.borrow_mut().answered(machine) {
-            let (machines, seconds) = (recovery.machines, recovery.seconds);
+    /// Records that a controller has answered a machine's heartbeat.
+    pub fn record_answered_heartbeat(&self, machine: &str) {
+        self.counters.borrow_mut().heartbeats += 1;
+        if let Some(failover) = self.failover_timer.borrow_mut().record_answer(machine) {
+            let (machines, seconds) = (failover.machines, failover.duration_s);
             println!("        every one of {machines} machines has had an answer {seconds:.1} s after the end");
         }
     }
--- a/crates/load-test/src/http_client.rs
+++ b/crates/load-test/src/http_client.rs
@@ -1,4 +1,4 @@
-//! Requests of the stand-ins to controllers.
+//! HTTP requests of simulated agents and users to controllers.
 
 use bytes::Bytes;
 use hyper::Method;
@@ -7,17 +7,17 @@
 use shaleshunt_net::socket_budget::SocketBudget;
 use std::time::Duration;
 
-/// Sockets that a stand-in's client may have open: many more than it needs.
-const SOCKETS: usize = 64;
-/// Connections that it keeps to an address.
-const CONNECTIONS: usize = 1;
+/// Most sockets that a client may have open, far more than it needs with one call at a time.
+const MAX_SOCKETS_PER_CLIENT: usize = 64;
+/// Most calls of a client at the same time: an agent or a user waits for each response before its next request.
+const MAX_CONCURRENT_CALLS: usize = 1;
 
-/// A client of its own for each machine and user, as in real life.
+/// Creates a client. Each agent and user has its own, as in production, so that they share no connections.
 pub fn new_client(connect_timeout: Duration) -> Client {
-    Client::new(&SocketBudget::new(SOCKETS), CONNECTIONS, connect_timeout)
+    Client::new(&SocketBudget::new(MAX_SOCKETS_PER_CLIENT), MAX_CONCURRENT_CALLS, connect_timeout)
 }
 
-/// A request of a stand-in.
-pub fn call<'a>(address: &'a str, method: Method, path: &'a str, body: Bytes, timeout: Duration) -> Call<'a> {
+/// Creates a request with normal priority.
+pub fn new_call<'a>(address: &'a str, method: Method, path: &'a str, body: Bytes, timeout: Duration) -> Call<'a> {
     Call { address, method, path, body, timeout, priority: CallPriority::Normal }
 }
--- a/crates/load-test/src/http_server.rs
+++ b/crates/load-test/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for the stand-ins: one async function answers every request.
+//! A minimal HTTP server for the simulated agents, store and cloud: one async function answers every request.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -12,53 +12,53 @@
 use std::rc::Rc;
 use tokio::net::TcpListener;
 
-/// A request, read completely.
+/// A request whose body has been read completely.
 #[derive(Debug)]
-pub struct Received {
-    /// Method.
+pub struct ReceivedRequest {
+    /// HTTP method.
     pub method: Method,
-    /// Path without the query.
+    /// Path of the URL without the query.
     pub path: String,
-    /// Query, empty if there is none.
+    /// Query of the URL without the question mark, empty if there is none.
     pub query: String,
-    /// Body.
+    /// Body, empty if there is none or if it broke off.
     pub body: Bytes,
 }
 
-impl Received {
-    /// The value of a query parameter, with `%XX` decoded.
-    pub fn parameter(&self, name: &str) -> Option<String> {
+impl ReceivedRequest {
+    /// Percent-decoded value of a query parameter; `None` if it is absent.
+    pub fn query_parameter(&self, name: &str) -> Option<String> {
         let value = self.query.split('&').filter_map(|pair| pair.split_once('=')).find(|(key, _)| *key == name)?.1;
-        Some(decode(value))
+        Some(percent_decode(value))
     }
 }
 
-/// An answer.
+/// A response, before it is sent.
 #[derive(Debug)]
 pub struct Reply {
     /// HTTP status.
     pub status: u16,
-    /// Body.
+    /// Body, empty for none.
     pub body: Vec<u8>,
 }
 
 impl Reply {
-    /// An answer with a JSON body.
+    /// Creates a response with a JSON body.
     pub fn json<T: serde::Serialize>(status: u16, value: &T) -> Reply {
         Reply { status, body: serde_json::to_vec(value).unwrap_or_default() }
     }
 
-    /// An answer with a JSON object that is empty.
+    /// Creates a response with an empty JSON object.
     pub fn empty_object(status: u16) -> Reply {
         Reply::json(status, &serde_json::json!({}))
     }
 
-    /// An answer to a request that makes no sense.
+    /// Creates the response to a request that cannot be parsed.
     pub fn malformed() -> Reply {
         Reply::json(400, &ErrorBody { error: "malformed".into() })
     }
 
-    /// The answer to a request that failed.
+    /// Creates the response to a request that the simulated service did not execute successfully.
     pub fn failure(error: &RequestError) -> Reply {
         let status = match error {
             RequestError::Throttled => 429,
@@ -69,18 +69,18 @@
     }
 }
 
-/// Serves `answer` on a listener until the process ends.
-pub fn serve<A, F>(listener: TcpListener, answer: A)
+/// Accepts connections and answers each request with `handler` until the process ends.
+pub fn serve<H, F>(listener: TcpListener, handler: H)
 where
-    A: Fn(Received) -> F + 'static,
+    H: Fn(ReceivedRequest) -> F + 'static,
     F: Future<Output = Reply> + 'static,
 {
-    let answer = Rc::new(answer);
+    let handler = Rc::new(handler);
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let answer = answer.clone();
+            let handler = handler.clone();
             let _ = stream.set_nodelay(true);
-            let service = service_fn(move |request| respond(request, answer.clone()));
+            let service = service_fn(move |request| handle_request(request, handler.clone()));
             tokio::task::spawn_local(
                 hyper::server::conn::http1::Builder::new().serve_connection(TokioIo::new(stream), service),
             );
@@ -88,26 +88,26 @@
     });
 }
 
-async fn respond<A, F>(request: Request<Incoming>, answer: Rc<A>) -> Result<Response<Full<Bytes>>, Infallible>
+async fn handle_request<H, F>(request: Request<Incoming>, handler: Rc<H>) -> Result<Response<Full<Bytes>>, Infallible>
 where
-    A: Fn(Received) -> F,
+    H: Fn(ReceivedRequest) -> F,
     F: Future<Output = Reply>,
 {
     let (head, body) = request.into_parts();
-    let received = Received {
+    let received = ReceivedRequest {
         method: head.method,
         path: head.uri.path().to_string(),
         query: head.uri.query().unwrap_or_default().to_string(),
         body: body.collect().await.map(|all| all.to_bytes()).unwrap_or_default(),
     };
-    let reply = answer(received).await;
+    let reply = handler(received).await;
     let mut response = Response::new(Full::new(Bytes::from(reply.body)));
     *response.status_mut() = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     Ok(response)
 }
 
-/// Decodes `%XX`.
-fn decode(text: &str) -> String {
+/// Decodes each `%XX` as one ASCII character; an invalid code becomes `?`.
+fn percent_decode(text: &str) -> String {
     let mut parts = text.split('%');
     let mut decoded = parts.next().unwrap_or_default().to_string();
     for part in parts {
--- a/crates/load-test/src/main.rs
+++ b/crates/load-test/src/main.rs
@@ -1,5 +1,5 @@
-//! Runs real controllers on the loopback interface against stand-ins of everything around them, and
-//! measures what they use. Not a part of the service; `docs/measuring.md` says how to use it.
+//! Load test: runs real controllers on the loopback interface against simulated agents, users, store and cloud, and
+//! measures the resources that the controllers use. Not part of the service; `docs/measuring.md` explains its use.
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
 
@@ -31,7 +31,7 @@
 
 fn main() -> ExitCode {
     let arguments = Arguments::parse();
-    match start(&arguments) {
+    match run_to_end(&arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("error: {error}");
@@ -40,7 +40,7 @@
     }
 }
 
-fn start(arguments: &Arguments) -> Result<(), LoadTestError> {
+fn run_to_end(arguments: &Arguments) -> Result<(), LoadTestError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -53,7 +53,7 @@
     let controllers = start_controllers(&site, arguments)?;
     let jobs = Rc::new(users::JobCounts::default());
     let workload = users::Workload { jobs_per_s: arguments.jobs_per_s, task_s: arguments.task_s };
-    tokio::task::spawn_local(users::submit_all(site.fleet.clone(), jobs.clone(), workload));
+    tokio::task::spawn_local(users::submit_jobs(site.fleet.clone(), jobs.clone(), workload));
     Monitor::new(site.fleet.clone(), controllers).run(arguments).await?;
     println!("jobs: {} submitted, {} done", jobs.submitted.get(), jobs.done.get());
     Ok(())
@@ -63,9 +63,9 @@
     std::fs::create_dir_all(&arguments.folder)
         .map_err(|source| LoadTestError::Write { path: arguments.folder.clone(), source })?;
     let mut controllers = Vec::new();
-    for address in &site.controllers {
-        let settings = SettingsFile { site, controller: address, arguments }.to_string();
-        controllers.push(Controller::start(&arguments.program, &arguments.folder, &address.node_name, &settings)?);
+    for node in &site.controllers {
+        let settings = SettingsFile { site, controller: node, arguments }.to_string();
+        controllers.push(Controller::start(&arguments.program, &arguments.folder, &node.node_name, &settings)?);
     }
     Ok(controllers)
 }
--- a/crates/load-test/src/monitor.rs
+++ b/crates/load-test/src/monitor.rs
@@ -1,24 +1,24 @@
-//! Prints what the controllers use, and ends them at the times that were given.
+//! Prints the controllers' resource usage at intervals, and kills and restarts controllers at the given times.
 
 use crate::arguments::Arguments;
 use crate::controllers::Controller;
 use crate::error::LoadTestError;
-use crate::fleet::{Counts, Fleet};
+use crate::fleet::{AgentCounters, Fleet};
 use crate::process_usage::ProcessUsage;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Interval between two lines of output.
-const LINE_INTERVAL: Duration = Duration::from_secs(5);
+/// Interval between two samples, each of which prints a line.
+const SAMPLE_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What was counted at a time.
+/// Usage of all controllers and totals of all agents at one moment.
 struct Sample {
     usage: Vec<ProcessUsage>,
-    counts: Counts,
+    counters: AgentCounters,
 }
 
-/// Times in seconds, of which those that have come are taken out.
+/// Times still to come, in seconds since the start of the run, in descending order.
 struct Schedule(Vec<f64>);
 
 impl Schedule {
@@ -28,8 +28,8 @@
         Schedule(times)
     }
 
-    /// Whether a time has come; later ones that have come too wait for the next line.
-    fn take_due(&mut self, elapsed_s: f64) -> bool {
+    /// Removes the earliest time if it has passed, and says so. Any further passed time waits for the next sample.
+    fn pop_due(&mut self, elapsed_s: f64) -> bool {
         let is_due = self.0.last().is_some_and(|at| elapsed_s >= *at);
         if is_due {
             self.0.pop();
@@ -38,43 +38,43 @@
     }
 }
 
-/// The controllers under measurement.
+/// Samples the controllers and restarts them on schedule.
 pub struct Monitor {
     fleet: Rc<Fleet>,
     controllers: Vec<Controller>,
-    began: Instant,
+    started_at: Instant,
 }
 
 impl Monitor {
-    /// Begins to measure these controllers.
+    /// Creates a monitor for these controllers; the run starts now.
     pub fn new(fleet: Rc<Fleet>, controllers: Vec<Controller>) -> Monitor {
-        Monitor { fleet, controllers, began: Instant::now() }
+        Monitor { fleet, controllers, started_at: Instant::now() }
     }
 
-    /// Prints a line each interval until the run is over.
+    /// Prints a line per sample until the run is over.
     pub async fn run(&mut self, arguments: &Arguments) -> Result<(), LoadTestError> {
-        let mut ends_of_leader = Schedule::new(&arguments.end_leader_at);
-        let mut ends_of_all = Schedule::new(&arguments.end_all_at);
-        let mut before = self.sample();
+        let mut leader_restarts = Schedule::new(&arguments.end_leader_at);
+        let mut full_restarts = Schedule::new(&arguments.end_all_at);
+        let mut previous = self.sample();
         while self.elapsed_s() < arguments.seconds {
-            tokio::time::sleep(LINE_INTERVAL).await;
+            tokio::time::sleep(SAMPLE_INTERVAL).await;
             let sample = self.sample();
-            println!("{}", self.line(&before, &sample));
+            println!("{}", self.usage_line(&previous, &sample));
             let elapsed_s = self.elapsed_s();
-            if ends_of_leader.take_due(elapsed_s) {
-                self.restart_busiest(elapsed_s, &before, &sample)?;
+            if leader_restarts.pop_due(elapsed_s) {
+                self.restart_busiest(elapsed_s, &previous, &sample)?;
             }
-            if ends_of_all.take_due(elapsed_s) {
+            if full_restarts.pop_due(elapsed_s) {
                 self.restart_all(elapsed_s)?;
             }
-            // Usage counts from a process's last start.
-            before = Sample { usage: self.usage(), counts: sample.counts };
+            // Usage is sampled again, as it restarts from 0 with a controller's process.
+            previous = Sample { usage: self.usage(), counters: sample.counters };
         }
         Ok(())
     }
 
     fn elapsed_s(&self) -> f64 {
-        self.began.elapsed().as_secs_f64()
+        self.started_at.elapsed().as_secs_f64()
     }
 
     fn usage(&self) -> Vec<ProcessUsage> {
@@ -82,21 +82,22 @@
     }
 
     fn sample(&self) -> Sample {
-        Sample { usage: self.usage(), counts: *self.fleet.counts.borrow() }
+        Sample { usage: self.usage(), counters: *self.fleet.counters.borrow() }
     }
 
-    /// The leader does most of the work, so it is the one that used most.
-    fn restart_busiest(&mut self, elapsed_s: f64, before: &Sample, now: &Sample) -> Result<(), LoadTestError> {
-        let used_s = |index: &usize| now.usage[*index].user_s - before.usage[*index].user_s;
+    /// Restarts the controller that used the most user CPU time since the previous sample. That is the leader, which
+    /// does most of the work.
+    fn restart_busiest(&mut self, elapsed_s: f64, previous: &Sample, current: &Sample) -> Result<(), LoadTestError> {
+        let used_s = |index: &usize| current.usage[*index].user_s - previous.usage[*index].user_s;
         let indices = 0..self.controllers.len();
         let busiest = indices.max_by(|left, right| used_s(left).total_cmp(&used_s(right)));
         if let Some(controller) = busiest.and_then(|index| self.controllers.get_mut(index)) {
             controller.restart()?;
-            self.fleet.begin_failover();
+            self.fleet.start_failover_timer();
             println!(
                 "{elapsed_s:5.0} s: {} ended and started again, process {}",
                 controller.node_name,
-                controller.id()
+                controller.process_id()
             );
         }
         Ok(())
@@ -106,43 +107,50 @@
         for controller in &mut self.controllers {
             controller.restart()?;
         }
-        self.fleet.begin_failover();
+        self.fleet.start_failover_timer();
         println!("{elapsed_s:5.0} s: all controllers ended and started again");
         Ok(())
     }
 
-    fn line(&self, before: &Sample, now: &Sample) -> String {
-        let usages = before.usage.iter().zip(&now.usage);
+    fn usage_line(&self, previous: &Sample, current: &Sample) -> String {
+        let usages = previous.usage.iter().zip(&current.usage);
         let controllers: Vec<String> = self
             .controllers
             .iter()
             .zip(usages)
-            .map(|(controller, (before, now))| format!("{} {}", controller.node_name, usage_text(before, now)))
+            .map(|(controller, (previous, current))| {
+                format!("{} {}", controller.node_name, usage_text(previous, current))
+            })
             .collect();
-        format!("{:5.0} s: {}; {}", self.elapsed_s(), controllers.join(", "), counts_text(&before.counts, &now.counts))
+        format!(
+            "{:5.0} s: {}; {}",
+            self.elapsed_s(),
+            controllers.join(", "),
+            counters_text(&previous.counters, &current.counters)
+        )
     }
 }
 
-fn per_second(before: f64, now: f64) -> f64 {
-    (now - before) / LINE_INTERVAL.as_secs_f64()
+fn per_second(previous: f64, current: f64) -> f64 {
+    (current - previous) / SAMPLE_INTERVAL.as_secs_f64()
 }
 
-fn usage_text(before: &ProcessUsage, now: &ProcessUsage) -> String {
+fn usage_text(previous: &ProcessUsage, current: &ProcessUsage) -> String {
     format!(
         "{:.1}+{:.1} ms/s {:.0} MiB {} sockets",
-        per_second(before.user_s, now.user_s) * 1000.0,
-        per_second(before.system_s, now.system_s) * 1000.0,
-        now.resident_mib,
-        now.sockets,
+        per_second(previous.user_s, current.user_s) * 1000.0,
+        per_second(previous.system_s, current.system_s) * 1000.0,
+        current.resident_mib,
+        current.sockets,
     )
 }
 
-fn counts_text(before: &Counts, now: &Counts) -> String {
+fn counters_text(previous: &AgentCounters, current: &AgentCounters) -> String {
     format!(
         "a second {:.0} reports, {:.0} redirects, {:.0} calls; {} leases lost",
-        per_second(before.heartbeats as f64, now.heartbeats as f64),
-        per_second(before.redirects as f64, now.redirects as f64),
-        per_second(before.calls as f64, now.calls as f64),
-        now.leases_lost,
+        per_second(previous.heartbeats as f64, current.heartbeats as f64),
+        per_second(previous.redirects as f64, current.redirects as f64),
+        per_second(previous.direct_calls as f64, current.direct_calls as f64),
+        current.leases_expired,
     )
 }
--- a/crates/load-test/src/process_usage.rs
+++ b/crates/load-test/src/process_usage.rs
@@ -1,46 +1,46 @@
-//! What a process uses, as the kernel counts it.
+//! Resource usage of a process, read from `/proc`.
 
 use std::fs;
 
-/// Clock ticks in a second in `/proc/PID/stat`, the same on all Linux systems of today.
+/// Clock ticks per second in `/proc/PID/stat` (`USER_HZ`), the same on all present Linux systems.
 const TICKS_PER_SECOND: f64 = 100.0;
-/// The field of `/proc/PID/stat` that follows the process's name, counted from 1.
-const FIRST_FIELD: usize = 3;
-/// The field with the processor time in the process's own code.
+/// Field of `/proc/PID/stat` that follows the process name, counted from 1.
+const FIRST_FIELD_AFTER_NAME: usize = 3;
+/// Field of `/proc/PID/stat` with the CPU time in user mode, in clock ticks.
 const USER_TIME_FIELD: usize = 14;
-/// The field with the processor time in the kernel.
+/// Field of `/proc/PID/stat` with the CPU time in kernel mode, in clock ticks.
 const SYSTEM_TIME_FIELD: usize = 15;
 
-/// What a process has used since its start.
+/// CPU time since the start of a process, and its present memory and sockets.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct ProcessUsage {
-    /// Processor time in its own code, in seconds.
+    /// CPU time in user mode, in seconds.
     pub user_s: f64,
-    /// Processor time in the kernel, in seconds.
+    /// CPU time in kernel mode, in seconds.
     pub system_s: f64,
-    /// Resident memory in MiB.
+    /// Resident memory, in MiB.
     pub resident_mib: f64,
-    /// Open sockets.
+    /// Number of open sockets.
     pub sockets: usize,
 }
 
 impl ProcessUsage {
-    /// The usage of a process; all 0 if it has ended.
+    /// Reads the usage of a process; all values are 0 if the process has ended.
     pub fn of(process: u32) -> ProcessUsage {
         let stat = fs::read_to_string(format!("/proc/{process}/stat")).unwrap_or_default();
         ProcessUsage {
-            user_s: processor_time_s(&stat, USER_TIME_FIELD),
-            system_s: processor_time_s(&stat, SYSTEM_TIME_FIELD),
+            user_s: cpu_time_s(&stat, USER_TIME_FIELD),
+            system_s: cpu_time_s(&stat, SYSTEM_TIME_FIELD),
             resident_mib: resident_mib(process),
             sockets: open_sockets(process),
         }
     }
 }
 
-fn processor_time_s(stat: &str, field: usize) -> f64 {
-    // The name stands in parentheses and may hold spaces.
+fn cpu_time_s(stat: &str, field: usize) -> f64 {
+    // The process name stands in parentheses and may contain spaces.
     let after_name = stat.rsplit(')').next().unwrap_or_default();
-    let text = after_name.split_whitespace().nth(field - FIRST_FIELD);
+    let text = after_name.split_whitespace().nth(field - FIRST_FIELD_AFTER_NAME);
     let ticks: Option<f64> = text.and_then(|text| text.parse().ok());
     ticks.unwrap_or(0.0) / TICKS_PER_SECOND
 }
