--- a/crates/net/src/effects.rs
+++ b/crates/net/src/effects.rs
@@ -5,11 +5,11 @@
 
 use crate::client::HttpResponse;
 use crate::config::NetworkConfig;
-use crate::forwarding::{self, ForwardedRequests};
 use crate::peer_links::{LinkConfig, PeerEvent, PeerLinks};
 use crate::pending_responses::PendingResponses;
+use crate::relay::{self, RelayedRequests};
 use crate::server::{ClientRequest, PendingRequest};
-use crate::services::{CloudClient, KvClient, WorkerClient};
+use crate::services::{AgentClient, CloudClient, KvClient};
 use crate::socket_budget::SocketBudget;
 use shaleshunt_core::io::{Command, Effect, RequestId};
 use shaleshunt_core::{Event, KvRequest, Settings, Severity};
@@ -27,9 +27,9 @@
     node_name: String,
     kv: KvClient,
     cloud: CloudClient,
-    workers: WorkerClient,
+    agents: AgentClient,
     peers: PeerLinks,
-    forwarded: ForwardedRequests,
+    relayed: RelayedRequests,
     responses: PendingResponses,
     /// Takes the results of requests.
     results: mpsc::Sender<Command>,
@@ -56,9 +56,9 @@
             node_name: settings.node_name.clone(),
             kv: KvClient::new(sockets, &config.kv_address, timeout),
             cloud: CloudClient::new(sockets, &config.cloud_address, timeout, settings.cloud_rps),
-            workers: WorkerClient::new(sockets, timeout),
+            agents: AgentClient::new(sockets, timeout),
             peers: PeerLinks::open(&config.peers, &links),
-            forwarded: ForwardedRequests::new(),
+            relayed: RelayedRequests::new(),
             responses: PendingResponses::new(),
             results,
             max_connection_idle: Duration::from_secs_f64(settings.lease_s),
@@ -84,11 +84,11 @@
             PeerEvent::Disconnected(peer) => Some(Command::PeerDisconnected(peer)),
             PeerEvent::Frame { from, frame: Frame::ForwardedRequest { id, body } } => {
                 let link_back = self.peers.get(&from);
-                tokio::task::spawn_local(forwarding::execute_for_peer(self.kv.clone(), link_back, id, body));
+                tokio::task::spawn_local(relay::execute_for_peer(self.kv.clone(), link_back, id, body));
                 None
             }
             PeerEvent::Frame { frame: Frame::ForwardedResponse { id, status, body }, .. } => {
-                self.forwarded.respond(id, HttpResponse { status, body });
+                self.relayed.respond(id, HttpResponse { status, body });
                 None
             }
             PeerEvent::Frame { from, frame } => Some(Command::Peer(from, frame)),
@@ -107,15 +107,15 @@
                 self.spawn(async move { Command::Cloud(id, call.await) });
             }
             Effect::DirectCommands(id, address, commands) => {
-                let workers = self.workers.clone();
-                self.spawn(async move { Command::DirectCommands(id, workers.execute(&address, &commands).await) });
+                let agents = self.agents.clone();
+                self.spawn(async move { Command::DirectCommands(id, agents.execute(&address, &commands).await) });
             }
         }
     }
 
     /// Closes connections to other services that have not been used for long.
     pub(crate) fn close_idle_connections(&self) {
-        for client in [self.workers.http(), self.kv.http(), self.cloud.http()] {
+        for client in [self.agents.http(), self.kv.http(), self.cloud.http()] {
             client.close_idle(self.max_connection_idle);
         }
     }
@@ -125,10 +125,10 @@
         let link = relay.and_then(|peer| self.peers.get(&peer));
         let kv = self.kv.clone();
         if let Some(link) = link {
-            let forwarded = self.forwarded.next();
+            let relayed = self.relayed.next();
             self.spawn(async move {
                 let timeout = kv.timeout(&request);
-                Command::Kv(id, forwarded.execute(&link, &request, timeout).await)
+                Command::Kv(id, relayed.execute(&link, &request, timeout).await)
             });
         } else {
             self.spawn(async move { Command::Kv(id, kv.execute(&request).await) });
--- a/crates/net/src/idle_time.rs
+++ b/crates/net/src/idle_time.rs
@@ -11,7 +11,7 @@
     /// A machine's heartbeat, answered with commands: it sends another when they have been executed.
     HeartbeatWithCommands,
     /// A machine's heartbeat that this controller did not take: it goes to another one.
-    HeartbeatElsewhere,
+    HeartbeatRefused,
     /// A user's request.
     User,
     /// The load balancer's.
@@ -36,7 +36,7 @@
     pub fn new(heartbeat_interval: Duration) -> IdleTimeEstimator {
         let initial_s = heartbeat_interval.as_secs_f64();
         let estimator = IdleTimeEstimator { means_s: std::array::from_fn(|_| Cell::new(initial_s)) };
-        estimator.mean_s(RequestKind::HeartbeatElsewhere).set(f64::INFINITY);
+        estimator.mean_s(RequestKind::HeartbeatRefused).set(f64::INFINITY);
         estimator.mean_s(RequestKind::HeartbeatWithCommands).set(0.0);
         estimator
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -12,7 +12,7 @@
 //! | [`server`], [`connections`], [`idle_time`] | HTTP for users, workers and health checks |
 //! | `services`, [`protocol`] | requests to the key-value store, the cloud and workers |
 //! | [`client`], [`semaphore`] | HTTP connections to them, and who may use them first |
-//! | `peer_links`, `forwarding` | frames between controllers, and requests forwarded in them |
+//! | `peer_links`, `relay` | frames between controllers, and requests forwarded in them |
 //! | [`socket_budget`], [`rate_limiter`] | limits that hold for the whole process |
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
@@ -31,11 +31,11 @@
 mod effects;
 mod error;
 mod event_loop;
-mod forwarding;
 mod http_status;
 mod loop_metrics;
 mod peer_links;
 mod pending_responses;
+mod relay;
 mod services;
 mod task;
 
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -1,8 +1,8 @@
 //! How requests to other services are written as HTTP, and what their responses mean.
 
+pub mod agent;
 pub mod cloud;
 pub mod kv;
-pub mod worker;
 
 use crate::client::Call;
 use crate::semaphore::CallPriority;
--- a/crates/net/src/forwarding.rs
+++ b/crates/net/src/relay.rs
@@ -16,29 +16,29 @@
 use tokio::sync::oneshot;
 
 /// Bytes of a frame around the body of a response, with room to spare.
-const FRAME_OVERHEAD: usize = 1024;
+const FRAME_OVERHEAD_BYTES: usize = 1024;
 /// Largest body of a response that is sent back to a peer.
-const MAX_FORWARDED_BODY: usize = shaleshunt_peer::MAX_FRAME_BYTES - FRAME_OVERHEAD;
+const MAX_RELAYED_BODY_BYTES: usize = shaleshunt_peer::MAX_FRAME_BYTES - FRAME_OVERHEAD_BYTES;
 
 type Responders = Rc<RefCell<HashMap<u64, oneshot::Sender<HttpResponse>>>>;
 
 /// This controller's requests that peers have been asked to forward.
-pub(crate) struct ForwardedRequests {
+pub(crate) struct RelayedRequests {
     last_id: u64,
     responders: Responders,
 }
 
-impl ForwardedRequests {
-    pub(crate) fn new() -> ForwardedRequests {
+impl RelayedRequests {
+    pub(crate) fn new() -> RelayedRequests {
         // Numbers begin anywhere, so that a response to an earlier process, which may come just after a
         // restart, is not taken for one to this process.
-        ForwardedRequests { last_id: rand::random(), responders: Rc::default() }
+        RelayedRequests { last_id: rand::random(), responders: Rc::default() }
     }
 
     /// A number for a request that is about to be sent.
-    pub(crate) fn next(&mut self) -> ForwardedRequest {
+    pub(crate) fn next(&mut self) -> RelayedRequest {
         self.last_id = self.last_id.wrapping_add(1);
-        ForwardedRequest { id: self.last_id, responders: self.responders.clone() }
+        RelayedRequest { id: self.last_id, responders: self.responders.clone() }
     }
 
     /// Takes a peer's response to a request; one that nobody waits for any longer is ignored.
@@ -50,12 +50,12 @@
 }
 
 /// A numbered request; forgotten when dropped.
-pub(crate) struct ForwardedRequest {
+pub(crate) struct RelayedRequest {
     id: u64,
     responders: Responders,
 }
 
-impl ForwardedRequest {
+impl RelayedRequest {
     /// Sends a request through a peer and waits for the response.
     ///
     /// # Errors
@@ -78,7 +78,7 @@
     }
 }
 
-impl Drop for ForwardedRequest {
+impl Drop for RelayedRequest {
     fn drop(&mut self) {
         self.responders.borrow_mut().remove(&self.id);
     }
@@ -99,7 +99,7 @@
 fn response_for_peer(request: &KvRequest, result: Result<HttpResponse, RequestError>) -> HttpResponse {
     let without_body = |status| HttpResponse { status, body: Bytes::new() };
     match result {
-        Ok(response) if response.body.len() <= MAX_FORWARDED_BODY => response,
+        Ok(response) if response.body.len() <= MAX_RELAYED_BODY_BYTES => response,
         // A response that no frame can hold is none. To a watch it means to read anew.
         Ok(_) if matches!(request, KvRequest::Watch { .. }) => without_body(GONE),
         Ok(_) => without_body(NO_RESPONSE),
--- a/crates/net/src/forwarding/tests.rs
+++ b/crates/net/src/relay/tests.rs
@@ -12,8 +12,8 @@
 fn a_peer_is_told_what_it_would_have_understood_itself() {
     let get = KvRequest::Get { key: "k".into() };
     let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, max_wait_ms: 0 };
-    let large = || Ok(HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY + 1) });
-    let fits = HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY) };
+    let large = || Ok(HttpResponse { status: 200, body: body(MAX_RELAYED_BODY_BYTES + 1) });
+    let fits = HttpResponse { status: 200, body: body(MAX_RELAYED_BODY_BYTES) };
     assert_eq!(response_for_peer(&get, Ok(fits.clone())), fits);
     assert_eq!(status_for_peer(&get, large()), NO_RESPONSE);
     assert_eq!(status_for_peer(&watch, large()), GONE);
@@ -24,7 +24,7 @@
 
 #[test]
 fn a_request_that_is_given_up_leaves_nothing_behind() {
-    let mut requests = ForwardedRequests::new();
+    let mut requests = RelayedRequests::new();
     let request = requests.next();
     let (responder, _response) = oneshot::channel();
     requests.responders.borrow_mut().insert(request.id, responder);
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -199,7 +199,7 @@
     // What is reserved for users and health checks is not for machines: they go to another controller.
     if admission == Admission::Reserved && matches!(request, ClientRequest::Heartbeat(_)) {
         let response = responses::rejected(&Rejection::ReservedForUsers);
-        return Handled { kind: RequestKind::HeartbeatElsewhere, response };
+        return Handled { kind: RequestKind::HeartbeatRefused, response };
     }
     let kind = request_kind(&request);
     match ask_core(request, requests, config.response_timeout).await {
@@ -221,7 +221,7 @@
     match (kind, answer) {
         (RequestKind::Heartbeat, Answer::Heartbeat(reply)) if reply.commands.is_empty() => RequestKind::Heartbeat,
         (RequestKind::Heartbeat, Answer::Heartbeat(_)) => RequestKind::HeartbeatWithCommands,
-        (RequestKind::Heartbeat, _) => RequestKind::HeartbeatElsewhere,
+        (RequestKind::Heartbeat, _) => RequestKind::HeartbeatRefused,
         (other, _) => other,
     }
 }
--- a/crates/net/src/services/worker.rs
+++ b/crates/net/src/services/agent.rs
@@ -10,16 +10,16 @@
 
 /// A client of all workers.
 #[derive(Clone)]
-pub(crate) struct WorkerClient {
+pub(crate) struct AgentClient {
     http: Client,
     timeout: Duration,
 }
 
-impl WorkerClient {
-    pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> WorkerClient {
+impl AgentClient {
+    pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> AgentClient {
         // A machine that does not even accept a connection is given up sooner.
         let connect_timeout = timeout / 2;
-        WorkerClient { http: Client::new(sockets, sockets.worker_calls(), connect_timeout), timeout }
+        AgentClient { http: Client::new(sockets, sockets.agent_calls(), connect_timeout), timeout }
     }
 
     /// Sends commands to the worker at an address and reads the response.
@@ -28,10 +28,10 @@
         address: &str,
         commands: &DirectCommands,
     ) -> Result<DirectCommandsReply, RequestError> {
-        let priority = protocol::worker::priority(commands);
-        let encoded = protocol::worker::encode(commands);
+        let priority = protocol::agent::priority(commands);
+        let encoded = protocol::agent::encode(commands);
         let response = self.http.send(encoded.call(address, self.timeout, priority)).await?;
-        protocol::worker::decode(&response)
+        protocol::agent::decode(&response)
     }
 
     pub(crate) fn http(&self) -> &Client {
--- a/crates/net/src/socket_budget.rs
+++ b/crates/net/src/socket_budget.rs
@@ -49,7 +49,7 @@
     }
 
     /// Concurrent calls to workers: an eighth.
-    pub fn worker_calls(&self) -> usize {
+    pub fn agent_calls(&self) -> usize {
         (self.limit / 8).max(4)
     }
 
--- a/crates/net/src/socket_budget/tests.rs
+++ b/crates/net/src/socket_budget/tests.rs
@@ -8,7 +8,7 @@
         let budget = SocketBudget::new(limit);
         let all = budget.client_connections()
             + budget.reserved_connections()
-            + budget.worker_calls()
+            + budget.agent_calls()
             + budget.kv_requests()
             + budget.cloud_requests()
             + budget.peer_connections();
