--- a/crates/net/src/client.rs
+++ b/crates/net/src/client.rs
@@ -1,5 +1,5 @@
-//! An HTTP client for all services that a controller calls: kept connections, one request at a time on
-//! each, and errors that tell whether a request may have been executed.
+//! The HTTP client for the services that a controller calls. It pools connections, sends one request at a time on each,
+//! and its errors tell whether a request may have been executed.
 
 use crate::semaphore::{CallPriority, PrioritySemaphore};
 use crate::socket_budget::SocketBudget;
@@ -17,11 +17,11 @@
 use tokio::net::TcpStream;
 use tokio::time::Instant;
 
-/// Largest body of a response that is accepted, in bytes.
-const MAX_RESPONSE_BODY: usize = 8 * 1024 * 1024;
+/// A response with a larger body is an error.
+const MAX_RESPONSE_BODY_BYTES: usize = 8 * 1024 * 1024;
 
-/// Largest buffer of a connection, in bytes.
-const MAX_CONNECTION_BUFFER: usize = 1024 * 1024;
+/// Limit of a connection's buffer.
+const MAX_CONNECTION_BUFFER_BYTES: usize = 1024 * 1024;
 
 type Sender = SendRequest<Full<Bytes>>;
 
@@ -36,13 +36,13 @@
     pub path: &'a str,
     /// Body, empty for none.
     pub body: Bytes,
-    /// Longest time to wait for a permit, and then again for the response.
+    /// Timeout for the wait for a permit, and again for the response.
     pub timeout: Duration,
-    /// Who goes first where some have to wait.
+    /// Order among calls that wait for a permit.
     pub priority: CallPriority,
 }
 
-/// A service's response.
+/// A service's response, of any status.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HttpResponse {
     /// HTTP status.
@@ -51,13 +51,13 @@
     pub body: Bytes,
 }
 
-/// A connection that is not in use.
+/// A pooled connection without a request in flight.
 struct IdleConnection {
-    since: Instant,
+    idle_since: Instant,
     sender: Sender,
 }
 
-/// Connections to any number of addresses, shared by clones.
+/// A client with a connection pool for any number of addresses. Clones share the pool and the limits.
 #[derive(Clone)]
 pub struct Client {
     idle: Rc<RefCell<HashMap<String, Vec<IdleConnection>>>>,
@@ -67,7 +67,7 @@
 }
 
 impl Client {
-    /// A client that executes at most `max_calls` calls at the same time.
+    /// A client with at most `max_calls` calls in flight. `connect_timeout` is in addition to a call's own timeout.
     pub fn new(sockets: &SocketBudget, max_calls: usize, connect_timeout: Duration) -> Client {
         Client {
             idle: Rc::default(),
@@ -81,9 +81,9 @@
     ///
     /// # Errors
     ///
-    /// - [`RequestError::LocalOverload`]: no permit within the timeout;
-    /// - [`RequestError::NotSent`]: no connection, so the request was surely not executed;
-    /// - [`RequestError::OutcomeUnknown`]: no complete response, so the request may have been executed;
+    /// - [`RequestError::LocalOverload`]: no permit became available within the timeout;
+    /// - [`RequestError::NotSent`]: there was no connection, so the request was certainly not executed;
+    /// - [`RequestError::OutcomeUnknown`]: no complete response arrived, so the request may have been executed;
     /// - [`RequestError::ResponseTooLong`]: the response's body is larger than 8 MiB.
     pub async fn send(&self, call: Call<'_>) -> Result<HttpResponse, RequestError> {
         let timeout = call.timeout;
@@ -94,16 +94,16 @@
         let request = build_request(call)?;
         let exchange = exchange(&mut sender, request);
         let response = tokio::time::timeout(timeout, exchange).await.map_err(|_| RequestError::OutcomeUnknown)??;
-        self.keep(address, sender);
+        self.return_to_pool(address, sender);
         Ok(response)
     }
 
-    /// Closes connections that have not been used for `max_idle`: the other side may be long gone without
-    /// a word. While sockets are scarce the oldest are closed first, whatever their age.
+    /// Closes connections that have been idle for `max_idle`, because the other side may be gone without having closed
+    /// them. While too many sockets are open, further connections are closed, those idle for longest first.
     pub fn close_idle(&self, max_idle: Duration) {
         let now = Instant::now();
         self.retain_idle(|connection| {
-            !connection.sender.is_closed() && now.duration_since(connection.since) < max_idle
+            !connection.sender.is_closed() && now.duration_since(connection.idle_since) < max_idle
         });
         let excess = self.sockets.excess();
         if excess > 0 {
@@ -111,13 +111,13 @@
         }
     }
 
-    /// Closes `count` idle connections, or all if there are fewer.
+    /// Closes the `count` connections that have been idle for longest, or all if there are fewer.
     fn close_oldest(&self, count: usize) {
-        let mut since: Vec<Instant> = self.idle.borrow().values().flatten().map(|idle| idle.since).collect();
-        since.sort_unstable();
-        let newest_to_close = since.get(count.min(since.len()).saturating_sub(1)).copied();
+        let mut idle_since: Vec<Instant> = self.idle.borrow().values().flatten().map(|idle| idle.idle_since).collect();
+        idle_since.sort_unstable();
+        let newest_to_close = idle_since.get(count.min(idle_since.len()).saturating_sub(1)).copied();
         if let Some(newest_to_close) = newest_to_close {
-            self.retain_idle(|connection| connection.since > newest_to_close);
+            self.retain_idle(|connection| connection.idle_since > newest_to_close);
         }
     }
 
@@ -128,21 +128,21 @@
         });
     }
 
-    /// Keeps a connection for the next request, unless sockets are scarce.
-    fn keep(&self, address: &str, sender: Sender) {
+    /// Returns a connection to the pool, or closes it while too many sockets are open.
+    fn return_to_pool(&self, address: &str, sender: Sender) {
         if sender.is_closed() || !self.sockets.has_room() {
             return;
         }
-        let connection = IdleConnection { since: Instant::now(), sender };
+        let connection = IdleConnection { idle_since: Instant::now(), sender };
         self.idle.borrow_mut().entry(address.to_string()).or_default().push(connection);
     }
 
-    /// A kept connection that still works, or a new one.
+    /// A pooled connection that is still open, or a new one.
     async fn connection(&self, address: &str) -> Result<Sender, RequestError> {
-        while let Some(mut kept) = self.take_idle(address) {
-            // A connection that the other side has closed is found out here, before the request.
-            if !kept.sender.is_closed() && kept.sender.ready().await.is_ok() {
-                return Ok(kept.sender);
+        while let Some(mut pooled) = self.take_idle(address) {
+            // Detects a connection that the other side has closed before the request is written to it.
+            if !pooled.sender.is_closed() && pooled.sender.ready().await.is_ok() {
+                return Ok(pooled.sender);
             }
         }
         self.connect(address).await
@@ -156,17 +156,17 @@
         let socket = self.sockets.open();
         let connect = tokio::time::timeout(self.connect_timeout, TcpStream::connect(address));
         let stream = connect.await.map_err(|_| RequestError::NotSent)?.map_err(|_| RequestError::NotSent)?;
-        // Only a matter of speed.
+        // Without TCP_NODELAY requests are only delayed, so a failure is ignored.
         let _ = stream.set_nodelay(true);
         let (sender, connection) = hyper::client::conn::http1::Builder::new()
-            .max_buf_size(MAX_CONNECTION_BUFFER)
+            .max_buf_size(MAX_CONNECTION_BUFFER_BYTES)
             .handshake(TokioIo::new(stream))
             .await
             .map_err(|_| RequestError::NotSent)?;
-        // Ends, and gives the socket back, when the sender is dropped or the other side closes.
+        // The task ends, and releases the socket, when the sender is dropped or the other side closes the connection.
         tokio::task::spawn_local(async move {
             let _socket = socket;
-            // Errors reach the caller through its sender.
+            // Errors of the connection reach the caller through the sender.
             let _ = connection.await;
         });
         Ok(sender)
@@ -185,7 +185,7 @@
 
 async fn exchange(sender: &mut Sender, request: Request<Full<Bytes>>) -> Result<HttpResponse, RequestError> {
     let response = sender.send_request(request).await.map_err(|error| {
-        // Never written: the connection had been closed before.
+        // A cancelled request was never written, because the connection was already closed.
         if error.is_canceled() { RequestError::NotSent } else { RequestError::OutcomeUnknown }
     })?;
     let status = response.status().as_u16();
@@ -194,7 +194,7 @@
 }
 
 async fn read_body(response: Response<Incoming>) -> Result<Bytes, RequestError> {
-    let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY).collect().await;
+    let body = Limited::new(response.into_body(), MAX_RESPONSE_BODY_BYTES).collect().await;
     match body {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => Err(RequestError::ResponseTooLong),
--- a/crates/net/src/config.rs
+++ b/crates/net/src/config.rs
@@ -1,27 +1,27 @@
-//! Addresses and limits of a controller.
+//! Configuration of a controller's network interfaces.
 
-/// What a controller's input and output are set up with. Addresses are `host:port`.
+/// Addresses and the socket limit of a controller. Addresses are `host:port`.
 #[derive(Debug, Clone)]
 pub struct NetworkConfig {
-    /// Where users, workers and health checks connect.
+    /// Listening address for users, agents and health checks.
     pub client_address: String,
-    /// Where the other controllers connect.
+    /// Listening address for the other controllers.
     pub peer_address: String,
     /// The other controllers.
     pub peers: Vec<PeerAddress>,
-    /// The key-value store.
+    /// Address of the key-value store.
     pub kv_address: String,
-    /// The cloud.
+    /// Address of the cloud.
     pub cloud_address: String,
-    /// Most sockets that the process may have open.
+    /// Most sockets that the process may have open at the same time.
     pub max_sockets: usize,
 }
 
-/// Another controller and where it listens for its peers.
+/// Another controller and its listening address for peers.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerAddress {
-    /// Its name, by which the core addresses it.
+    /// Node name, by which the core addresses this peer.
     pub name: String,
-    /// Its peer address.
+    /// The peer's own `peer_address`.
     pub address: String,
 }
--- a/crates/net/src/connections.rs
+++ b/crates/net/src/connections.rs
@@ -1,9 +1,8 @@
-//! Open connections of the HTTP server, and the closing of those that nobody uses or that have to make
-//! room.
+//! The open connections of the HTTP server, and the policy that closes idle ones.
 //!
-//! A fleet may have more machines than there are sockets. Then connections are closed with the response to
-//! a request, so that nothing is lost: first those whose next request is expected last. One clock for all
-//! idle connections is cheaper than a timer for each request.
+//! A fleet may have more machines than the server has sockets. The server then closes connections together with the
+//! response to a request, so that no request is lost, beginning with those whose next request is expected last. All
+//! connections share one coarse idle clock, which costs less than a timer for each request.
 
 use crate::idle_time::{IdleTimeEstimator, RequestKind};
 use crate::socket_budget::OpenSocket;
@@ -14,54 +13,54 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Steps of the idle clock in the longest idle time.
-const IDLE_CLOCK_STEPS: u32 = 8;
+/// Resolution of the idle clock.
+const IDLE_CLOCK_TICKS_PER_TIMEOUT: u32 = 8;
 
-/// Share of the connections that is kept open between requests; the rest is for those that come.
-const KEPT_SHARE: f64 = 7.0 / 8.0;
+/// Fraction of the connections that may stay open between requests. The rest is room for new connections.
+const KEEP_ALIVE_FRACTION: f64 = 7.0 / 8.0;
 
-/// How many connections there may be.
+/// Limits of the number of open connections.
 #[derive(Debug, Clone, Copy)]
 pub struct ConnectionLimits {
-    /// For everybody.
+    /// Connections for any client.
     pub max: usize,
-    /// Beyond those, for users and health checks.
+    /// Further connections, for users and health checks only.
     pub reserved: usize,
 }
 
 impl ConnectionLimits {
-    /// Connections that are kept between requests, whatever they bring.
-    fn kept(&self) -> usize {
-        (self.max as f64 * KEPT_SHARE) as usize
+    /// Up to this number of open connections, each stays open after a response.
+    fn keep_all_limit(&self) -> usize {
+        (self.max as f64 * KEEP_ALIVE_FRACTION) as usize
     }
 
-    /// Connections beyond which none is kept.
-    fn crowded(&self) -> usize {
-        self.kept().midpoint(self.max)
+    /// Above this number of open connections, each is closed after a response, except those of health checks.
+    fn keep_any_limit(&self) -> usize {
+        self.keep_all_limit().midpoint(self.max)
     }
 }
 
-/// Whom a new connection may serve.
+/// Which clients a new connection may serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Admission {
-    /// Anybody.
+    /// Any client.
     Open,
-    /// Users and health checks: the others have taken their share.
+    /// Users and health checks only, because the connections for any client are all in use.
     Reserved,
-    /// Nobody: there is no room.
+    /// None, because all connections are in use.
     Refused,
 }
 
-/// What becomes of a connection once a response is written.
+/// What happens to a connection after a response is written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AfterResponse {
-    /// It stays open for the next request.
+    /// The connection stays open for the next request.
     KeepAlive,
-    /// It is closed.
+    /// The connection is closed.
     Close,
 }
 
-/// All open connections of a server; they are closed when this is dropped.
+/// All open connections of a server. Dropping this value closes them.
 pub struct Connections {
     table: Rc<Table>,
     _idle_check: AbortOnDrop,
@@ -70,7 +69,7 @@
 struct Table {
     limits: ConnectionLimits,
     idle_times: IdleTimeEstimator,
-    /// Steps of the idle clock so far.
+    /// Ticks of the idle clock so far, wrapping.
     idle_clock: Cell<u32>,
     next_number: Cell<u64>,
     open: RefCell<HashMap<u64, Connection>>,
@@ -82,39 +81,39 @@
     _task: AbortOnDrop,
 }
 
-/// Whether a connection is in use.
+/// Whether a request is in flight on a connection.
 #[derive(Debug, Clone, Copy)]
 enum Usage {
-    /// No request is being handled since this step of the idle clock.
+    /// No request has been in flight since this tick of the idle clock.
     IdleSince(u32),
-    /// A request is being handled.
+    /// A request is in flight.
     Busy,
 }
 
-/// A request whose response has been written, and when.
+/// A request that has been answered, with the time of the answer.
 #[derive(Debug, Clone, Copy)]
 struct FinishedRequest {
     kind: RequestKind,
     at: Instant,
 }
 
-/// What the handler of a connection tells of its requests.
+/// The handle with which a connection's task reports the start and the end of its requests.
 #[derive(Clone)]
 pub struct ConnectionActivity {
     table: Rc<Table>,
     admission: Admission,
     usage: Rc<Cell<Usage>>,
-    /// The last request, while the time to the next one is of interest.
+    /// The last request, if the time until the next one is to be measured; that is done only under pressure.
     last: Rc<Cell<Option<FinishedRequest>>>,
 }
 
 impl ConnectionActivity {
-    /// Whom this connection may serve.
+    /// Which clients this connection may serve.
     pub fn admission(&self) -> Admission {
         self.admission
     }
 
-    /// Notes that a request has arrived.
+    /// Marks the connection as busy.
     pub fn begin_request(&self) {
         self.usage.set(Usage::Busy);
         if let Some(last) = self.last.take() {
@@ -122,7 +121,7 @@
         }
     }
 
-    /// Notes that the response is ready; says what becomes of the connection.
+    /// Marks the connection as idle and decides whether it stays open.
     pub fn end_request(&self, kind: RequestKind) -> AfterResponse {
         self.usage.set(Usage::IdleSince(self.table.idle_clock.get()));
         if self.table.under_pressure() {
@@ -133,8 +132,8 @@
 }
 
 impl Connections {
-    /// No connections yet. Those idle for longer than `idle_timeout` will be closed; a head that arrives
-    /// more slowly counts as idle too.
+    /// An empty set of connections. A connection idle for longer than `idle_timeout` is closed. Waiting for the
+    /// complete head of a request counts as idle.
     pub fn new(limits: ConnectionLimits, heartbeat_interval: Duration, idle_timeout: Duration) -> Connections {
         let table = Rc::new(Table {
             limits,
@@ -147,7 +146,7 @@
         Connections { table, _idle_check: idle_check.into() }
     }
 
-    /// Whether a new connection finds room.
+    /// Which clients a connection opened now may serve.
     pub fn admit(&self) -> Admission {
         let limits = self.table.limits;
         match self.open_count() {
@@ -157,12 +156,12 @@
         }
     }
 
-    /// How many are open.
+    /// Number of open connections.
     pub fn open_count(&self) -> usize {
         self.table.open_count()
     }
 
-    /// Serves a new connection in a task of its own; it counts as open until the future ends.
+    /// Serves a new connection in its own task. The connection counts as open until the future ends.
     pub fn spawn<F, S>(&self, socket: OpenSocket, admission: Admission, serve: S)
     where
         F: Future<Output = ()> + 'static,
@@ -188,7 +187,7 @@
 
 impl Drop for Connections {
     fn drop(&mut self) {
-        // Their tasks hold the table too, so it would outlive this.
+        // The tasks of the connections hold the table too, so without this it would outlive the server.
         self.table.open.borrow_mut().clear();
     }
 }
@@ -198,16 +197,16 @@
         self.open.borrow().len()
     }
 
-    /// Whether so many are open that some will soon have to go.
+    /// Whether so many connections are open that some may soon have to be closed.
     fn under_pressure(&self) -> bool {
-        self.open_count() * 2 > self.limits.kept()
+        self.open_count() * 2 > self.limits.keep_all_limit()
     }
 
     fn after_response(&self, kind: RequestKind, admission: Admission) -> AfterResponse {
-        if self.is_kept(kind, admission) { AfterResponse::KeepAlive } else { AfterResponse::Close }
+        if self.is_kept_alive(kind, admission) { AfterResponse::KeepAlive } else { AfterResponse::Close }
     }
 
-    fn is_kept(&self, kind: RequestKind, admission: Admission) -> bool {
+    fn is_kept_alive(&self, kind: RequestKind, admission: Admission) -> bool {
         if kind == RequestKind::HealthCheck {
             return true;
         }
@@ -215,20 +214,21 @@
             return false;
         }
         let open = self.open_count();
-        open <= self.limits.kept() || open <= self.limits.crowded() && !self.idle_times.is_longest(kind)
+        open <= self.limits.keep_all_limit()
+            || open <= self.limits.keep_any_limit() && !self.idle_times.is_longest(kind)
     }
 
     fn is_expired(&self, connection: &Connection) -> bool {
         match connection.usage.get() {
-            Usage::IdleSince(step) => self.idle_clock.get().wrapping_sub(step) > IDLE_CLOCK_STEPS,
+            Usage::IdleSince(tick) => self.idle_clock.get().wrapping_sub(tick) > IDLE_CLOCK_TICKS_PER_TIMEOUT,
             Usage::Busy => false,
         }
     }
 }
 
-/// Closes connections that have been idle for too long, for ever.
+/// Advances the idle clock and closes connections that have been idle for too long, without end.
 async fn close_idle(table: Rc<Table>, idle_timeout: Duration) {
-    let mut interval = tokio::time::interval(idle_timeout / IDLE_CLOCK_STEPS);
+    let mut interval = tokio::time::interval(idle_timeout / IDLE_CLOCK_TICKS_PER_TIMEOUT);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
--- a/crates/net/src/effects.rs
+++ b/crates/net/src/effects.rs
@@ -1,7 +1,7 @@
-//! Executes the effects that the core hands out.
+//! Executes the effects that the core returns.
 //!
-//! Requests to other services run in tasks of their own, which end with their timeouts; each brings its
-//! result back to the event loop as a command.
+//! Each request to another service runs in its own task, bounded by the request's timeout. The result returns to the
+//! event loop as a command.
 
 use crate::client::HttpResponse;
 use crate::config::NetworkConfig;
@@ -17,12 +17,13 @@
 use std::time::Duration;
 use tokio::sync::mpsc;
 
-/// Share of the heartbeat interval that another service has for a response.
-const TIMEOUT_INTERVALS: f64 = 0.4;
-/// Frames that may wait for a peer, at the least.
+/// Fraction of the heartbeat interval after which a request to another service times out. Requests to the cloud have a
+/// multiple of this, and a watch also has the time that the store may wait for a change.
+const REQUEST_TIMEOUT_HEARTBEAT_FRACTION: f64 = 0.4;
+/// Least capacity of a link's queue, for low request rates of the store.
 const MIN_QUEUED_FRAMES: usize = 64;
 
-/// All that is needed to execute effects.
+/// Executes effects with clients of the other services, links to the peers and the responders of pending requests.
 pub(crate) struct EffectExecutor {
     node_name: String,
     kv: KvClient,
@@ -31,25 +32,26 @@
     peers: PeerLinks,
     relayed: RelayedRequests,
     responses: PendingResponses,
-    /// Takes the results of requests.
+    /// Sends the results of requests to the event loop.
     results: mpsc::Sender<Command>,
-    /// An unused connection to another service is closed after this time.
+    /// Connections to other services that stay idle for this long are closed.
     max_connection_idle: Duration,
 }
 
 impl EffectExecutor {
-    /// Opens the links to the peers; all other connections are opened when they are needed.
+    /// Opens the links to the peers; all other connections are opened on demand.
     pub(crate) fn new(
         settings: &Settings,
         config: &NetworkConfig,
         sockets: &SocketBudget,
         results: mpsc::Sender<Command>,
     ) -> EffectExecutor {
-        let timeout = Duration::from_secs_f64(settings.heartbeat_interval_s).mul_f64(TIMEOUT_INTERVALS);
+        let timeout =
+            Duration::from_secs_f64(settings.heartbeat_interval_s).mul_f64(REQUEST_TIMEOUT_HEARTBEAT_FRACTION);
         let links = LinkConfig {
             own_name: settings.node_name.clone(),
             timeout,
-            // Forwarded requests come at the rate of the key-value store and leave with each batch.
+            // Relayed requests arrive at most at the store's request rate, and each write to a link empties its queue.
             max_queued_frames: (settings.kv_rps as usize).max(MIN_QUEUED_FRAMES),
         };
         EffectExecutor {
@@ -65,7 +67,7 @@
         }
     }
 
-    /// Numbers a client's request, so that the effect with its answer finds the client.
+    /// Registers a client's request under a new identifier, with which the core's answer finds the client.
     pub(crate) fn accept(&mut self, pending: PendingRequest) -> Command {
         let id = self.responses.add(pending.responder);
         match pending.request {
@@ -77,8 +79,8 @@
         }
     }
 
-    /// Takes what comes from a peer. Forwarded requests and responses concern only the clients of the
-    /// key-value store; all else is a command.
+    /// Handles relayed requests and responses, which concern only the key-value store's client, and turns every other
+    /// event of a peer into a command.
     pub(crate) fn handle_peer_event(&mut self, event: PeerEvent) -> Option<Command> {
         match event {
             PeerEvent::Disconnected(peer) => Some(Command::PeerDisconnected(peer)),
@@ -95,7 +97,7 @@
         }
     }
 
-    /// Executes one effect, or starts to.
+    /// Executes one effect; requests to other services are only started.
     pub(crate) fn execute(&mut self, effect: Effect) {
         match effect {
             Effect::Answer(id, answer) => self.responses.respond(id, answer),
@@ -113,14 +115,14 @@
         }
     }
 
-    /// Closes connections to other services that have not been used for long.
+    /// Closes connections to other services that have been idle for too long.
     pub(crate) fn close_idle_connections(&self) {
         for client in [self.agents.http(), self.kv.http(), self.cloud.http()] {
             client.close_idle(self.max_connection_idle);
         }
     }
 
-    /// Sends a request to the key-value store: through a peer if one is named and known, or else directly.
+    /// Sends a request to the key-value store: through the peer `relay` if it is given and configured, else directly.
     fn send_kv(&mut self, id: RequestId, request: KvRequest, relay: Option<String>) {
         let link = relay.and_then(|peer| self.peers.get(&peer));
         let kv = self.kv.clone();
@@ -135,19 +137,19 @@
         }
     }
 
-    /// Runs a request in a task of its own; its result becomes a command.
+    /// Runs a request in its own task and sends the result to the event loop.
     fn spawn(&self, request: impl Future<Output = Command> + 'static) {
         let results = self.results.clone();
         tokio::task::spawn_local(async move {
             let result = request.await;
-            // Fails only when the process ends.
+            // Sending fails only while the process shuts down.
             let _ = results.send(result).await;
         });
     }
 
     fn log(&self, event: &Event) {
         let (node, name, details) = (self.node_name.as_str(), event.name(), event.details());
-        // `message` is written without a key, so the event's fields follow as they are.
+        // The log format writes `message` without a key, so the event's `key=value` details follow unchanged.
         match event.severity() {
             Severity::Error => tracing::error!(%node, event = %name, message = %details),
             Severity::Info => tracing::info!(%node, event = %name, message = %details),
--- a/crates/net/src/error.rs
+++ b/crates/net/src/error.rs
@@ -1,4 +1,4 @@
-//! Errors that keep a controller from running.
+//! Errors that prevent a controller from starting.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
     /// A listening socket could not be opened.
     #[error("cannot listen for {listener} on {address}: {source}")]
     Bind {
-        /// Whom the socket is for.
+        /// What the socket was to accept.
         listener: Listener,
         /// The address that was tried.
         address: String,
@@ -20,9 +20,9 @@
 /// A listening socket of a controller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Listener {
-    /// For users, workers and health checks.
+    /// Accepts users, agents and health checks.
     Clients,
-    /// For the other controllers.
+    /// Accepts the other controllers.
     Peers,
 }
 
--- a/crates/net/src/event_loop.rs
+++ b/crates/net/src/event_loop.rs
@@ -1,5 +1,5 @@
-//! The event loop: collects commands into batches, steps the core with each, and executes
-//! the effects.
+//! The event loop: collects commands into batches, has the core process each batch, and executes the effects that
+//! the core returns.
 
 mod inbox;
 
@@ -20,18 +20,19 @@
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-/// Most commands in one batch, so that health checks never wait for long.
-const MAX_BATCH: usize = 256;
-/// Results and frames that may wait for the event loop. Whoever brings more waits with it, so nothing is lost.
+/// Bounds the time that a health check waits for the batch before its own.
+const MAX_BATCH_COMMANDS: usize = 256;
+/// Capacity of the queue of results and of the queue of peer events. A task that sends to a full queue waits, so
+/// nothing is lost.
 const QUEUE_CAPACITY: usize = 4096;
-/// Idle connections are looked for so many times in a heartbeat interval.
+/// Idle connections to other services are looked for at this rate.
 const IDLE_CHECKS_PER_HEARTBEAT: u32 = 10;
 
-/// Runs a controller until the process ends. Must be called within a [`tokio::task::LocalSet`].
+/// Runs a controller until the process ends; must be called within a [`tokio::task::LocalSet`].
 ///
 /// # Errors
 ///
-/// [`RunError::Bind`] if one of the two addresses cannot be listened on.
+/// [`RunError::Bind`] if a listening socket cannot be opened on the client address or on the peer address.
 pub async fn run(settings: Settings, tuning: Tuning, config: NetworkConfig) -> Result<Infallible, RunError> {
     let listeners = Listeners::bind(&config).await?;
     let (front, back) = (&config.client_address, &config.peer_address);
@@ -39,7 +40,7 @@
     EventLoop::new(settings, tuning, &config, listeners).run().await
 }
 
-/// The sockets that a controller listens on.
+/// The listening sockets of a controller.
 struct Listeners {
     clients: TcpListener,
     peers: TcpListener,
@@ -58,7 +59,7 @@
     bound.map_err(|source| RunError::Bind { listener, address: address.to_string(), source })
 }
 
-/// A controller: the core with all that surrounds it.
+/// The core with its inputs, its effects and the servers that run beside it.
 struct EventLoop {
     node_name: String,
     core: Controller,
@@ -68,7 +69,7 @@
     metrics: LoopMetrics,
     heartbeat_interval: Duration,
     idle_checked_at: Instant,
-    /// The HTTP server and the acceptor of peers.
+    /// The tasks of the HTTP server and of the peer acceptor; both end with the event loop.
     _servers: [AbortOnDrop; 2],
 }
 
@@ -107,8 +108,8 @@
         }
     }
 
-    /// Waits for one input and takes with it what else has arrived: first results, then what peers say,
-    /// then clients' requests.
+    /// Waits for one input, then adds what else has arrived up to the size limit of a batch: first results, then
+    /// peer events, then client requests.
     async fn collect_batch(&mut self) -> Batch {
         let mut batch = Batch::new();
         let mut first_request = None;
@@ -118,17 +119,17 @@
             Input::Request(request) => first_request = Some(request),
             Input::Tick => batch.push(Command::Tick),
         }
-        while batch.len() < MAX_BATCH
+        while batch.len() < MAX_BATCH_COMMANDS
             && let Some(command) = self.inbox.try_result()
         {
             batch.push(command);
         }
-        while batch.len() < MAX_BATCH
+        while batch.len() < MAX_BATCH_COMMANDS
             && let Some(event) = self.inbox.try_peer_event()
         {
             batch.extend(self.effects.handle_peer_event(event));
         }
-        while batch.len() < MAX_BATCH
+        while batch.len() < MAX_BATCH_COMMANDS
             && let Some(request) = first_request.take().or_else(|| self.inbox.try_request())
         {
             batch.push(self.effects.accept(request));
@@ -136,7 +137,7 @@
         batch
     }
 
-    /// Steps the core with a batch and executes the effects, in order.
+    /// Passes a batch to the core and executes the returned effects in order.
     fn process(&mut self, batch: Batch) {
         self.core.begin_batch(self.clock.now());
         for command in batch {
--- a/crates/net/src/event_loop/inbox.rs
+++ b/crates/net/src/event_loop/inbox.rs
@@ -1,4 +1,4 @@
-//! All that the event loop waits for.
+//! The inputs of the event loop, in order of priority.
 
 use crate::peer_links::PeerEvent;
 use crate::server::PendingRequest;
@@ -7,19 +7,19 @@
 use tokio::sync::mpsc;
 use tokio::time::{Interval, MissedTickBehavior};
 
-/// One thing that has arrived.
+/// One input of the event loop.
 pub(super) enum Input {
     /// The result of a request to another service.
     Result(Command),
-    /// Something from a peer.
+    /// A frame from a peer, or the loss of its connection.
     PeerEvent(PeerEvent),
     /// A client's request.
     Request(PendingRequest),
-    /// Time has passed.
+    /// The tick interval has elapsed.
     Tick,
 }
 
-/// The queues that bring input, and the interval between ticks.
+/// Receives inputs from the queues and from the tick timer.
 pub(super) struct Inbox {
     results: mpsc::Receiver<Command>,
     peer_events: mpsc::Receiver<PeerEvent>,
@@ -39,8 +39,8 @@
         Inbox { results, peer_events, requests, ticks }
     }
 
-    /// Waits for the next input. If several are there, results come before what peers say, and that before
-    /// clients' requests and ticks.
+    /// Waits for the next input. If several are ready, results come first, then peer events, client requests and
+    /// ticks.
     pub(super) async fn wait(&mut self) -> Input {
         tokio::select! {
             biased;
--- a/crates/net/src/http_status.rs
+++ b/crates/net/src/http_status.rs
@@ -1,4 +1,4 @@
-//! HTTP status codes as numbers, in which they travel inside frames between controllers as well.
+//! HTTP status codes as plain numbers, because frames between controllers carry them as well.
 
 pub(crate) const OK: u16 = 200;
 pub(crate) const NO_CONTENT: u16 = 204;
@@ -13,10 +13,10 @@
 pub(crate) const TOO_MANY_REQUESTS: u16 = 429;
 pub(crate) const INTERNAL_SERVER_ERROR: u16 = 500;
 pub(crate) const SERVICE_UNAVAILABLE: u16 = 503;
-/// Largest status of a server error.
+/// End of the range of server errors.
 pub(crate) const LAST_SERVER_ERROR: u16 = 599;
-/// Largest status of a client error.
+/// End of the range of client errors.
 pub(crate) const LAST_CLIENT_ERROR: u16 = 499;
 
-/// In a forwarded response: no response came, and the request may have been executed.
+/// Status in a relayed response: the store did not respond, and the request may have been executed.
 pub(crate) const NO_RESPONSE: u16 = 0;
--- a/crates/net/src/idle_time.rs
+++ b/crates/net/src/idle_time.rs
@@ -1,38 +1,38 @@
-//! Estimates how long connections stay idle after each kind of request, learned from those that go on.
+//! Estimates how long a connection stays idle after each kind of request, from measured idle times.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// What a request was, as far as it tells when the next one will come.
+/// Kinds of requests, distinguished by when the next request on the same connection is expected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RequestKind {
-    /// A machine's heartbeat, answered without commands.
+    /// A heartbeat that was answered without commands.
     Heartbeat,
-    /// A machine's heartbeat, answered with commands: it sends another when they have been executed.
+    /// A heartbeat that was answered with commands. The agent sends another one as soon as it has executed them.
     HeartbeatWithCommands,
-    /// A machine's heartbeat that this controller did not take: it goes to another one.
+    /// A heartbeat that this controller redirected or rejected. The agent continues with another controller.
     HeartbeatRefused,
     /// A user's request.
     User,
-    /// The load balancer's.
+    /// A health check of the load balancer.
     HealthCheck,
 }
 
-/// Number of variants of [`RequestKind`], which index the means.
+/// Number of variants of [`RequestKind`]; their discriminants index the means.
 const REQUEST_KINDS: usize = 5;
 
-/// Weight of a new sample in the moving mean.
+/// Weight of a new sample in the exponential moving mean.
 const SAMPLE_WEIGHT: f64 = 1.0 / 16.0;
 
-/// Exponential moving means of idle times by kind of request.
+/// Exponential moving means of idle times, by kind of request.
 #[derive(Debug)]
 pub struct IdleTimeEstimator {
     means_s: [Cell<f64>; REQUEST_KINDS],
 }
 
 impl IdleTimeEstimator {
-    /// An estimator that has seen nothing: each kind is taken to be followed after the interval between
-    /// heartbeats, a machine with commands is expected at once and one that goes elsewhere never.
+    /// An estimator without samples. The initial mean of each kind is the heartbeat interval, except that the next
+    /// request is expected at once after a heartbeat with commands, and never after a refused heartbeat.
     pub fn new(heartbeat_interval: Duration) -> IdleTimeEstimator {
         let initial_s = heartbeat_interval.as_secs_f64();
         let estimator = IdleTimeEstimator { means_s: std::array::from_fn(|_| Cell::new(initial_s)) };
@@ -41,7 +41,7 @@
         estimator
     }
 
-    /// Takes in that a connection was idle for this time after such a request.
+    /// Adds the idle time that followed a request of this kind to the mean.
     pub fn record(&self, kind: RequestKind, idle: Duration) {
         let mean_s = self.mean_s(kind);
         if mean_s.get().is_finite() {
@@ -49,8 +49,8 @@
         }
     }
 
-    /// Whether the next request after one of this kind is expected no earlier than after a heartbeat or a
-    /// user's request, whichever is later. Among equals users keep their connections.
+    /// Whether connections are expected to stay idle at least as long after this kind of request as after heartbeats
+    /// and after user requests. On a tie between these two, users count as idle for the shorter time.
     pub fn is_longest(&self, kind: RequestKind) -> bool {
         let heartbeat_s = self.mean_s(RequestKind::Heartbeat).get();
         let user_s = self.mean_s(RequestKind::User).get();
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,19 +1,19 @@
-//! Input and output of a controller: HTTP servers and clients, links to the other controllers, and the
-//! event loop that hands batches of commands to the core and executes its effects.
+//! Input and output of a controller: HTTP server and clients, links to the other controllers, and the event loop that
+//! passes batches of commands to the core and executes the effects that the core returns.
 //!
-//! The core, [`shaleshunt_core::Controller`], is a deterministic state machine that decides all about jobs and
-//! machines; this crate decides nothing about them. It runs on one thread, in a [`tokio::task::LocalSet`];
-//! tasks talk to the event loop through bounded channels, so whoever brings more than it takes waits.
+//! The core, [`shaleshunt_core::Controller`], is a deterministic state machine that makes all decisions about jobs and
+//! machines; this crate makes none. Everything runs on one thread, in a [`tokio::task::LocalSet`]. Tasks send to the
+//! event loop through bounded channels. When a channel is full, its senders wait.
 //!
-//! | module | job |
+//! | module | responsibility |
 //! | --- | --- |
-//! | `event_loop` | collects batches, steps the core, hands out effects |
-//! | `effects` | executes effects: requests to other services, responses, frames, log lines |
-//! | [`server`], [`connections`], [`idle_time`] | HTTP for users, workers and health checks |
-//! | `services`, [`protocol`] | requests to the key-value store, the cloud and workers |
-//! | [`client`], [`semaphore`] | HTTP connections to them, and who may use them first |
-//! | `peer_links`, `relay` | frames between controllers, and requests forwarded in them |
-//! | [`socket_budget`], [`rate_limiter`] | limits that hold for the whole process |
+//! | `event_loop` | collects batches of commands, runs the core, passes on its effects |
+//! | `effects` | executes effects: requests to other services, responses to clients, frames to peers, log lines |
+//! | [`server`], [`connections`], [`idle_time`] | HTTP server for users, agents and health checks |
+//! | `services`, [`protocol`] | requests to the key-value store, the cloud and agents |
+//! | [`client`], [`semaphore`] | HTTP client with a connection pool, and priorities among its calls |
+//! | `peer_links`, `relay` | frames between controllers, and store requests relayed through them |
+//! | [`socket_budget`], [`rate_limiter`] | limits of open sockets and of request rates |
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
 
--- a/crates/net/src/loop_metrics.rs
+++ b/crates/net/src/loop_metrics.rs
@@ -1,23 +1,25 @@
-//! Where a controller's time goes, for operators who log at `debug`: now and then a line with the time
-//! taken by each kind of command and of effect, by what is due after a batch, and by all else (HTTP, JSON,
-//! links). The core has no clock; this measures around it.
+//! Measures how the event loop spends its time, for operators who log at level `debug`.
+//!
+//! A line in each interval gives the time taken by each kind of command and effect and by the work after the commands
+//! of a batch. The rest of the interval goes to HTTP, JSON and links, or is idle. The core reads no clock, so its calls
+//! are measured from outside.
 
 use shaleshunt_core::io::{Command, Effect};
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-/// What is done after the commands of a batch.
+/// Kind of the work that the core does after the commands of a batch.
 pub(crate) const DUE_WORK: &str = "due";
 
-/// Counts and times since the last line.
+/// Counts and times of each kind of work since the last log line.
 pub(crate) struct LoopMetrics {
     is_enabled: bool,
     totals: BTreeMap<&'static str, Total>,
     since: Instant,
 }
 
-/// How often one kind of work was done, and how long it took altogether.
+/// Count and total time of one kind of work.
 #[derive(Debug, Clone, Copy, Default)]
 struct Total {
     count: u64,
@@ -25,7 +27,7 @@
 }
 
 impl LoopMetrics {
-    /// Measures only if its lines will be seen.
+    /// Metrics that are collected only if level `debug` is logged.
     pub(crate) fn new() -> LoopMetrics {
         LoopMetrics {
             is_enabled: tracing::enabled!(tracing::Level::DEBUG),
@@ -34,7 +36,7 @@
         }
     }
 
-    /// Does work, and counts its time for this kind.
+    /// Runs `work` and adds its time to the total of this kind.
     pub(crate) fn measure<T>(&mut self, kind: &'static str, work: impl FnOnce() -> T) -> T {
         if !self.is_enabled {
             return work();
@@ -47,8 +49,8 @@
         result
     }
 
-    /// The line as `key=value`, if `interval` has passed since the last one: the share of the clock that the
-    /// loop took, then each kind with its count and its milliseconds, the longest first.
+    /// Returns the `key=value` pairs of the log line and starts a new interval, if `interval` has elapsed since the
+    /// last line: the measured share of the elapsed time, then the count and milliseconds of each kind, longest first.
     pub(crate) fn take_line(&mut self, interval: Duration) -> Option<String> {
         let elapsed = self.since.elapsed();
         if !self.is_enabled || elapsed < interval {
@@ -73,7 +75,7 @@
     line
 }
 
-/// The kind of a command.
+/// The name of a command's kind in the log line.
 pub(crate) fn command_kind(command: &Command) -> &'static str {
     match command {
         Command::Submit(..) => "submissions",
@@ -89,7 +91,7 @@
     }
 }
 
-/// The kind of an effect.
+/// The name of an effect's kind in the log line.
 pub(crate) fn effect_kind(effect: &Effect) -> &'static str {
     match effect {
         Effect::Kv(..) => "state_requests",
--- a/crates/net/src/peer_links.rs
+++ b/crates/net/src/peer_links.rs
@@ -1,5 +1,5 @@
-//! Links between the controllers: each sends on connections that it opened itself and receives on those
-//! that the others opened.
+//! Connections between controllers. A controller sends frames on the connections that it opened and receives frames on
+//! those that its peers opened.
 
 use crate::config::PeerAddress;
 use crate::socket_budget::SocketBudget;
@@ -14,38 +14,38 @@
 use tokio::sync::mpsc;
 use tokio::task::JoinSet;
 
-/// Pause after a failure to accept a connection, such as a lack of file descriptors.
+/// Pause after `accept` fails, for example for want of file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// Bytes that the buffer of an incoming link begins with.
-const INITIAL_RECEIVE_BUFFER: usize = 4096;
-/// Part of the timeout after which a lost connection is opened again.
+/// Initial capacity of the receive buffer of a connection.
+const INITIAL_RECEIVE_BUFFER_BYTES: usize = 4096;
+/// The pause before a link reconnects is the link's timeout divided by this.
 const RECONNECT_TIMEOUT_DIVISOR: u32 = 4;
 
-/// What comes in from a peer.
+/// What the event loop receives from a peer.
 pub(crate) enum PeerEvent {
     /// A frame.
     Frame {
-        /// The sender's name.
+        /// Node name of the sender.
         from: String,
-        /// What it says.
+        /// Any frame but `Hello`.
         frame: Frame,
     },
-    /// A connection that the peer had opened broke.
+    /// A connection that this peer had opened has ended.
     Disconnected(String),
 }
 
-/// How links to peers are kept.
+/// Settings of the links to all peers.
 #[derive(Debug, Clone)]
 pub(crate) struct LinkConfig {
-    /// Name of this controller, which each connection begins with.
+    /// Node name of this controller, sent in the `Hello` frame of each connection.
     pub(crate) own_name: String,
-    /// Longest time for connecting, and for the peer to take what is written.
+    /// Timeout for connecting, and again for each write.
     pub(crate) timeout: Duration,
-    /// Most frames that wait for one peer; more are dropped, as in a network.
+    /// Capacity of the queue of frames for one peer; frames beyond it are dropped.
     pub(crate) max_queued_frames: usize,
 }
 
-/// The links to all peers, by name.
+/// The links to all peers, by node name.
 pub(crate) struct PeerLinks {
     own_name: String,
     links: HashMap<String, OutgoingLink>,
@@ -53,12 +53,12 @@
 
 struct OutgoingLink {
     link: PeerLink,
-    /// Frames dropped since the link last accepted one.
+    /// Frames dropped since the link's queue last accepted one.
     dropped_frames: u64,
 }
 
 impl PeerLinks {
-    /// Opens a link to each peer and keeps it open.
+    /// Starts a link to each peer, which reconnects whenever its connection is lost.
     pub(crate) fn open(peers: &[PeerAddress], config: &LinkConfig) -> PeerLinks {
         let open = |peer: &PeerAddress| {
             let link = PeerLink::open(peer.address.clone(), config);
@@ -67,12 +67,13 @@
         PeerLinks { own_name: config.own_name.clone(), links: peers.iter().map(open).collect() }
     }
 
-    /// The link to a peer, if there is such a peer.
+    /// The link to a peer; `None` if no peer of this name is configured.
     pub(crate) fn get(&self, peer: &str) -> Option<PeerLink> {
         self.links.get(peer).map(|outgoing| outgoing.link.clone())
     }
 
-    /// Sends a frame. What a link does not accept is dropped, as in a network, and logged.
+    /// Queues a frame for a peer, or drops it if the queue is full. The first dropped frame of a run is logged, and the
+    /// number dropped once the queue accepts a frame again. A frame for an unknown peer is ignored.
     pub(crate) fn send(&mut self, peer: &str, frame: Frame) {
         let Some(outgoing) = self.links.get_mut(peer) else { return };
         let own_name = &self.own_name;
@@ -90,12 +91,12 @@
     }
 }
 
-/// A link's queue is full: the frame was not sent.
+/// The frame was not queued for sending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("the link's queue is full")]
+#[error("the queue of frames for this peer is full")]
 pub(crate) struct LinkFull;
 
-/// Sends frames to one peer; closed when its last clone is dropped.
+/// Sends frames to one peer. The connection is closed when the last clone is dropped.
 #[derive(Clone)]
 pub(crate) struct PeerLink {
     frames: mpsc::Sender<Frame>,
@@ -109,18 +110,18 @@
         PeerLink { frames, _task: Rc::new(task.into()) }
     }
 
-    /// Queues a frame.
+    /// Queues a frame without waiting.
     pub(crate) fn try_send(&self, frame: Frame) -> Result<(), LinkFull> {
         self.frames.try_send(frame).map_err(|_| LinkFull)
     }
 }
 
-/// Connects to a peer again and again, and sends what is queued while there is a connection.
+/// Connects to a peer, sends queued frames until the connection breaks, and reconnects after a pause, without end.
 async fn keep_connected(address: String, config: LinkConfig, mut queue: mpsc::Receiver<Frame>) {
     loop {
         let connect = tokio::time::timeout(config.timeout, TcpStream::connect(&address)).await;
         if let Ok(Ok(stream)) = connect {
-            // What waited while there was no connection is outdated.
+            // Frames queued while there was no connection are outdated.
             while queue.try_recv().is_ok() {}
             send_queued(stream, &config, &mut queue).await;
         }
@@ -128,9 +129,9 @@
     }
 }
 
-/// Sends frames until the connection breaks.
+/// Sends `Hello` and then queued frames until the connection breaks or a write times out.
 async fn send_queued(mut stream: TcpStream, config: &LinkConfig, queue: &mut mpsc::Receiver<Frame>) {
-    // Only a matter of speed.
+    // Without TCP_NODELAY frames are only delayed, so a failure is ignored.
     let _ = stream.set_nodelay(true);
     let mut buffer = BytesMut::new();
     Frame::Hello { node: config.own_name.clone() }.encode(&mut buffer);
@@ -148,7 +149,7 @@
     }
 }
 
-/// Accepts connections from peers until it is dropped, which closes them all.
+/// Accepts connections from peers and passes their frames on; dropping the future closes them all.
 pub(crate) async fn accept_peers(listener: TcpListener, events: mpsc::Sender<PeerEvent>, sockets: SocketBudget) {
     let mut connections = JoinSet::new();
     loop {
@@ -168,20 +169,20 @@
     }
 }
 
-/// Why no more frames are received on a connection.
+/// Why receiving on a connection from a peer ended, other than by the peer closing it.
 #[derive(Debug, thiserror::Error)]
 enum ReceiveError {
     #[error(transparent)]
     Frame(#[from] FrameError),
-    #[error("cannot read: {0}")]
+    #[error("cannot read from the connection: {0}; closing it")]
     Read(#[from] std::io::Error),
-    #[error("the first frame is not a hello")]
+    #[error("the first frame is not the Hello frame that names the sender; closing the connection")]
     NoHello,
-    #[error("the process is ending")]
+    #[error("the event loop has stopped; closing the connection")]
     Stopped,
 }
 
-/// Hands on what a peer sends until its connection ends.
+/// Passes the frames of one connection to the event loop until the connection ends, and then reports its end.
 async fn receive(mut stream: TcpStream, events: mpsc::Sender<PeerEvent>) {
     let mut sender = None;
     match receive_frames(&mut stream, &mut sender, &events).await {
@@ -190,18 +191,19 @@
         Ok(()) => {}
     }
     if let Some(sender) = sender {
-        // Fails only when the process ends.
+        // Sending fails only while the process shuts down.
         let _ = events.send(PeerEvent::Disconnected(sender)).await;
     }
 }
 
-/// Hands on frames until the peer closes the connection; `sender` is set by its hello.
+/// Passes frames to the event loop until the peer closes the connection. `sender` is set to the name in the peer's
+/// `Hello` frame.
 async fn receive_frames(
     stream: &mut TcpStream,
     sender: &mut Option<String>,
     events: &mpsc::Sender<PeerEvent>,
 ) -> Result<(), ReceiveError> {
-    let mut buffer = BytesMut::with_capacity(INITIAL_RECEIVE_BUFFER);
+    let mut buffer = BytesMut::with_capacity(INITIAL_RECEIVE_BUFFER_BYTES);
     loop {
         while let Some(frame) = Frame::decode(&mut buffer)? {
             if let Frame::Hello { node } = frame {
--- a/crates/net/src/protocol.rs
+++ b/crates/net/src/protocol.rs
@@ -1,4 +1,4 @@
-//! How requests to other services are written as HTTP, and what their responses mean.
+//! Encodes requests to other services as HTTP requests and decodes their responses.
 
 pub mod agent;
 pub mod cloud;
@@ -14,7 +14,7 @@
 use shaleshunt_wire::user::ErrorBody;
 use std::time::Duration;
 
-/// A request without the service that it is for.
+/// An HTTP request without the address of its service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct EncodedRequest {
     /// HTTP method.
@@ -26,7 +26,7 @@
 }
 
 impl EncodedRequest {
-    /// The call that sends this request to a service.
+    /// The call that sends this request to the service at `address`.
     pub fn call<'a>(&'a self, address: &'a str, timeout: Duration, priority: CallPriority) -> Call<'a> {
         let (method, body) = (self.method.clone(), self.body.clone());
         Call { address, method, path: &self.path, body, timeout, priority }
@@ -42,7 +42,7 @@
 }
 
 pub(crate) fn to_json<T: Serialize>(value: &T) -> Bytes {
-    // Our own types, with texts as keys: writing them does not fail.
+    // Serialization of the types used here does not fail: all map keys are strings.
     serde_json::to_vec(value).map(Bytes::from).unwrap_or_default()
 }
 
@@ -50,12 +50,12 @@
     serde_json::from_slice(body).map_err(|_| RequestError::MalformedResponse)
 }
 
-/// The reason that a service gives for refusing a request.
-fn problem_text(body: &[u8]) -> String {
-    from_json::<ErrorBody>(body).map_or_else(|_| "no reason given".into(), |problem| problem.error)
+/// The reason in a service's error response, or a fixed text if the body holds none.
+fn error_text(body: &[u8]) -> String {
+    from_json::<ErrorBody>(body).map_or_else(|_| "no reason given".into(), |body| body.error)
 }
 
-/// A text as the value of a query parameter.
+/// Percent-encodes a text for use as the value of a query parameter.
 fn percent_encode(text: &str) -> String {
     text.bytes().map(percent_encode_byte).collect()
 }
--- a/crates/net/src/protocol/agent.rs
+++ b/crates/net/src/protocol/agent.rs
@@ -1,6 +1,6 @@
-//! Direct commands to workers.
+//! Encoding of direct commands to agents and decoding of their responses.
 
-use super::{EncodedRequest, problem_text};
+use super::{EncodedRequest, error_text};
 use crate::client::HttpResponse;
 use crate::http_status::{BAD_REQUEST, CONFLICT, OK};
 use crate::semaphore::CallPriority;
@@ -9,13 +9,13 @@
 use shaleshunt_wire::paths;
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat, TaskCommand};
 
-/// Writes commands.
+/// Encodes commands.
 pub fn encode(commands: &DirectCommands) -> EncodedRequest {
     EncodedRequest::post(paths::COMMANDS, commands)
 }
 
-/// How much commands matter: those that stop tasks most, a call without commands, which only asks for the
-/// worker's status, least.
+/// The priority of a call: highest if it stops tasks, lowest if it has no commands and so only asks for the agent's
+/// status.
 pub fn priority(commands: &DirectCommands) -> CallPriority {
     let stops = |command: &TaskCommand| matches!(command, TaskCommand::Stop { .. });
     match commands.commands.as_slice() {
@@ -25,18 +25,18 @@
     }
 }
 
-/// Reads the response to commands.
+/// Decodes the response to commands.
 ///
 /// # Errors
 ///
-/// The worker refused the commands, or its response makes no sense, so that the commands may have been
-/// executed; see [`RequestError`].
+/// [`RequestError::Rejected`] if the agent rejected the commands; [`RequestError::OutcomeUnknown`] if the response
+/// cannot be decoded, so that the commands may have been executed.
 pub fn decode(response: &HttpResponse) -> Result<DirectCommandsReply, RequestError> {
     let heartbeat = || Heartbeat::parse(&response.body).ok_or(RequestError::OutcomeUnknown);
     match response.status {
         OK => heartbeat().map(DirectCommandsReply::Executed),
         CONFLICT => heartbeat().map(DirectCommandsReply::Fenced),
-        BAD_REQUEST => Err(RequestError::Rejected(problem_text(&response.body))),
+        BAD_REQUEST => Err(RequestError::Rejected(error_text(&response.body))),
         _ => Err(RequestError::OutcomeUnknown),
     }
 }
--- a/crates/net/src/protocol/cloud.rs
+++ b/crates/net/src/protocol/cloud.rs
@@ -1,6 +1,6 @@
-//! Requests to the cloud.
+//! Encoding of requests to the cloud and decoding of its responses.
 
-use super::{EncodedRequest, from_json, percent_encode, problem_text};
+use super::{EncodedRequest, error_text, from_json, percent_encode};
 use crate::client::HttpResponse;
 use crate::http_status::{BAD_REQUEST, LAST_CLIENT_ERROR, OK, SERVICE_UNAVAILABLE, TOO_MANY_REQUESTS};
 use shaleshunt_core::RequestError;
@@ -8,10 +8,11 @@
 use shaleshunt_wire::cloud::{Catalog, ListPage, MachineNames};
 use shaleshunt_wire::{MAX_MACHINES_PER_PAGE, paths};
 
-/// The cloud's word, with status 503, that it has no machine of the type.
+/// Error text of a response with status 503 which says that no machine of the type is available. With any other text
+/// the status means that the cloud itself is unavailable.
 const NO_CAPACITY: &str = "no capacity";
 
-/// Writes a request.
+/// Encodes a request.
 pub fn encode(request: &CloudRequest) -> EncodedRequest {
     match request {
         CloudRequest::Catalog => EncodedRequest::get(paths::CATALOG.into()),
@@ -28,20 +29,21 @@
     format!("{}?{after}most={MAX_MACHINES_PER_PAGE}", paths::MACHINES)
 }
 
-/// Reads the response to a request.
+/// Decodes the response to a request.
 ///
 /// # Errors
 ///
-/// The cloud refused the request, did not respond in full, or its response makes no sense; see [`RequestError`].
+/// The cloud rejected or throttled the request, failed, or sent a response that cannot be decoded; see
+/// [`RequestError`].
 pub fn decode(request: &CloudRequest, response: &HttpResponse) -> Result<CloudReply, RequestError> {
     let HttpResponse { status, body } = response;
     match (request, *status) {
-        (CloudRequest::ScaleOut(_), SERVICE_UNAVAILABLE) if problem_text(body) == NO_CAPACITY => {
+        (CloudRequest::ScaleOut(_), SERVICE_UNAVAILABLE) if error_text(body) == NO_CAPACITY => {
             Ok(CloudReply::NoCapacity)
         }
         (_, TOO_MANY_REQUESTS) => Err(RequestError::Throttled),
         (_, SERVICE_UNAVAILABLE) => Err(RequestError::Unavailable),
-        (_, BAD_REQUEST..=LAST_CLIENT_ERROR) => Err(RequestError::Rejected(problem_text(body))),
+        (_, BAD_REQUEST..=LAST_CLIENT_ERROR) => Err(RequestError::Rejected(error_text(body))),
         (CloudRequest::Catalog, OK) => from_json::<Catalog>(body).map(CloudReply::Catalog),
         (CloudRequest::ScaleOut(_), OK) => {
             from_json::<MachineNames>(body).map(|list| CloudReply::ScaledOut(list.machines))
--- a/crates/net/src/protocol/kv.rs
+++ b/crates/net/src/protocol/kv.rs
@@ -1,6 +1,6 @@
-//! Requests to the key-value store.
+//! Encoding of requests to the key-value store and decoding of its responses.
 
-use super::{EncodedRequest, from_json, percent_encode, problem_text};
+use super::{EncodedRequest, error_text, from_json, percent_encode};
 use crate::client::HttpResponse;
 use crate::http_status::{
     BAD_REQUEST, CONFLICT, GONE, INTERNAL_SERVER_ERROR, LAST_SERVER_ERROR, NO_CONTENT, NO_RESPONSE, NOT_FOUND, OK,
@@ -13,23 +13,22 @@
 use shaleshunt_wire::paths;
 use std::time::Duration;
 
-/// Most keys on one page of a scan.
-const MAX_SCAN_PAGE: u32 = 1000;
+const MAX_KEYS_PER_SCAN_PAGE: u32 = 1000;
 
-/// Writes a request.
+/// Encodes a request.
 pub fn encode(request: &KvRequest) -> EncodedRequest {
     match request {
         KvRequest::Get { key } => EncodedRequest::get(format!("{}/{key}", paths::KV)),
         KvRequest::Scan { prefix, after } => EncodedRequest::get(scan_path(prefix, after)),
         KvRequest::Transaction(transaction) => EncodedRequest::post(paths::TXN, transaction),
         KvRequest::GrantLease { ttl_ms } => EncodedRequest::post(paths::LEASES, &LeaseRequest { ttl_ms: *ttl_ms }),
-        KvRequest::RenewLease { lease: pass } => EncodedRequest {
+        KvRequest::RenewLease { lease } => EncodedRequest {
             method: Method::POST,
-            path: format!("{}/{pass}/{}", paths::LEASES, paths::RENEW),
+            path: format!("{}/{lease}/{}", paths::LEASES, paths::RENEW),
             body: Bytes::from_static(b"{}"),
         },
-        KvRequest::RevokeLease { lease: pass } => {
-            EncodedRequest { method: Method::DELETE, path: format!("{}/{pass}", paths::LEASES), body: Bytes::new() }
+        KvRequest::RevokeLease { lease } => {
+            EncodedRequest { method: Method::DELETE, path: format!("{}/{lease}", paths::LEASES), body: Bytes::new() }
         }
         KvRequest::Watch { prefix, after, max_wait_ms } => {
             let prefix = percent_encode(prefix);
@@ -41,14 +40,15 @@
 fn scan_path(prefix: &str, after: &str) -> String {
     let prefix = percent_encode(prefix);
     let after = if after.is_empty() { String::new() } else { format!("&after={}", percent_encode(after)) };
-    format!("{}?prefix={prefix}{after}&most={MAX_SCAN_PAGE}", paths::KV)
+    format!("{}?prefix={prefix}{after}&most={MAX_KEYS_PER_SCAN_PAGE}", paths::KV)
 }
 
-/// Reads the response to a request.
+/// Decodes the response to a request.
 ///
 /// # Errors
 ///
-/// The store refused the request, did not respond in full, or its response makes no sense; see [`RequestError`].
+/// The store rejected or throttled the request, failed, or sent a response that cannot be decoded; see
+/// [`RequestError`].
 pub fn decode(request: &KvRequest, response: &HttpResponse) -> Result<KvReply, RequestError> {
     let HttpResponse { status, body } = response;
     check_status(*status, body)?;
@@ -72,20 +72,20 @@
     }
 }
 
-/// The statuses that mean the same for every request.
+/// Maps the statuses that are errors for every kind of request.
 fn check_status(status: u16, body: &[u8]) -> Result<(), RequestError> {
     match status {
         NO_RESPONSE => Err(RequestError::OutcomeUnknown),
         TOO_MANY_REQUESTS => Err(RequestError::Throttled),
         SERVICE_UNAVAILABLE => Err(RequestError::Unavailable),
         INTERNAL_SERVER_ERROR..=LAST_SERVER_ERROR => Err(RequestError::OutcomeUnknown),
-        BAD_REQUEST => Err(RequestError::Rejected(problem_text(body))),
+        BAD_REQUEST => Err(RequestError::Rejected(error_text(body))),
         _ => Ok(()),
     }
 }
 
-/// Time that the store itself may hold a request before it responds.
-pub fn hold_time(request: &KvRequest) -> Duration {
+/// Time that the store may wait for a change before it responds; zero for all requests but a watch.
+pub fn max_wait(request: &KvRequest) -> Duration {
     match request {
         KvRequest::Watch { max_wait_ms, .. } => Duration::from_millis(*max_wait_ms),
         _ => Duration::ZERO,
--- a/crates/net/src/rate_limiter.rs
+++ b/crates/net/src/rate_limiter.rs
@@ -1,8 +1,8 @@
-//! A token bucket for requests to services that limit their rate.
+//! A token bucket that keeps requests within a service's rate limit.
 
 use tokio::time::Instant;
 
-/// Allows a number of requests per second, with bursts of one second's worth.
+/// Allows a rate of requests, with bursts up to the number allowed in one second.
 #[derive(Debug)]
 pub struct RateLimiter {
     per_second: f64,
@@ -11,12 +11,12 @@
 }
 
 impl RateLimiter {
-    /// A limiter that allows a full burst at first.
+    /// A limiter that allows a full burst from the start.
     pub fn new(per_second: f64) -> RateLimiter {
         RateLimiter { per_second, available: per_second, refilled_at: Instant::now() }
     }
 
-    /// Takes one request out of the budget; false if none is left.
+    /// Takes a token for one request; false if none is available.
     pub fn try_acquire(&mut self) -> bool {
         self.refill();
         let allowed = self.available >= 1.0;
@@ -29,7 +29,7 @@
     fn refill(&mut self) {
         let now = Instant::now();
         let elapsed_s = now.duration_since(self.refilled_at).as_secs_f64();
-        // Rates below one a second still allow single requests.
+        // A rate below one per second still allows single requests.
         let burst = self.per_second.max(1.0);
         self.available = (self.available + elapsed_s * self.per_second).min(burst);
         self.refilled_at = now;
--- a/crates/net/src/rate_limiter/tests.rs
+++ b/crates/net/src/rate_limiter/tests.rs
@@ -2,14 +2,14 @@
 use std::time::Duration;
 
 #[test]
-fn a_second_allows_as_many_as_the_rate_and_no_more_are_saved_up() {
+fn a_burst_is_limited_to_the_requests_of_one_second() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
         let mut limiter = RateLimiter::new(4.5);
         let mut burst = || (0..100).filter(|_| limiter.try_acquire()).count();
         assert_eq!(burst(), 4);
         tokio::time::advance(Duration::from_secs(1)).await;
-        // What was left of the first second is kept up to one second's worth.
+        // The half token left over does not raise the burst above the requests of one second.
         assert_eq!(burst(), 4);
         tokio::time::advance(Duration::from_secs(60)).await;
         assert_eq!(burst(), 4);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_rate_below_one_a_second_still_allows_single_requests() {
+fn a_rate_below_one_per_second_allows_single_requests() {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     runtime.block_on(async {
         let mut limiter = RateLimiter::new(0.5);
--- a/crates/net/src/relay.rs
+++ b/crates/net/src/relay.rs
@@ -1,5 +1,5 @@
-//! Requests to the key-value store that pass through another controller, while the store refuses or does
-//! not reach only one of them.
+//! Relaying of requests to the key-value store through a peer, for a controller that alone cannot reach the store or is
+//! refused by it. This module holds both sides: the controller that needs the relay and the peer that executes.
 
 use crate::client::HttpResponse;
 use crate::http_status::{GONE, NO_RESPONSE, SERVICE_UNAVAILABLE};
@@ -15,14 +15,14 @@
 use std::time::Duration;
 use tokio::sync::oneshot;
 
-/// Bytes of a frame around the body of a response, with room to spare.
+/// Upper bound for the part of a frame that is not the response's body.
 const FRAME_OVERHEAD_BYTES: usize = 1024;
-/// Largest body of a response that is sent back to a peer.
+/// A larger response does not fit into a frame and is replaced by a status without a body.
 const MAX_RELAYED_BODY_BYTES: usize = shaleshunt_peer::MAX_FRAME_BYTES - FRAME_OVERHEAD_BYTES;
 
 type Responders = Rc<RefCell<HashMap<u64, oneshot::Sender<HttpResponse>>>>;
 
-/// This controller's requests that peers have been asked to forward.
+/// This controller's relayed requests that are in flight.
 pub(crate) struct RelayedRequests {
     last_id: u64,
     responders: Responders,
@@ -30,18 +30,18 @@
 
 impl RelayedRequests {
     pub(crate) fn new() -> RelayedRequests {
-        // Numbers begin anywhere, so that a response to an earlier process, which may come just after a
-        // restart, is not taken for one to this process.
+        // Identifiers start at a random value, so that a late response to a request of the process before a restart
+        // is not taken for a response to this process.
         RelayedRequests { last_id: rand::random(), responders: Rc::default() }
     }
 
-    /// A number for a request that is about to be sent.
+    /// Returns a request with a new identifier, not yet sent.
     pub(crate) fn next(&mut self) -> RelayedRequest {
         self.last_id = self.last_id.wrapping_add(1);
         RelayedRequest { id: self.last_id, responders: self.responders.clone() }
     }
 
-    /// Takes a peer's response to a request; one that nobody waits for any longer is ignored.
+    /// Passes a peer's response to the request that waits for it, or ignores it if that request has timed out.
     pub(crate) fn respond(&self, id: u64, response: HttpResponse) {
         if let Some(responder) = self.responders.borrow_mut().remove(&id) {
             let _ = responder.send(response);
@@ -49,18 +49,19 @@
     }
 }
 
-/// A numbered request; forgotten when dropped.
+/// One relayed request. Dropping the value stops waiting for the response.
 pub(crate) struct RelayedRequest {
     id: u64,
     responders: Responders,
 }
 
 impl RelayedRequest {
-    /// Sends a request through a peer and waits for the response.
+    /// Sends a store request through a peer and waits for the response.
     ///
     /// # Errors
     ///
-    /// As [`protocol::kv::decode`]; also if the link is congested or no response comes in time.
+    /// The errors of [`protocol::kv::decode`]; also [`RequestError::NotSent`] if the link's queue is full, and
+    /// [`RequestError::OutcomeUnknown`] if no response arrives within `timeout`.
     pub(crate) async fn execute(
         self,
         link: &PeerLink,
@@ -84,23 +85,24 @@
     }
 }
 
-/// Executes a request that a peer asked to forward. A body that is no request is ignored, and so is the
-/// response if there is no link back to the peer.
+/// Executes a store request on behalf of a peer and sends the response back. A body that cannot be decoded is ignored;
+/// without a link back to the peer the response is dropped.
 pub(crate) async fn execute_for_peer(kv: KvClient, link_back: Option<PeerLink>, id: u64, body: Bytes) {
     let Ok(request) = serde_json::from_slice::<KvRequest>(&body) else { return };
     let HttpResponse { status, body } = response_for_peer(&request, kv.send(&request).await);
     if let Some(link) = link_back {
-        // What the link does not accept is lost, as in a network; the peer's request times out.
+        // If the link's queue is full, the response is dropped and the peer's request times out.
         let _ = link.try_send(Frame::ForwardedResponse { id, status, body });
     }
 }
 
-/// What the peer is told: the store's response, or a status that it understands the same way as the error.
+/// The response for the peer: the store's own, or a status that the peer decodes as the same kind of error.
 fn response_for_peer(request: &KvRequest, result: Result<HttpResponse, RequestError>) -> HttpResponse {
     let without_body = |status| HttpResponse { status, body: Bytes::new() };
     match result {
         Ok(response) if response.body.len() <= MAX_RELAYED_BODY_BYTES => response,
-        // A response that no frame can hold is none. To a watch it means to read anew.
+        // A response that does not fit into a frame counts as none. A watch is told that its revision is compacted, so
+        // the peer reads the keys again.
         Ok(_) if matches!(request, KvRequest::Watch { .. }) => without_body(GONE),
         Ok(_) => without_body(NO_RESPONSE),
         Err(RequestError::NotSent | RequestError::LocalOverload) => without_body(SERVICE_UNAVAILABLE),
--- a/crates/net/src/relay/tests.rs
+++ b/crates/net/src/relay/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn a_peer_is_told_what_it_would_have_understood_itself() {
+fn the_response_for_a_peer_decodes_as_the_original_result() {
     let get = KvRequest::Get { key: "k".into() };
     let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, max_wait_ms: 0 };
     let large = || Ok(HttpResponse { status: 200, body: body(MAX_RELAYED_BODY_BYTES + 1) });
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_request_that_is_given_up_leaves_nothing_behind() {
+fn a_dropped_request_removes_its_responder() {
     let mut requests = RelayedRequests::new();
     let request = requests.next();
     let (responder, _response) = oneshot::channel();
--- a/crates/net/src/semaphore.rs
+++ b/crates/net/src/semaphore.rs
@@ -5,18 +5,18 @@
 use std::rc::Rc;
 use tokio::sync::oneshot;
 
-/// How much a call matters, the most urgent first.
+/// Priority of a call, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum CallPriority {
-    /// Stops tasks: a cancellation has to be over in time.
+    /// A call that stops tasks, because a cancellation has a time limit.
     Stop,
-    /// Starts tasks, or any request to another service.
+    /// A call that starts tasks, or any request to another service than an agent.
     Normal,
-    /// Only asks for state; the next heartbeat tells it as well.
+    /// A call that only asks for an agent's status, which the next heartbeat brings anyway.
     Probe,
 }
 
-/// Position in the queue of waiters.
+/// Key of a waiter in the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct QueuePosition {
     priority: CallPriority,
@@ -30,26 +30,26 @@
     waiters: RefCell<BTreeMap<QueuePosition, oneshot::Sender<Permit>>>,
 }
 
-/// A number of permits, shared by clones.
+/// A semaphore whose permits are shared by its clones.
 #[derive(Debug, Clone)]
 pub struct PrioritySemaphore {
     state: Rc<State>,
 }
 
-/// One permit; returned to the semaphore when dropped.
+/// One permit, which returns to the semaphore when dropped.
 #[derive(Debug)]
 pub struct Permit {
     state: Rc<State>,
 }
 
 impl PrioritySemaphore {
-    /// A semaphore with so many permits.
+    /// A semaphore with `permits` permits.
     pub fn new(permits: usize) -> PrioritySemaphore {
         let state = State { available: Cell::new(permits), arrivals: Cell::new(0), waiters: RefCell::default() };
         PrioritySemaphore { state: Rc::new(state) }
     }
 
-    /// Waits for a permit. A dropped wait gives up its place.
+    /// Waits for a permit. Dropping the future leaves the queue.
     pub async fn acquire(&self, priority: CallPriority) -> Permit {
         let state = &self.state;
         if state.available.get() > 0 {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// How many wait, those that have given up not counted.
+    /// Number of waiters, without those whose futures have been dropped.
     pub fn waiting(&self) -> usize {
         self.state.waiters.borrow().values().filter(|waiter| !waiter.is_closed()).count()
     }
@@ -78,7 +78,7 @@
 }
 
 impl State {
-    /// Removes the first waiter that has not given up.
+    /// Removes and returns the first waiter whose future has not been dropped.
     fn next_waiter(&self) -> Option<oneshot::Sender<Permit>> {
         let mut waiters = self.waiters.borrow_mut();
         while let Some((_, waiter)) = waiters.pop_first() {
@@ -93,7 +93,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         match self.state.next_waiter() {
-            // A waiter that gives up at this moment drops the permit, and so passes it on.
+            // If the waiter has gone in the meantime, the permit is dropped and so passed to the next one.
             Some(waiter) => drop(waiter.send(Permit { state: self.state.clone() })),
             None => self.state.available.set(self.state.available.get() + 1),
         }
--- a/crates/net/src/server.rs
+++ b/crates/net/src/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server for users, workers and health checks.
+//! The HTTP server for users, agents and health checks.
 
 mod rejection;
 mod requests;
@@ -21,88 +21,87 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc, oneshot};
 
-/// Memory that one connection may take, in KiB.
-const CONNECTION_KIB: f64 = 20.0;
-/// Share of the process's memory that connections may take.
-const CONNECTIONS_MEMORY_SHARE: f64 = 0.5;
-/// Connections that are always allowed.
+/// Memory reserved for each connection.
+const MEMORY_PER_CONNECTION_KIB: f64 = 20.0;
+/// Fraction of the process's memory that connections may take.
+const CONNECTIONS_MEMORY_FRACTION: f64 = 0.5;
+/// Connections allowed even if memory or sockets suffice for fewer.
 const MIN_CONNECTIONS: usize = 16;
-/// A connection that brings nothing for so many heartbeat intervals is closed: its machine or user is gone
-/// or cut off.
-const IDLE_TIMEOUT_INTERVALS: f64 = 4.0;
-/// Largest buffer of a connection, in bytes.
-const MAX_CONNECTION_BUFFER: usize = 32 * 1024;
-/// Pause after a failure to accept a connection, such as a lack of file descriptors.
+/// An idle connection is closed after this time, because its machine or user is gone or unreachable.
+const IDLE_TIMEOUT_HEARTBEAT_INTERVALS: f64 = 4.0;
+/// Limit of a connection's buffer.
+const MAX_CONNECTION_BUFFER_BYTES: usize = 32 * 1024;
+/// Pause after `accept` fails, for example for want of file descriptors.
 const ACCEPT_RETRY_PAUSE: Duration = Duration::from_millis(50);
 
-/// A request for the core.
+/// A decoded request for the core.
 #[derive(Debug)]
 pub enum ClientRequest {
     /// A user submits a job.
     Submit(Box<Submission>),
-    /// A user asks for the state of the job of this identifier.
+    /// A user asks for the status of the job with this identifier.
     Status(String),
-    /// A user cancels the job of this identifier.
+    /// A user cancels the job with this identifier.
     Cancel(String),
     /// A health check.
     HealthCheck,
-    /// A worker's heartbeat with its status.
+    /// An agent's heartbeat with its status.
     Heartbeat(Box<Heartbeat>),
 }
 
-/// A request that waits for its response. Dropping the responder refuses the request.
+/// A request that waits for the core's answer. Dropping the responder rejects the request with status 503.
 #[derive(Debug)]
 pub struct PendingRequest {
-    /// What is asked.
+    /// The decoded request.
     pub request: ClientRequest,
-    /// Takes the response.
+    /// Receives the core's answer.
     pub responder: oneshot::Sender<Answer>,
 }
 
-/// Where the server sends requests.
+/// The channel on which the server sends requests to the event loop.
 pub type RequestSender = mpsc::Sender<PendingRequest>;
 
-/// Limits of the server.
+/// Limits and timeouts of the server.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerConfig {
-    /// How many connections may be open.
+    /// Limits of open connections.
     pub connections: ConnectionLimits,
-    /// Time between a machine's heartbeats.
+    /// Interval between the heartbeats of an agent.
     pub heartbeat_interval: Duration,
-    /// Longest time for a request's head to arrive, and so for a connection to stay unused.
+    /// Timeout for the arrival of a request's head, and so for an idle connection.
     pub idle_timeout: Duration,
-    /// Longest time for a body to arrive.
+    /// Timeout for the arrival of a request's body.
     pub body_timeout: Duration,
-    /// Longest time for the core to respond.
+    /// Timeout for the core's answer; does not apply to heartbeats.
     pub response_timeout: Duration,
 }
 
 impl ServerConfig {
-    /// Limits that follow from the settings and from the process's sockets.
+    /// Limits derived from the settings and from the socket budget.
     pub fn new(settings: &Settings, sockets: &SocketBudget) -> ServerConfig {
-        let memory_kib = settings.mem_mb * 1024.0 * CONNECTIONS_MEMORY_SHARE;
-        let allowed_by_memory = (memory_kib / CONNECTION_KIB) as usize;
+        let memory_kib = settings.mem_mb * 1024.0 * CONNECTIONS_MEMORY_FRACTION;
+        let allowed_by_memory = (memory_kib / MEMORY_PER_CONNECTION_KIB) as usize;
         let max = sockets.client_connections().min(allowed_by_memory).max(MIN_CONNECTIONS);
         let heartbeat_interval = Duration::from_secs_f64(settings.heartbeat_interval_s);
         ServerConfig {
             connections: ConnectionLimits { max, reserved: sockets.reserved_connections() },
             heartbeat_interval,
-            idle_timeout: heartbeat_interval.mul_f64(IDLE_TIMEOUT_INTERVALS),
+            idle_timeout: heartbeat_interval.mul_f64(IDLE_TIMEOUT_HEARTBEAT_INTERVALS),
             body_timeout: Duration::from_secs_f64(shaleshunt_wire::SUBMIT_TIMEOUT_S),
             response_timeout: Duration::from_secs_f64(shaleshunt_wire::HEARTBEAT_TIMEOUT_S),
         }
     }
 
-    /// Most requests that can be under way, since a connection has one at a time.
+    /// Most requests that can be in flight, because a connection has one at a time.
     pub fn max_concurrent_requests(&self) -> usize {
         self.connections.max + self.connections.reserved
     }
 }
 
-/// Serves until it is dropped, which closes all connections.
+/// Accepts and serves connections without end; dropping the future closes them all.
 pub async fn serve(listener: TcpListener, requests: RequestSender, config: ServerConfig, sockets: SocketBudget) {
     let connections = Connections::new(config.connections, config.heartbeat_interval, config.idle_timeout);
-    let mut full = FullState::default();
+    let mut limit_log = ConnectionLimitLog::default();
     loop {
         let stream = match listener.accept().await {
             Ok((stream, _)) => stream,
@@ -113,9 +112,9 @@
             }
         };
         let admission = connections.admit();
-        full.update(admission, connections.open_count(), config.connections);
+        limit_log.update(admission, connections.open_count(), config.connections);
         if admission == Admission::Refused {
-            // A new connection is closed at once; its client tries another controller without waiting.
+            // Dropping the stream closes the connection at once, so that its client tries another controller.
             continue;
         }
         let requests = requests.clone();
@@ -123,21 +122,21 @@
     }
 }
 
-/// Whether the server has run out of connections, logged once each time.
+/// Logs that the connection limit was reached, and again only after the number of connections has fallen to half of it.
 #[derive(Default)]
-struct FullState {
-    is_full: bool,
+struct ConnectionLimitLog {
+    is_logged: bool,
 }
 
-impl FullState {
+impl ConnectionLimitLog {
     fn update(&mut self, admission: Admission, open: usize, limits: ConnectionLimits) {
-        if admission != Admission::Open && !self.is_full {
-            self.is_full = true;
-            // Machines are sent to other nodes.
+        if admission != Admission::Open && !self.is_logged {
+            self.is_logged = true;
+            // Heartbeats on new connections are now rejected or not read, and their agents turn to other controllers.
             tracing::info!(event = %"connection_limit_reached", open);
         }
         if open <= limits.max / 2 {
-            self.is_full = false;
+            self.is_logged = false;
         }
     }
 }
@@ -148,17 +147,17 @@
     config: ServerConfig,
     activity: ConnectionActivity,
 ) {
-    // Only a matter of speed.
+    // Without TCP_NODELAY responses are only delayed, so a failure is ignored.
     let _ = stream.set_nodelay(true);
     let service = service_fn(move |request| {
         let (requests, activity) = (requests.clone(), activity.clone());
         async move { Ok::<_, std::convert::Infallible>(respond(request, &requests, config, &activity).await) }
     });
-    // Half closed connections are allowed so that nothing more is read while a request is handled: that
-    // would take another buffer for each.
+    // Half-closed connections are allowed, because the server would otherwise read from the connection while a request
+    // is handled, which takes another buffer for each connection.
     let served = hyper::server::conn::http1::Builder::new()
         .half_close(true)
-        .max_buf_size(MAX_CONNECTION_BUFFER)
+        .max_buf_size(MAX_CONNECTION_BUFFER_BYTES)
         .serve_connection(TokioIo::new(stream), service)
         .await;
     if let Err(error) = served {
@@ -180,7 +179,7 @@
     }
 }
 
-/// A response, and what the request was.
+/// A response with the kind of its request.
 struct Handled {
     kind: RequestKind,
     response: HttpResponse,
@@ -196,7 +195,7 @@
         Ok(request) => request,
         Err(rejection) => return Handled { kind: RequestKind::User, response: responses::rejected(&rejection) },
     };
-    // What is reserved for users and health checks is not for machines: they go to another controller.
+    // Connections reserved for users and health checks reject heartbeats; the agents turn to another controller.
     if admission == Admission::Reserved && matches!(request, ClientRequest::Heartbeat(_)) {
         let response = responses::rejected(&Rejection::ReservedForUsers);
         return Handled { kind: RequestKind::HeartbeatRefused, response };
@@ -216,7 +215,7 @@
     }
 }
 
-/// The kind of a request now that its answer is known.
+/// The kind of a request in view of its answer, which tells for a heartbeat when the next one is expected.
 fn answered_kind(kind: RequestKind, answer: &Answer) -> RequestKind {
     match (kind, answer) {
         (RequestKind::Heartbeat, Answer::Heartbeat(reply)) if reply.commands.is_empty() => RequestKind::Heartbeat,
@@ -226,12 +225,12 @@
     }
 }
 
-/// The answer of the core; `None` if it takes too long.
+/// Passes a request to the core and waits for the answer; `None` if there is none within the timeout.
 async fn ask_core(request: ClientRequest, requests: &RequestSender, timeout: Duration) -> Option<Answer> {
-    // A heartbeat is answered with the batch that it comes in, so it needs no timer.
+    // The core answers a heartbeat in the batch that contains it, so a heartbeat needs no timeout.
     let is_answered_at_once = matches!(request, ClientRequest::Heartbeat(_));
     let (responder, answer) = oneshot::channel();
-    // There is room for one request of each connection, so this fails only when the process ends.
+    // The channel has room for one request of each connection, so sending fails only while the process shuts down.
     requests.try_send(PendingRequest { request, responder }).ok()?;
     if is_answered_at_once {
         return answer.await.ok();
--- a/crates/net/src/server/rejection.rs
+++ b/crates/net/src/server/rejection.rs
@@ -1,10 +1,10 @@
-//! Requests that the server refuses itself, without asking the core.
+//! Requests that the server rejects without passing them to the core.
 
 use crate::http_status;
 use hyper::Method;
 use shaleshunt_wire::user::SubmissionError;
 
-/// Why a request is refused. The text is the `error` of the response's body.
+/// Why a request is rejected. Clients match the text, which is the `error` field of the response's body.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Rejection {
     #[error("no such path")]
@@ -42,7 +42,7 @@
         }
     }
 
-    /// When to come back, in seconds.
+    /// Value of the `Retry-After` header, in seconds.
     pub(super) fn retry_after_s(&self) -> Option<u32> {
         match self {
             Rejection::NoResponseInTime => Some(1),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// Whether the connection cannot be used again: the rest of the body may still arrive on it.
+    /// Whether the connection has to be closed, because the rest of the request's body may still arrive on it.
     pub(super) fn closes_connection(&self) -> bool {
         matches!(self, Rejection::BodyTooLarge | Rejection::BodyIncomplete | Rejection::BodyTimeout)
     }
--- a/crates/net/src/server/requests.rs
+++ b/crates/net/src/server/requests.rs
@@ -1,4 +1,4 @@
-//! Reads HTTP requests: the route by method and path, then the body.
+//! Decodes HTTP requests: first the route from method and path, then the body.
 
 use super::ClientRequest;
 use super::rejection::Rejection;
@@ -11,7 +11,7 @@
 use shaleshunt_wire::{MAX_BODY_BYTES, paths};
 use std::time::Duration;
 
-/// What a request is about, as its method and path tell.
+/// The operation that a request's method and path name.
 enum Route {
     Submit,
     Status { job: String },
@@ -20,7 +20,7 @@
     Heartbeat,
 }
 
-/// Reads a request, its body included, or says why it is refused.
+/// Reads and decodes a request with its body, which has to arrive within `body_timeout`.
 pub(super) async fn read(request: Request<Incoming>, body_timeout: Duration) -> Result<ClientRequest, Rejection> {
     match route(request.method(), request.uri().path())? {
         Route::Submit => {
@@ -29,7 +29,7 @@
         }
         Route::Status { job } => Ok(ClientRequest::Status(job)),
         Route::Cancel { job } => {
-            // A body, if any, is read so that the connection can be used again.
+            // The body is unused, but has to be read so that the connection can carry the next request.
             read_body(request, body_timeout).await?;
             Ok(ClientRequest::Cancel(job))
         }
@@ -54,7 +54,7 @@
     }
 }
 
-/// The route of a path below that of the submissions: a job, or what is to be done with it.
+/// The route of a path below the submissions: a job's identifier, and optionally an action on the job.
 fn job_route(method: &Method, job_path: &str) -> Result<Route, Rejection> {
     let (id, action) = match job_path.split_once('/') {
         Some((id, action)) => (id, Some(action)),
--- a/crates/net/src/server/responses.rs
+++ b/crates/net/src/server/responses.rs
@@ -1,4 +1,4 @@
-//! Writes HTTP responses.
+//! Builds HTTP responses.
 
 use super::rejection::Rejection;
 use crate::http_status;
@@ -10,33 +10,33 @@
 use shaleshunt_wire::user::ErrorBody;
 use shaleshunt_wire::worker::Redirect;
 
-/// A response of this server; all have a JSON body.
+/// A response of this server. The body is always JSON.
 pub(super) type HttpResponse = Response<Full<Bytes>>;
 
-/// The answer of the core.
+/// The response for an answer of the core.
 pub(super) fn answered(answer: Answer) -> HttpResponse {
     match answer {
         Answer::Job(status, view) => json(status, &view),
-        Answer::Error { status, error, retry_after } => problem(status, error.to_string(), retry_after),
+        Answer::Error { status, error, retry_after } => error_response(status, error.to_string(), retry_after),
         Answer::Heartbeat(reply) => json(http_status::OK, &reply),
         Answer::Redirect(known_leader) => json(http_status::MISDIRECTED_REQUEST, &Redirect { known_leader }),
         Answer::Healthy => with_body(http_status::OK, Bytes::from_static(b"{}")),
     }
 }
 
-/// The refusal of a request.
+/// The response to a rejected request.
 pub(super) fn rejected(rejection: &Rejection) -> HttpResponse {
-    let response = problem(rejection.status(), rejection.to_string(), rejection.retry_after_s());
+    let response = error_response(rejection.status(), rejection.to_string(), rejection.retry_after_s());
     if rejection.closes_connection() { closing(response) } else { response }
 }
 
-/// The response with the word that the connection is closed after it.
+/// Adds the header that closes the connection after the response.
 pub(super) fn closing(mut response: HttpResponse) -> HttpResponse {
     response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
     response
 }
 
-fn problem(status: u16, error: String, retry_after_s: Option<u32>) -> HttpResponse {
+fn error_response(status: u16, error: String, retry_after_s: Option<u32>) -> HttpResponse {
     let mut response = json(status, &ErrorBody { error });
     if let Some(seconds) = retry_after_s {
         response.headers_mut().insert(RETRY_AFTER, seconds.into());
--- a/crates/net/src/services.rs
+++ b/crates/net/src/services.rs
@@ -1,4 +1,4 @@
-//! Clients of the services that a controller calls, each with its own timeouts, concurrency and rate.
+//! Clients of the services that a controller calls, each with its own timeout and limits of concurrency and rate.
 
 mod agent;
 mod cloud;
--- a/crates/net/src/services/agent.rs
+++ b/crates/net/src/services/agent.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers.
+//! The client of the agents on machines.
 
 use crate::client::Client;
 use crate::protocol;
@@ -8,7 +8,7 @@
 use shaleshunt_wire::worker::DirectCommands;
 use std::time::Duration;
 
-/// A client of all workers.
+/// Sends direct commands to agents.
 #[derive(Clone)]
 pub(crate) struct AgentClient {
     http: Client,
@@ -17,12 +17,12 @@
 
 impl AgentClient {
     pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> AgentClient {
-        // A machine that does not even accept a connection is given up sooner.
+        // Half the timeout, so that a machine that accepts no connection fails sooner than one that is slow to respond.
         let connect_timeout = timeout / 2;
         AgentClient { http: Client::new(sockets, sockets.agent_calls(), connect_timeout), timeout }
     }
 
-    /// Sends commands to the worker at an address and reads the response.
+    /// Sends commands to the agent at `address` and decodes the response.
     pub(crate) async fn execute(
         &self,
         address: &str,
--- a/crates/net/src/services/cloud.rs
+++ b/crates/net/src/services/cloud.rs
@@ -1,4 +1,4 @@
-//! Requests to the cloud.
+//! The client of the cloud.
 
 use crate::client::Client;
 use crate::protocol;
@@ -10,12 +10,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Share of the cloud's request rate that is used, so that its clock and ours may differ.
-const RATE_SHARE: f64 = 0.9;
-/// The cloud has so many times the timeout of other services.
-const TIMEOUT_FACTOR: u32 = 3;
+/// Fraction of the cloud's rate limit that is used. The rest allows for the difference between the cloud's clock and
+/// the local one.
+const USED_RATE_FRACTION: f64 = 0.9;
+/// Timeout of the cloud, as a multiple of the timeout of other services.
+const TIMEOUT_MULTIPLE: u32 = 3;
 
-/// A client of the cloud, which stays below the rate that the cloud allows.
+/// Sends requests to the cloud, below the cloud's rate limit.
 pub(crate) struct CloudClient {
     http: Client,
     address: Rc<str>,
@@ -28,12 +29,13 @@
         CloudClient {
             http: Client::new(sockets, sockets.cloud_requests(), timeout),
             address: address.into(),
-            timeout: timeout * TIMEOUT_FACTOR,
-            rate_limiter: RateLimiter::new(per_second * RATE_SHARE),
+            timeout: timeout * TIMEOUT_MULTIPLE,
+            rate_limiter: RateLimiter::new(per_second * USED_RATE_FRACTION),
         }
     }
 
-    /// Counts a request against the rate now; the future sends it and reads the response.
+    /// Counts a request against the rate limit at once. The returned future sends the request and decodes the response,
+    /// or fails with [`RequestError::Throttled`] if the limit was reached.
     pub(crate) fn execute(
         &mut self,
         request: CloudRequest,
--- a/crates/net/src/socket_budget.rs
+++ b/crates/net/src/socket_budget.rs
@@ -1,17 +1,17 @@
-//! One budget of sockets for the whole process, divided by purpose, so that no purpose starves another:
-//! a connection refused for want of a socket looks to the scheduler like a machine that is gone.
+//! The budget of sockets of the whole process, divided by purpose so that no purpose starves another. A connection that
+//! fails for want of a socket would look to the scheduler like an unreachable machine.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// The limit from the settings and how many sockets are open now; shared by clones.
+/// The limit of open sockets and their number. Clones share the count.
 #[derive(Debug, Clone)]
 pub struct SocketBudget {
     limit: usize,
     open: Rc<Cell<usize>>,
 }
 
-/// Counts as one open socket until dropped.
+/// One socket that counts as open until this value is dropped.
 #[derive(Debug)]
 pub struct OpenSocket(Rc<Cell<usize>>);
 
@@ -27,53 +27,54 @@
         SocketBudget { limit, open: Rc::default() }
     }
 
-    /// Counts a socket as open.
+    /// Counts one more socket as open.
     pub fn open(&self) -> OpenSocket {
         self.open.set(self.open.get() + 1);
         OpenSocket(self.open.clone())
     }
 
-    /// How many are open.
+    /// Number of sockets counted as open.
     pub fn open_count(&self) -> usize {
         self.open.get()
     }
 
-    /// Connections from workers, users and health checks: three quarters.
+    /// Most connections from agents, users and health checks: three quarters of the limit.
     pub fn client_connections(&self) -> usize {
         (self.limit * 3 / 4).max(16)
     }
 
-    /// Connections beyond those, for users and health checks only: a thirty-second.
+    /// Most further connections, for users and health checks only: a thirty-second of the limit.
     pub fn reserved_connections(&self) -> usize {
         (self.limit / 32).max(2)
     }
 
-    /// Concurrent calls to workers: an eighth.
+    /// Most concurrent calls to agents: an eighth of the limit.
     pub fn agent_calls(&self) -> usize {
         (self.limit / 8).max(4)
     }
 
-    /// Concurrent requests to the key-value store: a thirty-second.
+    /// Most concurrent requests to the key-value store: a thirty-second of the limit.
     pub fn kv_requests(&self) -> usize {
         (self.limit / 32).max(4)
     }
 
-    /// Concurrent requests to the cloud.
+    /// Most concurrent requests to the cloud: a two-hundredth of the limit.
     pub fn cloud_requests(&self) -> usize {
         (self.limit / 200).max(2)
     }
 
-    /// Connections from peers. What all shares leave is for listeners and the runtime.
+    /// Most connections from peers: a two-hundredth of the limit. What remains beside all shares is for the listening
+    /// sockets and the runtime.
     pub fn peer_connections(&self) -> usize {
         (self.limit / 200).max(4)
     }
 
-    /// Whether unused connections may be kept open: not beyond three quarters of the limit.
+    /// Whether an idle connection may stay open: while fewer than three quarters of the limit are open.
     pub fn has_room(&self) -> bool {
         self.excess() == 0
     }
 
-    /// How many sockets are open beyond those that leave room for unused ones.
+    /// Number of idle connections to close until one may stay open again.
     pub fn excess(&self) -> usize {
         (self.open.get() + 1).saturating_sub(self.limit * 3 / 4)
     }
--- a/crates/net/src/socket_budget/tests.rs
+++ b/crates/net/src/socket_budget/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
-/// At one and a half times the fleet, connections from all machines and kept ones to all machines
-/// came to more than the limit; hundreds of machines then seemed not to answer.
+/// Guards against shares that add up to more than the limit. At one and a half times the planned fleet, connections
+/// from all machines and pooled connections to them once exceeded it, and hundreds of machines seemed unreachable.
 #[test]
-fn shares_leave_room_for_each_other() {
+fn shares_of_all_purposes_fit_into_the_limit() {
     for limit in [256, 1024, 2000, 3050, 3353, 65_536] {
         let budget = SocketBudget::new(limit);
         let all = budget.client_connections()
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn what_is_closed_counts_no_more() {
+fn closed_sockets_no_longer_count() {
     let budget = SocketBudget::new(64);
     let held: Vec<OpenSocket> = (0..48).map(|_| budget.open()).collect();
     assert!(!budget.has_room());
--- a/crates/net/src/task.rs
+++ b/crates/net/src/task.rs
@@ -1,4 +1,4 @@
-//! Tasks that end with their owner.
+//! Tasks that are stopped together with their owner.
 
 use tokio::task::{AbortHandle, JoinHandle};
 
