--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -1,38 +1,38 @@
-//! What the program does for each subcommand.
+//! Implementation of the subcommands.
 
 use crate::arguments::SettingsFiles;
 use crate::logging;
-use crate::settings::{self, Loaded, SettingsErrors};
+use crate::settings::{self, LoadedSettings, SettingsErrors};
 use shaleshunt_core::capacity;
 use shaleshunt_net::RunError;
 use std::convert::Infallible;
 use tokio::task::{JoinError, LocalSet};
 
-/// Why a subcommand failed. The text is printed for the operator.
+/// Why a subcommand failed. The text is printed to standard error for the operator.
 #[derive(Debug, thiserror::Error)]
 pub enum CommandError {
-    /// The settings that were checked are not valid: one line for each problem.
+    /// `check` found the settings invalid. The text has one line for each problem.
     #[error("{}", .0.lines())]
     InvalidSettings(SettingsErrors),
-    /// A controller cannot run with its settings.
-    #[error("shaleshunt: settings: {}", .0.one_line())]
+    /// A controller cannot start because its settings are invalid. The text is one line.
+    #[error("shaleshunt: cannot start with invalid settings: {}", .0.one_line())]
     UnusableSettings(SettingsErrors),
-    /// The runtime cannot be started.
-    #[error("shaleshunt: cannot start: {0}")]
+    /// The async runtime cannot be created.
+    #[error("shaleshunt: cannot create the async runtime: {0}")]
     Runtime(std::io::Error),
-    /// The controller cannot run.
+    /// The controller cannot start.
     #[error("shaleshunt: {0}")]
     Run(#[from] RunError),
-    /// The controller's task ended by itself.
-    #[error("shaleshunt: the event loop stopped: {0}")]
+    /// The task of the event loop panicked or was cancelled.
+    #[error("shaleshunt: the event loop ended unexpectedly: {0}")]
     Stopped(#[from] JoinError),
 }
 
-/// Checks the settings and prints warnings, also of settings that are too small for so many machines.
+/// Checks the settings and prints warnings. With a number of machines, settings that are too small for it are included.
 ///
 /// # Errors
 ///
-/// [`CommandError::InvalidSettings`] with all that is wrong.
+/// [`CommandError::InvalidSettings`] with all problems of both files.
 pub fn check(files: &SettingsFiles, machines: Option<u32>) -> Result<(), CommandError> {
     let loaded = load(files).map_err(CommandError::InvalidSettings)?;
     for warning in &loaded.warnings {
@@ -47,11 +47,12 @@
     Ok(())
 }
 
-/// Runs a controller until the process is stopped.
+/// Runs a controller until the process is terminated.
 ///
 /// # Errors
 ///
-/// The settings are not valid, or the runtime or the controller cannot be started; see [`CommandError`].
+/// The settings are invalid, the runtime or the controller cannot be started, or the event loop ended; see
+/// [`CommandError`].
 pub fn serve(files: &SettingsFiles) -> Result<(), CommandError> {
     let loaded = load(files).map_err(CommandError::UnusableSettings)?;
     logging::init();
@@ -62,15 +63,15 @@
     match never {}
 }
 
-fn load(files: &SettingsFiles) -> Result<Loaded, SettingsErrors> {
+fn load(files: &SettingsFiles) -> Result<LoadedSettings, SettingsErrors> {
     settings::load(&files.config, files.properties.as_deref())
 }
 
-fn run(loaded: Loaded) -> Result<Infallible, CommandError> {
+fn run(loaded: LoadedSettings) -> Result<Infallible, CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().map_err(CommandError::Runtime)?;
-    // The event loop is one task among those of the connections: what they bring is taken in the same turn
-    // of the runtime. As the outermost future it would be polled only after another look for input, a
-    // system call for each request.
+    // The event loop runs as a task like those of the connections, so that it takes their requests in the same turn of
+    // the runtime. As the outermost future it would be polled only after the runtime has polled for I/O again, which is
+    // a system call for each request.
     LocalSet::new().block_on(&runtime, async {
         let controller = shaleshunt_net::run(loaded.settings, loaded.tuning, loaded.network);
         Ok(tokio::task::spawn_local(controller).await??)
--- a/crates/cli/src/logging.rs
+++ b/crates/cli/src/logging.rs
@@ -1,11 +1,12 @@
-//! Structured logging to standard error.
+//! Structured logs on standard error.
 
 use tracing::Level;
 
-/// Environment variable with the least severe level that is logged: `error`, `info` or `debug`.
+/// Environment variable with the least severe level that is logged: `error`, `info` (the default) or `debug`. Any other
+/// value counts as `info`.
 const LEVEL_VARIABLE: &str = "LOG_LEVEL";
 
-/// Starts logging for the whole process. Times are left to whoever collects the log.
+/// Initializes logging for the whole process. Lines have no timestamps, which the log collector adds.
 pub fn init() {
     tracing_subscriber::fmt()
         .with_max_level(level())
--- a/crates/cli/src/main.rs
+++ b/crates/cli/src/main.rs
@@ -1,4 +1,4 @@
-//! `shaleshunt`: the controller's command line.
+//! The command line of the `shaleshunt` controller.
 
 #![warn(clippy::wildcard_imports, clippy::missing_errors_doc, clippy::unwrap_used, clippy::too_many_lines)]
 
@@ -11,7 +11,7 @@
 use clap::Parser;
 use std::process::ExitCode;
 
-/// Requests allocate and free many buffers; the system's allocator took longer and held more memory for them.
+/// Each request allocates and frees several buffers. The system's allocator was slower at this and held more memory.
 #[global_allocator]
 static ALLOCATOR: tikv_jemallocator::Jemalloc = tikv_jemallocator::Jemalloc;
 
--- a/crates/cli/src/settings.rs
+++ b/crates/cli/src/settings.rs
@@ -1,9 +1,9 @@
-//! Reads and checks the platform's settings and the operators' properties.
+//! Loads and validates the platform's settings file and the operators' properties file.
 //!
-//! - `file` is the settings file as it is written;
-//! - `validation` checks its fields, `problem` says what is wrong with them;
-//! - `conversion` turns it into what the scheduler and the network are started with;
-//! - `properties` reads the operators' properties.
+//! - `file` declares the format of the settings file;
+//! - `validation` checks the fields, `problem` describes those that are not allowed;
+//! - `conversion` converts a valid file into the settings of the core and of the network;
+//! - `properties` parses the properties file.
 
 mod conversion;
 mod error;
@@ -20,42 +20,44 @@
 use shaleshunt_net::NetworkConfig;
 use std::path::Path;
 
-/// Everything that a controller is started with.
+/// All settings of a controller.
 #[derive(Debug)]
-pub struct Loaded {
-    /// The platform's settings for the scheduler.
+pub struct LoadedSettings {
+    /// The platform's settings of the core.
     pub settings: Settings,
-    /// The operators' settings.
+    /// The operators' properties.
     pub tuning: Tuning,
-    /// The platform's settings for the network.
+    /// The platform's settings of the network.
     pub network: NetworkConfig,
-    /// What an operator should change, though it works.
+    /// Properties that work, but that the operator should change.
     pub warnings: Vec<String>,
 }
 
-/// The platform's settings, checked.
+/// The platform's settings from a valid settings file.
 #[derive(Debug)]
-struct Platform {
+struct PlatformSettings {
     settings: Settings,
     network: NetworkConfig,
 }
 
-/// Reads both files.
+/// Loads the settings file and, if given, the properties file. Absent properties have their defaults.
 ///
 /// # Errors
 ///
-/// All that is wrong: with the settings file alone if it cannot be read, or else with the properties, key by
-/// key, and then with the settings, field by field.
-pub fn load(config: &Path, properties: Option<&Path>) -> Result<Loaded, SettingsErrors> {
+/// All errors of both files, those of the properties file first. If the settings file cannot be read, only that error
+/// is returned.
+pub fn load(config: &Path, properties: Option<&Path>) -> Result<LoadedSettings, SettingsErrors> {
     let text = std::fs::read_to_string(config)
         .map_err(|source| SettingsError::Unreadable { path: config.to_path_buf(), source })?;
     let Properties { tuning, errors, warnings } = properties.map(load_properties).unwrap_or_default();
     let mut errors = SettingsErrors::new(errors);
     match parse(&text) {
-        Ok(Platform { settings, network }) if errors.is_empty() => Ok(Loaded { settings, tuning, network, warnings }),
+        Ok(PlatformSettings { settings, network }) if errors.is_empty() => {
+            Ok(LoadedSettings { settings, tuning, network, warnings })
+        }
         Ok(_) => Err(errors),
-        Err(more) => {
-            errors.extend(more);
+        Err(settings_errors) => {
+            errors.extend(settings_errors);
             Err(errors)
         }
     }
@@ -71,14 +73,14 @@
     }
 }
 
-/// Reads the platform's settings from TOML.
-fn parse(text: &str) -> Result<Platform, SettingsErrors> {
+/// Parses and validates the text of a settings file.
+fn parse(text: &str) -> Result<PlatformSettings, SettingsErrors> {
     let file: SettingsFile = toml::from_str(text).map_err(|error| SettingsError::syntax(text, &error))?;
     let problems = validation::check(&file);
     if !problems.is_empty() {
         return Err(SettingsErrors::new(problems.into_iter().map(SettingsError::Field).collect()));
     }
-    Ok(conversion::platform(file))
+    Ok(conversion::convert(file))
 }
 
 #[cfg(test)]
--- a/crates/cli/src/settings/conversion.rs
+++ b/crates/cli/src/settings/conversion.rs
@@ -1,19 +1,19 @@
-//! Turns a checked settings file into what the scheduler and the network are started with.
+//! Converts a valid settings file into the settings of the core and of the network.
 
-use super::Platform;
+use super::PlatformSettings;
 use super::file::{KvLimits, Objective, ObjectiveKind, Peer, SettingsFile, TeamEntry};
 use shaleshunt_core::settings::{ComputeAmount, ServiceObjective, Settings, StoreQuota, TeamQuota};
 use shaleshunt_net::{NetworkConfig, PeerAddress};
 use shaleshunt_wire::to_milli;
 use std::collections::BTreeMap;
 
-/// An objective without a multiple means the deadline itself.
+/// Applies to objectives without a multiple: the job has to complete by its deadline.
 const DEFAULT_DEADLINE_MULTIPLE: f64 = 1.0;
 
-/// What a node is started with. The file has been checked.
-pub fn platform(file: SettingsFile) -> Platform {
+/// Converts a file that `validation` has found valid.
+pub fn convert(file: SettingsFile) -> PlatformSettings {
     let settings = settings(&file);
-    Platform { settings, network: network(file) }
+    PlatformSettings { settings, network: network(file) }
 }
 
 fn settings(file: &SettingsFile) -> Settings {
@@ -25,11 +25,11 @@
         zones: parameters.zones.clone(),
         teams: parameters.teams.iter().map(|entry| (entry.name.clone(), team(entry))).collect(),
         objectives: objectives_by_class(&parameters.objectives),
-        heartbeat_interval_s: parameters.workers.heartbeat_interval_s,
-        lease_s: parameters.workers.lease_s,
-        cancel_s: parameters.workers.cancel_s,
+        heartbeat_interval_s: parameters.agents.heartbeat_interval_s,
+        lease_s: parameters.agents.lease_s,
+        cancel_s: parameters.agents.cancel_s,
         kv_rps: parameters.kv.requests_per_s,
-        store_quota: limits(&parameters.kv),
+        store_quota: present_limits(&parameters.kv),
         next_store_quota: next_limits(&parameters.kv),
         cloud_rps: parameters.cloud.requests_per_s,
         machine_list_lag_s: parameters.cloud.max_list_age_s,
@@ -62,17 +62,19 @@
     ComputeAmount { cores: to_milli(cpus), accelerators: to_milli(gpus) }
 }
 
-/// Objectives by class.
+/// Groups the objectives by class. Objectives without a class or of an unknown kind are ignored.
 fn objectives_by_class(objectives: &[Objective]) -> BTreeMap<String, ServiceObjective> {
     let mut by_class: BTreeMap<String, ServiceObjective> = BTreeMap::new();
     for objective in objectives {
         let Some(class) = &objective.class else { continue };
-        let of_class = by_class.entry(class.clone()).or_default();
+        let class_objective = by_class.entry(class.clone()).or_default();
         match objective.kind {
-            ObjectiveKind::Start => of_class.start_s.extend(objective.within_s),
-            ObjectiveKind::Finish => of_class.finish_s.extend(objective.within_s),
+            ObjectiveKind::Start => class_objective.start_s.extend(objective.within_s),
+            ObjectiveKind::Finish => class_objective.finish_s.extend(objective.within_s),
             ObjectiveKind::Deadline => {
-                of_class.deadline_multiples.push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
+                class_objective
+                    .deadline_multiples
+                    .push(objective.deadline_multiple.unwrap_or(DEFAULT_DEADLINE_MULTIPLE));
             }
             ObjectiveKind::Unknown => {}
         }
@@ -80,12 +82,12 @@
     by_class
 }
 
-/// The key-value store's limits today.
-fn limits(kv: &KvLimits) -> StoreQuota {
+/// The key-value store's present limits.
+fn present_limits(kv: &KvLimits) -> StoreQuota {
     StoreQuota { value_kb: kv.value_kib, txn_ops: kv.transaction_writes, write_rps: kv.writes_per_s }
 }
 
-/// The key-value store's limits that are to come; what is not named stays as it is today.
+/// The key-value store's announced limits. A limit that is absent from `next` stays as it is; `None` without `next`.
 fn next_limits(kv: &KvLimits) -> Option<StoreQuota> {
     let next = kv.next.as_ref()?;
     Some(StoreQuota {
--- a/crates/cli/src/settings/error.rs
+++ b/crates/cli/src/settings/error.rs
@@ -1,76 +1,78 @@
-//! Why settings cannot be used.
+//! Errors in the settings file and in the properties file.
 
 use super::problem::Problem;
 use shaleshunt_core::settings::PropertyError;
 use std::fmt::Display;
 use std::path::PathBuf;
 
-/// One thing that is wrong with the settings or the properties.
+/// One error in the settings file or the properties file.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
     /// A file cannot be read.
-    #[error("{}: {source}", path.display())]
+    #[error("{}: cannot read the file: {source}", path.display())]
     Unreadable {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
         /// The operating system's error.
         source: std::io::Error,
     },
-    /// The settings file is not TOML, or a field is missing or of another type.
-    #[error("line {line}: {message}")]
+    /// The settings file is not valid TOML, or a field is missing or has the wrong type.
+    #[error("line {line}: {message} (settings file)")]
     Syntax {
-        /// Line of the file, 0 if not known.
+        /// Line of the file, counted from 1; 0 if unknown.
         line: usize,
-        /// What the parser expected.
+        /// The parser's message.
         message: String,
     },
     /// A field's value is not allowed.
     #[error(transparent)]
     Field(Problem),
-    /// The properties are not in the form of a properties file.
-    #[error("properties: {0}")]
+    /// The properties file cannot be parsed.
+    #[error("properties: cannot parse the file: {0}")]
     PropertiesSyntax(java_properties::PropertiesError),
-    /// A property and its earlier name are both given.
-    #[error("{earlier}: is called {current} now, which is given too")]
-    PropertyGivenTwice {
-        /// The key of an earlier version.
+    /// A property is set under its current name and under an earlier one.
+    #[error("{earlier}: renamed to {current}, which is set as well; remove {earlier}")]
+    PropertySetTwice {
+        /// Earlier key, as set in the file.
         earlier: String,
-        /// The key of today.
+        /// Current key.
         current: &'static str,
     },
-    /// A property is given by two of its earlier names.
-    #[error("{earlier}: is called {current} now, which is given too, as {newer}")]
-    PropertyGivenByEarlierNames {
-        /// The older key.
+    /// A property is set under two of its earlier names.
+    #[error(
+        "{earlier}: renamed to {current}, which is set as well, under its earlier name {newer}; keep only {current}"
+    )]
+    PropertySetUnderEarlierNames {
+        /// The older of the two earlier keys.
         earlier: String,
-        /// The key of today.
+        /// Current key.
         current: &'static str,
         /// The newer of the two earlier keys.
         newer: &'static str,
     },
-    /// A property is not known, or its value is not allowed.
+    /// A property is unknown, or its value is not allowed.
     #[error(transparent)]
     Property(PropertyError),
 }
 
 impl SettingsError {
-    /// The error of a property that is given by an earlier name and by a newer one.
-    pub(super) fn given_twice(earlier: &str, current: &'static str, newer: &'static str) -> SettingsError {
+    /// The error of a property that is set under an earlier name and under a newer one.
+    pub(super) fn duplicate_property(earlier: &str, current: &'static str, newer: &'static str) -> SettingsError {
         let earlier = earlier.to_string();
         if newer == current {
-            return SettingsError::PropertyGivenTwice { earlier, current };
+            return SettingsError::PropertySetTwice { earlier, current };
         }
-        SettingsError::PropertyGivenByEarlierNames { earlier, current, newer }
+        SettingsError::PropertySetUnderEarlierNames { earlier, current, newer }
     }
 
-    /// The parser's error with the line that it is on.
+    /// The parser's error with its line in `text`.
     pub(super) fn syntax(text: &str, error: &toml::de::Error) -> SettingsError {
         let line = error.span().map_or(0, |span| text[..span.start.min(text.len())].lines().count());
         SettingsError::Syntax { line, message: error.message().to_string() }
     }
 }
 
-/// All that is wrong with the settings and the properties.
+/// All errors in the settings file and the properties file.
 #[derive(Debug, Default)]
 pub struct SettingsErrors {
     errors: Vec<SettingsError>,
@@ -89,12 +91,12 @@
         self.errors.extend(more.errors);
     }
 
-    /// The errors, one a line.
+    /// The errors, one per line.
     pub fn lines(&self) -> impl Display {
         self.join("\n")
     }
 
-    /// The errors in one line.
+    /// The errors on one line, separated by semicolons.
     pub fn one_line(&self) -> impl Display {
         self.join("; ")
     }
--- a/crates/cli/src/settings/file.rs
+++ b/crates/cli/src/settings/file.rs
@@ -1,46 +1,46 @@
-//! The platform's settings file as it is written. The file's own names are mapped to the code's here and
-//! nowhere else. Fields that are not listed are ignored.
+//! Format of the platform's settings file. The field names of the file are mapped to those of the code here and nowhere
+//! else. Unknown fields are ignored.
 
 use serde::Deserialize;
 
-/// The whole file.
+/// The settings file.
 #[derive(Debug, Deserialize)]
 pub struct SettingsFile {
-    /// Name of this node.
+    /// Name of this node; must not be empty.
     #[serde(rename = "label")]
     pub name: String,
     /// Zone of this node.
     #[serde(rename = "location")]
     pub zone: String,
-    /// Where users, workers and health checks connect.
+    /// Listening address for users, agents and health checks: an IPv4 address with a port.
     #[serde(rename = "front")]
     pub client_address: String,
-    /// Where the other nodes connect.
+    /// Listening address for the other controllers: an IPv4 address with a port.
     #[serde(rename = "back")]
     pub peer_address: String,
-    /// The other nodes.
+    /// The other controllers; none by default.
     #[serde(default, rename = "seeds")]
     pub peers: Vec<Peer>,
-    /// Other services.
+    /// Addresses of other services.
     pub endpoints: Endpoints,
-    /// The deployment's parameters.
+    /// Parameters of the deployment.
     pub params: Parameters,
 }
 
-/// Another node.
+/// Another controller.
 #[derive(Debug, Deserialize)]
 pub struct Peer {
-    /// Its name.
+    /// Name of its node.
     #[serde(rename = "label")]
     pub name: String,
-    /// Its zone.
+    /// Zone of its node; empty by default.
     #[serde(default, rename = "location")]
     pub zone: String,
-    /// Where it listens for its peers.
+    /// Its listening address for peers.
     pub address: String,
 }
 
-/// Addresses of other services.
+/// Addresses of other services, each an IPv4 address with a port.
 #[derive(Debug, Deserialize)]
 pub struct Endpoints {
     /// The cloud.
@@ -53,41 +53,42 @@
 /// Parameters of the deployment.
 #[derive(Debug, Deserialize)]
 pub struct Parameters {
-    /// All zones.
+    /// Names of all zones; none by default.
     #[serde(default)]
     pub zones: Vec<String>,
-    /// Quotas of teams.
+    /// Quotas of teams; none by default.
     #[serde(default)]
     pub teams: Vec<TeamEntry>,
-    /// Service-level objectives.
+    /// Service-level objectives; none by default.
     #[serde(default)]
     pub objectives: Vec<Objective>,
-    /// Times of workers.
-    pub workers: Workers,
+    /// Timings of the agents.
+    #[serde(rename = "workers")]
+    pub agents: AgentTimings,
     /// Limits of the key-value store.
     #[serde(rename = "state")]
     pub kv: KvLimits,
     /// Limits of the cloud.
-    pub cloud: Cloud,
-    /// Resources of this process.
+    pub cloud: CloudLimits,
+    /// Resources that this process may use.
     pub resources: Resources,
 }
 
-/// Quota of a team. Zero, as for what is not given, means none.
+/// Quota of a team. Each amount is zero by default; zero stands for no guarantee or for no limit.
 #[derive(Debug, Deserialize)]
 pub struct TeamEntry {
-    /// Name of the team.
+    /// Name of the team; unique in the file.
     pub name: String,
-    /// Guaranteed CPUs.
+    /// CPUs that the team gets before other teams exceed their guarantees.
     #[serde(default, rename = "cpus")]
     pub guaranteed_cpus: f64,
-    /// Most CPUs.
+    /// Most CPUs that the team may use.
     #[serde(default, rename = "cpus_max")]
     pub max_cpus: f64,
-    /// Guaranteed accelerators.
+    /// Accelerators that the team gets before other teams exceed their guarantees.
     #[serde(default, rename = "gpus")]
     pub guaranteed_gpus: f64,
-    /// Most accelerators.
+    /// Most accelerators that the team may use.
     #[serde(default, rename = "gpus_max")]
     pub max_gpus: f64,
 }
@@ -97,13 +98,13 @@
 pub struct Objective {
     /// What is measured.
     pub kind: ObjectiveKind,
-    /// The class of jobs; without one the objective is not used.
+    /// The class of jobs. An objective without a class is ignored.
     #[serde(default)]
     pub class: Option<String>,
-    /// Longest time, in seconds.
+    /// Time limit in seconds, for the kinds `wait` and `finished`. Without it such an objective is ignored.
     #[serde(default)]
     pub within_s: Option<f64>,
-    /// Multiple of the deadline.
+    /// Multiple of the deadline, for the kind `deadline`; 1 by default.
     #[serde(default, rename = "times")]
     pub deadline_multiple: Option<f64>,
 }
@@ -112,19 +113,19 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
 #[serde(from = "String")]
 pub enum ObjectiveKind {
-    /// Time until a task starts.
+    /// Time until a task starts (`wait`).
     Start,
-    /// Time until a job is done.
+    /// Time until a job completes (`finished`).
     Finish,
-    /// End of a job by its deadline.
+    /// Completion of a job within a multiple of its deadline (`deadline`).
     Deadline,
-    /// One that this version does not know, and does not use.
+    /// Any kind that this version does not know. Such objectives are ignored.
     Unknown,
 }
 
 impl From<String> for ObjectiveKind {
-    fn from(written: String) -> ObjectiveKind {
-        match written.as_str() {
+    fn from(kind: String) -> ObjectiveKind {
+        match kind.as_str() {
             "wait" => ObjectiveKind::Start,
             "finished" => ObjectiveKind::Finish,
             "deadline" => ObjectiveKind::Deadline,
@@ -133,15 +134,15 @@
     }
 }
 
-/// Times of workers.
+/// Timings of the agents.
 #[derive(Debug, Deserialize)]
-pub struct Workers {
-    /// Interval between heartbeats, in seconds.
+pub struct AgentTimings {
+    /// Interval between an agent's heartbeats, in seconds.
     #[serde(rename = "report_s")]
     pub heartbeat_interval_s: f64,
-    /// Duration of a worker's lease, in seconds.
+    /// Duration of a machine lease, in seconds; longer than the heartbeat interval.
     pub lease_s: f64,
-    /// Time in which a cancelled job must be gone, in seconds.
+    /// Time within which a cancelled job must have stopped everywhere, in seconds; longer than a machine lease.
     pub cancel_s: f64,
 }
 
@@ -160,12 +161,12 @@
     /// Writes per transaction.
     #[serde(rename = "txn_ops")]
     pub transaction_writes: usize,
-    /// Limits from some moment on, of which nobody tells.
+    /// Limits that come into force at a time that is not announced; `None` if no change is announced.
     #[serde(default)]
     pub next: Option<NextKvLimits>,
 }
 
-/// Limits that are to come; what is not named stays.
+/// Announced limits of the key-value store. A limit that is absent stays as it is.
 #[derive(Debug, Deserialize)]
 pub struct NextKvLimits {
     /// Writes per second.
@@ -181,25 +182,25 @@
 
 /// Limits of the cloud.
 #[derive(Debug, Deserialize)]
-pub struct Cloud {
+pub struct CloudLimits {
     /// Requests per second.
     #[serde(rename = "rps")]
     pub requests_per_s: f64,
-    /// How old the list of machines may be, in seconds.
+    /// Longest time by which the cloud's list of machines lags behind, in seconds.
     #[serde(rename = "list_lag_s")]
     pub max_list_age_s: f64,
 }
 
-/// Resources of this process.
+/// Resources that this process may use.
 #[derive(Debug, Deserialize)]
 pub struct Resources {
-    /// Processor cores, or a share of one.
+    /// Processor cores, as a decimal number; 1 by default.
     #[serde(default = "one_core", rename = "core_share")]
     pub cores: f64,
     /// Memory in MiB.
     #[serde(rename = "mem_mb")]
     pub memory_mib: f64,
-    /// Open files, and so sockets.
+    /// Limit of open files, which include sockets.
     #[serde(rename = "fd_limit")]
     pub max_open_files: usize,
 }
--- a/crates/cli/src/settings/problem.rs
+++ b/crates/cli/src/settings/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a field of the settings file.
+//! Problems with the values of fields in the settings file.
 
 use std::fmt;
 
@@ -6,18 +6,18 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{field}: {allowed}")]
 pub struct Problem {
-    /// The field's path in the file.
+    /// Dotted path of the field in the file.
     pub field: String,
-    /// The value that was found.
+    /// The value in the file.
     pub found: Value,
-    /// What is allowed.
+    /// Which values are allowed.
     pub allowed: Allowed,
 }
 
 /// The value of a field.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Value {
-    /// A text.
+    /// A string.
     Text(String),
     /// A decimal number.
     Number(f64),
@@ -25,42 +25,42 @@
     Integer(usize),
 }
 
-/// What a field may hold.
+/// Which values a field allows.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Allowed {
-    /// Any text but the empty one.
+    /// A string that is not empty.
     NotEmpty,
     /// An IPv4 address with a port.
     SocketAddress,
-    /// The label of another node.
+    /// A node name other than that of this node.
     AnotherNode,
     /// A finite number above zero.
     Positive,
-    /// A finite number above zero, up to this.
+    /// A finite number above zero, up to this maximum.
     PositiveUpTo(f64),
-    /// A number up to this.
+    /// A number up to this maximum.
     AtMost(f64),
-    /// A number from this on.
+    /// A number from this minimum on.
     AtLeast(f64),
-    /// A number in a range, both ends included.
+    /// A number in a range.
     Range {
-        /// The least.
+        /// Minimum, included.
         from: f64,
-        /// The greatest.
+        /// Maximum, included.
         to: f64,
     },
-    /// A whole number in a range, both ends included.
+    /// A whole number in a range.
     IntegerRange {
-        /// The least.
+        /// Minimum, included.
         from: usize,
-        /// The greatest.
+        /// Maximum, included.
         to: usize,
     },
-    /// A time longer than that of the named field.
+    /// A duration longer than that of the named field.
     LongerThan(&'static str),
-    /// Amounts of resources.
+    /// Amounts of resources within the bounds of a team's quota.
     Amounts,
-    /// A name that no other entry has.
+    /// A name that no other team has.
     UniqueName,
 }
 
@@ -77,8 +77,8 @@
             Allowed::Range { from, to } => write!(f, "must be from {from} to {to}"),
             Allowed::IntegerRange { from, to } => write!(f, "must be from {from} to {to}"),
             Allowed::LongerThan(other) => write!(f, "must be longer than {other}"),
-            Allowed::Amounts => f.write_str("amounts must be numbers from 0"),
-            Allowed::UniqueName => f.write_str("named twice"),
+            Allowed::Amounts => f.write_str("amounts must be from 0 to less than 1000000000"),
+            Allowed::UniqueName => f.write_str("must not have the name of another team"),
         }
     }
 }
--- a/crates/cli/src/settings/properties.rs
+++ b/crates/cli/src/settings/properties.rs
@@ -1,21 +1,21 @@
-//! Reads the operators' properties.
+//! Parses the operators' properties file.
 
 use super::error::SettingsError;
 use shaleshunt_core::settings::{Tuning, newer_names, renamed_key};
 use std::collections::BTreeMap;
 
-/// Operators' properties as they were read.
+/// Contents of a properties file, with its errors and warnings.
 #[derive(Debug, Default)]
 pub struct Properties {
-    /// The values; defaults for what is not given.
+    /// The values; the default for each property that is absent or invalid.
     pub tuning: Tuning,
-    /// What is wrong, one entry a key.
+    /// One error for each invalid key, or one if the file cannot be parsed.
     pub errors: Vec<SettingsError>,
-    /// What an operator should change, though it works.
+    /// Properties that work, but that the operator should change.
     pub warnings: Vec<String>,
 }
 
-/// Reads a properties file.
+/// Parses the contents of a properties file.
 pub fn parse(bytes: &[u8]) -> Properties {
     let mut properties = Properties::default();
     match java_properties::read(bytes) {
@@ -30,13 +30,13 @@
         for (key, value) in values {
             if let Some(current) = renamed_key(key) {
                 if let Some(newer) = newer_names(key).find(|newer| values.contains_key(*newer)) {
-                    self.errors.push(SettingsError::given_twice(key, current, newer));
+                    self.errors.push(SettingsError::duplicate_property(key, current, newer));
                     continue;
                 }
-                self.warnings.push(format!("{key}: is called {current} now"));
+                self.warnings.push(format!("{key}: renamed to {current}; the earlier name still works"));
             }
-            if let Err(problem) = self.tuning.set(key, value) {
-                self.errors.push(SettingsError::Property(problem));
+            if let Err(error) = self.tuning.set(key, value) {
+                self.errors.push(SettingsError::Property(error));
             }
         }
     }
--- a/crates/cli/src/settings/validation.rs
+++ b/crates/cli/src/settings/validation.rs
@@ -1,26 +1,28 @@
-//! Checks the fields of the settings file. Every field is checked, so that all problems are found at once.
+//! Validates the fields of the settings file. All fields are checked, so that all problems are reported at once.
 
-use super::file::{Endpoints, KvLimits, NextKvLimits, Parameters, Peer, SettingsFile, TeamEntry, Workers};
+use super::file::{AgentTimings, Endpoints, KvLimits, NextKvLimits, Parameters, Peer, SettingsFile, TeamEntry};
 use super::problem::{Allowed, Problem, Value};
 use std::collections::BTreeSet;
 use std::net::SocketAddrV4;
 
-/// Longest time that a field may name, in seconds.
-const MAX_SECONDS: f64 = 86_400.0;
-const MAX_PER_SECOND: f64 = 1e6;
+/// Upper limit of durations, one day.
+const MAX_DURATION_S: f64 = 86_400.0;
+/// Upper limit of rates, in requests or writes per second.
+const MAX_RATE_PER_SECOND: f64 = 1e6;
+/// A job's record without long lists takes less than this.
 const MIN_VALUE_KIB: f64 = 1.0;
 const MAX_VALUE_KIB: f64 = 65_536.0;
-/// The end of a leader's term takes three writes; a job's record without long lists takes less than 1 KiB.
+/// The end of a job takes three writes in one transaction.
 const MIN_TRANSACTION_WRITES: usize = 3;
 const MAX_TRANSACTION_WRITES: usize = 100_000;
 const MAX_MEMORY_MIB: f64 = 1e6;
 const MAX_CORES: f64 = 1024.0;
 const MIN_OPEN_FILES: usize = 64;
 const MAX_OPEN_FILES: usize = 10_000_000;
-/// Amounts of a team's quota are below this.
-const QUOTA_BOUND: f64 = 1e9;
+/// Exclusive upper bound of a team's CPUs and accelerators; the message of [`Allowed::Amounts`] names it.
+const QUOTA_UPPER_BOUND: f64 = 1e9;
 
-/// All problems of a file, in the order of the checks; none if it can be used.
+/// Returns the problems of a file in the order of the checks; none if the file can be used.
 pub fn check(file: &SettingsFile) -> Vec<Problem> {
     let mut checker = Checker::default();
     checker.check_node(file);
@@ -29,7 +31,7 @@
         checker.check_peer(peer, &file.name);
     }
     checker.check_positive_numbers(&file.params);
-    checker.check_worker_times(&file.params.workers);
+    checker.check_agent_timings(&file.params.agents);
     checker.check_kv_limits(&file.params.kv);
     if let Some(next) = &file.params.kv.next {
         checker.check_next_kv_limits(next);
@@ -46,7 +48,7 @@
 }
 
 impl Checker {
-    /// Notes a problem unless `is_allowed`.
+    /// Records a problem unless `is_allowed`.
     fn require(&mut self, is_allowed: bool, field: &str, found: Value, allowed: Allowed) {
         if !is_allowed {
             self.problems.push(Problem { field: field.to_string(), found, allowed });
@@ -75,29 +77,29 @@
     }
 
     fn check_positive_numbers(&mut self, parameters: &Parameters) {
-        let Parameters { workers, kv, cloud, resources, .. } = parameters;
-        self.check_positive("params.workers.report_s", workers.heartbeat_interval_s, MAX_SECONDS);
-        self.check_positive("params.workers.lease_s", workers.lease_s, MAX_SECONDS);
-        self.check_positive("params.workers.cancel_s", workers.cancel_s, MAX_SECONDS);
-        self.check_positive("params.state.rps", kv.requests_per_s, MAX_PER_SECOND);
-        self.check_positive("params.state.write_rps", kv.writes_per_s, MAX_PER_SECOND);
+        let Parameters { agents, kv, cloud, resources, .. } = parameters;
+        self.check_positive("params.workers.report_s", agents.heartbeat_interval_s, MAX_DURATION_S);
+        self.check_positive("params.workers.lease_s", agents.lease_s, MAX_DURATION_S);
+        self.check_positive("params.workers.cancel_s", agents.cancel_s, MAX_DURATION_S);
+        self.check_positive("params.state.rps", kv.requests_per_s, MAX_RATE_PER_SECOND);
+        self.check_positive("params.state.write_rps", kv.writes_per_s, MAX_RATE_PER_SECOND);
         self.check_positive("params.state.value_kb", kv.value_kib, MAX_VALUE_KIB);
-        self.check_positive("params.cloud.rps", cloud.requests_per_s, MAX_PER_SECOND);
+        self.check_positive("params.cloud.rps", cloud.requests_per_s, MAX_RATE_PER_SECOND);
         self.check_positive("params.resources.mem_mb", resources.memory_mib, MAX_MEMORY_MIB);
         self.check_positive("params.resources.core_share", resources.cores, MAX_CORES);
     }
 
-    fn check_positive(&mut self, field: &str, number: f64, most: f64) {
+    fn check_positive(&mut self, field: &str, number: f64, max: f64) {
         let found = Value::Number(number);
         if is_positive(number) {
-            self.require(number <= most, field, found, Allowed::AtMost(most));
+            self.require(number <= max, field, found, Allowed::AtMost(max));
         } else {
             self.require(false, field, found, Allowed::Positive);
         }
     }
 
-    fn check_worker_times(&mut self, workers: &Workers) {
-        let Workers { heartbeat_interval_s, lease_s, cancel_s } = *workers;
+    fn check_agent_timings(&mut self, timings: &AgentTimings) {
+        let AgentTimings { heartbeat_interval_s, lease_s, cancel_s } = *timings;
         let outlasts_heartbeat = lease_s > heartbeat_interval_s;
         let allowed = Allowed::LongerThan("report_s");
         self.require(outlasts_heartbeat, "params.workers.lease_s", Value::Number(lease_s), allowed);
@@ -114,8 +116,8 @@
 
     fn check_next_kv_limits(&mut self, next: &NextKvLimits) {
         if let Some(rate) = next.writes_per_s {
-            let is_allowed = is_positive(rate) && rate <= MAX_PER_SECOND;
-            let allowed = Allowed::PositiveUpTo(MAX_PER_SECOND);
+            let is_allowed = is_positive(rate) && rate <= MAX_RATE_PER_SECOND;
+            let allowed = Allowed::PositiveUpTo(MAX_RATE_PER_SECOND);
             self.require(is_allowed, "params.state.next.write_rps", Value::Number(rate), allowed);
         }
         if let Some(kib) = next.value_kib {
@@ -135,8 +137,8 @@
     }
 
     fn check_list_age(&mut self, seconds: f64) {
-        let is_allowed = (0.0..=MAX_SECONDS).contains(&seconds);
-        let allowed = Allowed::Range { from: 0.0, to: MAX_SECONDS };
+        let is_allowed = (0.0..=MAX_DURATION_S).contains(&seconds);
+        let allowed = Allowed::Range { from: 0.0, to: MAX_DURATION_S };
         self.require(is_allowed, "params.cloud.list_lag_s", Value::Number(seconds), allowed);
     }
 
@@ -151,9 +153,9 @@
         for team in teams {
             let field = format!("params.teams.{}", team.name);
             let amounts = [team.guaranteed_cpus, team.max_cpus, team.guaranteed_gpus, team.max_gpus];
-            let unfit = amounts.into_iter().find(|amount| !(0.0..QUOTA_BOUND).contains(amount));
-            if let Some(unfit) = unfit {
-                self.require(false, &field, Value::Number(unfit), Allowed::Amounts);
+            let out_of_bounds = amounts.into_iter().find(|amount| !(0.0..QUOTA_UPPER_BOUND).contains(amount));
+            if let Some(out_of_bounds) = out_of_bounds {
+                self.require(false, &field, Value::Number(out_of_bounds), Allowed::Amounts);
             }
             let is_new = names.insert(team.name.as_str());
             self.require(is_new, &field, Value::Text(team.name.clone()), Allowed::UniqueName);
