--- a/crates/cli/src/commands.rs
+++ b/crates/cli/src/commands.rs
@@ -28,7 +28,8 @@
     Stopped(#[from] JoinError),
 }
 
-/// Checks the settings and prints warnings. With a number of machines, settings that are too small for it are included.
+/// Checks the settings and prints warnings. If `machines` is given, also warns of settings that are too small for that
+/// number of machines.
 ///
 /// # Errors
 ///
--- a/crates/net/src/relay.rs
+++ b/crates/net/src/relay.rs
@@ -1,5 +1,5 @@
-//! Relaying of requests to the key-value store through a peer, for a controller that alone cannot reach the store or is
-//! refused by it. This module holds both sides: the controller that needs the relay and the peer that executes.
+//! Relaying of requests to the key-value store through a peer, for a controller that cannot reach the store, or is
+//! refused by it, while its peers can. This module holds both sides: sending a relayed request and executing one.
 
 use crate::client::HttpResponse;
 use crate::http_status::{GONE, NO_RESPONSE, SERVICE_UNAVAILABLE};
--- a/crates/net/src/server/rejection.rs
+++ b/crates/net/src/server/rejection.rs
@@ -4,7 +4,7 @@
 use hyper::Method;
 use shaleshunt_wire::user::SubmissionError;
 
-/// Why a request is rejected. Clients match the text, which is the `error` field of the response's body.
+/// Why a request is rejected. The text is the `error` field of the response's body.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum Rejection {
     #[error("no such path")]
--- a/crates/net/src/socket_budget/tests.rs
+++ b/crates/net/src/socket_budget/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Guards against shares that add up to more than the limit. At one and a half times the planned fleet, connections
-/// from all machines and pooled connections to them once exceeded it, and hundreds of machines seemed unreachable.
+/// Guards against shares that add up to more than the limit. At one and a half times the fleet size, connections from
+/// all machines and pooled connections to them once exceeded it, and hundreds of machines seemed unreachable.
 #[test]
 fn shares_of_all_purposes_fit_into_the_limit() {
     for limit in [256, 1024, 2000, 3050, 3353, 65_536] {
--- a/crates/net/tests/http.rs
+++ b/crates/net/tests/http.rs
@@ -216,7 +216,7 @@
     });
 }
 
-/// Guards against a client whose pooled connections exhaust the sockets. At one and a half times the planned fleet,
+/// Guards against a client whose pooled connections exhaust the sockets. At one and a half times the fleet size,
 /// pooled connections to every machine did so, and then connections of agents, users and the key-value store failed.
 #[test]
 fn idle_client_connections_are_closed_while_sockets_are_scarce() {
