--- a/crates/simulation/src/checker/final_status.rs
+++ b/crates/simulation/src/checker/final_status.rs
@@ -35,7 +35,7 @@
         let history = self.history(answer.job);
         let first = history.done_at.is_none();
         history.done_at.get_or_insert(answer.now);
-        let may_be_done = self.all_completed(spec) && spec.kind != JobKind::Service;
+        let may_be_done = self.all_tasks_completed(spec) && spec.kind != JobKind::Service;
         if first && !may_be_done {
             self.report(answer.now, Rule::NotDone, answer.job.into());
         }
--- a/crates/simulation/src/checker/left_waiting.rs
+++ b/crates/simulation/src/checker/left_waiting.rs
@@ -15,7 +15,7 @@
 
 impl Checker {
     /// A job waits though there is room. It counts from when all faults are over.
-    pub fn job_waits_beside_room(&mut self, now: u64, calm_from: u64, job: &str) {
+    pub fn check_wait_despite_capacity(&mut self, now: u64, calm_from: u64, job: &str) {
         let wait = self.history(job).wait.get_or_insert(Wait { since: now, reported: false });
         let since = wait.since.max(calm_from);
         if wait.reported || now <= since + LONGEST_WAIT_MS {
@@ -26,7 +26,7 @@
     }
 
     /// A job runs, or there is no room for it.
-    pub fn job_does_not_wait(&mut self, job: &str) {
+    pub fn clear_wait(&mut self, job: &str) {
         if let Some(history) = self.histories.get_mut(job) {
             history.wait = None;
         }
