--- a/crates/simulation/src/checker/violation.rs
+++ b/crates/simulation/src/checker/violation.rs
@@ -1,31 +1,31 @@
-//! The rules by name, and what is reported when one is broken.
+//! The checked rules, and the report of a violation.
 
 use std::fmt;
 
-/// A rule of the protocol, or one that follows from it.
+/// A rule of the protocol, or one that its service-level objectives need.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Rule {
-    /// A task runs on one machine at a time.
+    /// A task is on at most one machine at any time.
     RanTwice,
-    /// A team's tasks keep within its limit.
+    /// The tasks of a team that are on machines stay within the team's CPU limit.
     Quota,
-    /// Tasks run where their jobs allow.
+    /// Tasks start only on machines that the placement constraints of their jobs allow.
     WrongPlace,
-    /// Cancelled jobs are gone in time.
+    /// The tasks of a cancelled job stop within the time limit of cancellations.
     RanCancelled,
-    /// Accepted jobs stay known, and questions about them are answered.
+    /// Accepted jobs stay known, and requests about them are answered.
     Forgotten,
-    /// Only submitted jobs exist.
+    /// The service shows and runs only jobs that users submitted.
     Invented,
-    /// Jobs are done when all their tasks are.
+    /// Jobs are shown as done only after all their tasks have completed.
     NotDone,
-    /// A final status stays, and only what a user cancelled is cancelled.
+    /// A final status never changes, and jobs are shown as cancelled only because of a user's cancellation.
     WentBack,
-    /// Jobs start after those that they depend on.
+    /// Jobs start only after all their dependencies have completed.
     TooEarly,
-    /// Jobs end with a cancelled one that they depend on.
+    /// Jobs end when one of their dependencies is cancelled.
     Orphaned,
-    /// Jobs do not wait beside machines with room.
+    /// Jobs do not wait for long while suitable machines have free capacity.
     LeftWaiting,
 }
 
@@ -47,19 +47,19 @@
     }
 }
 
-/// A rule that was broken.
+/// A detected violation of a rule.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
-    /// Which.
+    /// The violated rule.
     pub rule: Rule,
-    /// When, in ms.
-    pub at: u64,
-    /// By what.
-    pub what: String,
+    /// Time of detection, in ms since the simulation started.
+    pub at_ms: u64,
+    /// The jobs, tasks or machines concerned, and the observation that breaks the rule.
+    pub description: String,
 }
 
 impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter) -> fmt::Result {
-        write!(f, "{} at {:.1} s: {}", self.rule, self.at as f64 / 1000.0, self.what)
+        write!(f, "{} at {:.1} s: {}", self.rule, self.at_ms as f64 / 1000.0, self.description)
     }
 }
--- a/crates/simulation/src/scenario.rs
+++ b/crates/simulation/src/scenario.rs
@@ -1,7 +1,7 @@
-//! Scenarios: small text files that describe a site, what happens there and what must come of it.
+//! Scenarios: text files that describe a site, the jobs and faults there, and the expected outcome.
 //!
-//! `grammar` reads the text into a [`Scenario`], `runner` plays it, and `evaluation` holds the
-//! expectations against the simulation. `scenarios/README.md` explains the words.
+//! `grammar` parses the text into a [`Scenario`], `runner` simulates it, and `evaluation` checks the
+//! expectations against the simulation. `scenarios/README.md` documents the language.
 
 mod error;
 mod evaluation;
@@ -14,8 +14,8 @@
 mod words;
 
 pub use error::{ScenarioError, SyntaxError};
-pub use evaluation::Unmet;
+pub use evaluation::UnmetExpectation;
 pub use expectation::{Count, Expectation};
 pub use files::{LoadError, ScenarioFile};
-pub use model::{ExpectedLine, Scenario, TimedFault};
+pub use model::{ExpectationLine, Scenario, TimedFault};
 pub use runner::SeedDigest;
--- a/crates/simulation/src/scenario/expectation.rs
+++ b/crates/simulation/src/scenario/expectation.rs
@@ -1,17 +1,19 @@
-//! What a scenario expects at its end. Times are in seconds since the beginning.
+//! Expectations that a scenario states about the end of its simulation. Points in time (`by_s`) are in seconds since
+//! the simulation started.
 
-/// An exact number, or a bound of it.
+/// An expected number, or a bound for it.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Count {
-    /// So many.
+    /// Exactly this number.
     Exactly(u64),
-    /// No fewer.
+    /// This number or more.
     AtLeast(u64),
-    /// No more.
+    /// This number or less.
     AtMost(u64),
 }
 
 impl Count {
+    /// Whether a number meets the expectation.
     pub(super) fn allows(self, count: u64) -> bool {
         match self {
             Count::Exactly(wanted) => count == wanted,
@@ -21,98 +23,100 @@
     }
 }
 
-/// An expectation.
+/// A condition that must hold when the simulation ends.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Expectation {
-    /// A user was told that a job is done, by a time if one is given.
+    /// A user was told that a job is done.
     Done {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The time.
+        /// Latest time of this answer; `None` accepts any time.
         by_s: Option<f64>,
     },
-    /// All tasks of a job that is done had completed by then; its user may learn of it with a later poll.
+    /// A job is done and the last of its tasks completed by a given time. The user may learn this from a later status
+    /// query.
     TasksComplete {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The time.
+        /// Latest allowed time.
         by_s: f64,
     },
-    /// A job's first task had started by then.
+    /// The first task of a job started by a given time.
     Started {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The time.
+        /// Latest allowed time.
         by_s: f64,
     },
-    /// At least half of each class, of each team and of each class's largest jobs is served.
+    /// At least half of the jobs of each class, of each team and of each class's largest tenth are done, or are
+    /// services that run with all replicas. Jobs that their users cancel don't count.
     HalfServed,
-    /// Every job that is not cancelled is served.
+    /// Every job that its user does not cancel is done, or is a service that runs with all replicas.
     AllServed,
-    /// Every job is over, except for services that nobody cancels.
+    /// Every job has a final status, except for services that nobody cancels.
     AllOver,
     /// A user was told that a job is cancelled.
     Cancelled {
-        /// The job.
+        /// Name of the job.
         job: String,
     },
-    /// No user was told that a job is over.
+    /// No user was told a final status of a job.
     NotOver {
-        /// The job.
+        /// Name of the job.
         job: String,
     },
-    /// So many of a job's tasks are on machines.
+    /// Exactly the given number of a job's tasks are on machines.
     Running {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// How many.
+        /// Exact number of tasks.
         tasks: u64,
     },
-    /// So many starts of tasks.
+    /// Number of task starts during the simulation.
     Starts(Count),
-    /// No two answers about a job are further apart.
+    /// The time between two consecutive answers about a job never exceeds a limit.
     Answered {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// How far.
+        /// Maximum time between two answers, in seconds.
         within_s: f64,
     },
     /// A submission was refused with an HTTP status.
     Refused {
-        /// The job.
+        /// Name of the job.
         job: String,
-        /// The status.
+        /// Expected HTTP status.
         status: u16,
     },
-    /// So many requests that the key-value store rejected as too large.
+    /// Number of requests that the key-value store rejected because they exceeded its limits.
     StoreRejections(Count),
-    /// No task started longer after its job was confirmed as cancelled.
+    /// No task started later than a given time after its job's cancellation was confirmed.
     LateStarts {
-        /// How long.
+        /// Maximum time between confirmation and start, in seconds.
         within_s: f64,
     },
-    /// So many jobs whose users were told that they are cancelled.
+    /// Number of jobs whose users were told that they are cancelled.
     Cancellations(Count),
-    /// So many elections.
+    /// The highest leader epoch, which counts the elections.
     Epoch(Count),
-    /// The largest jobs of each class started no longer after their submission.
+    /// The largest tenth of each class's jobs started within a given time after submission.
     LargestStarted {
-        /// How long.
+        /// Maximum time between submission and first start, in seconds.
         within_s: f64,
     },
-    /// So many controllers lead.
+    /// Number of controllers that lead.
     Leaders(Count),
-    /// So many direct calls to agents.
+    /// Number of direct calls that controllers made to agents.
     DirectCalls(Count),
-    /// How often a leader took a zone for cut off.
+    /// Number of times that a leader found a zone partitioned.
     IsolatedZones(Count),
-    /// So many keys with a prefix in the key-value store.
+    /// Number of keys with a given prefix in the key-value store.
     Stored {
-        /// The prefix.
+        /// Prefix of the keys.
         prefix: String,
-        /// How many keys.
+        /// Expected number of keys.
         keys: Count,
     },
-    /// So many machines are up.
+    /// Number of machines that run.
     Machines(Count),
 }
--- a/crates/simulation/src/scenario/files.rs
+++ b/crates/simulation/src/scenario/files.rs
@@ -1,44 +1,44 @@
-//! Scenarios on disk: files in folders.
+//! Finds and loads scenario files.
 
 use super::error::ScenarioError;
 use super::model::Scenario;
 use std::io;
 use std::path::{Path, PathBuf};
 
-/// What the names of scenarios end with.
+/// File name extension of scenarios.
 const EXTENSION: &str = "txt";
 
-/// A scenario that cannot be loaded.
+/// An error while scenario files are searched or loaded.
 #[derive(Debug, thiserror::Error)]
 pub enum LoadError {
-    /// A file or folder that cannot be read.
+    /// The file system failed to read a file or folder.
     #[error("cannot read {}: {source}", path.display())]
     Unreadable {
-        /// The file or folder.
+        /// Path of the file or folder.
         path: PathBuf,
-        /// Why.
+        /// The error of the file system.
         source: io::Error,
     },
-    /// A file that is no scenario.
+    /// The file is not a valid scenario.
     #[error(transparent)]
     Invalid(#[from] ScenarioError),
 }
 
-/// A file that holds a scenario.
+/// A scenario file.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ScenarioFile {
-    /// Name of the scenario, unique among all folders.
+    /// Name of the scenario: the file name without its extension, unique among all folders.
     pub name: String,
-    /// The file.
+    /// Path of the file.
     pub path: PathBuf,
 }
 
 impl ScenarioFile {
-    /// The files in a folder and the folders in it, by path.
+    /// Finds all scenario files in a folder and its subfolders, sorted by path.
     ///
     /// # Errors
     ///
-    /// If a folder cannot be read.
+    /// Fails if a folder cannot be read.
     pub fn all_in(folder: &Path) -> Result<Vec<ScenarioFile>, LoadError> {
         let unreadable = |source| LoadError::Unreadable { path: folder.into(), source };
         let mut files = Vec::new();
@@ -55,11 +55,12 @@
         Ok(files)
     }
 
-    /// Reads the scenario.
+    /// Reads and parses the file.
     ///
     /// # Errors
     ///
-    /// If the file cannot be read or is no scenario; the error names file, line and word.
+    /// Fails if the file cannot be read or is not a valid scenario; the error names the file, the line, the word found
+    /// and the words expected.
     pub fn load(&self) -> Result<Scenario, LoadError> {
         let unreadable = |source| LoadError::Unreadable { path: self.path.clone(), source };
         let text = std::fs::read_to_string(&self.path).map_err(unreadable)?;
