--- a/crates/core/src/api/replies.rs
+++ b/crates/core/src/api/replies.rs
@@ -1,10 +1,10 @@
-//! Replies of the key-value store to queries: one function for each kind of request.
+//! Handles replies of the key-value store: one method for each kind of request.
 
 use crate::api::answers::{self, UnavailableReason};
 use crate::api::job_query::{JobQuery, QueryPurpose};
 use crate::api::known_jobs::{FinalState, UnfinishedJob};
 use crate::api::requests::{self, ApiRequest, PartsRead};
-use crate::api::{Api, TaskProgress};
+use crate::api::{Api, TaskCountSource};
 use crate::controller::{BatchTime, Context};
 use crate::event::Event;
 use crate::io::{KvReply, KvRequest, RequestError};
@@ -16,43 +16,43 @@
 type KvResult = Result<KvReply, RequestError>;
 
 impl Api {
-    /// Takes in the reply to a request that was sent at `sent`.
+    /// Handles the reply to a request that was sent in the batch `sent`.
     pub fn handle_kv_reply(
         &mut self,
         ctx: &mut Context,
         request: ApiRequest,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match request {
             ApiRequest::Accept(batch) => {
-                self.acceptances.finish();
+                self.acceptances.finish_transaction();
                 self.handle_acceptance_reply(ctx, batch, sent, result);
             }
             ApiRequest::WriteSplitSubmission(split) => self.handle_split_submission_reply(ctx, split, sent, result),
-            ApiRequest::ReadSubmissionParts(read) => self.handle_parts(ctx, read, sent, result, progress),
+            ApiRequest::ReadSubmissionParts(read) => self.handle_parts_reply(ctx, read, sent, result, progress),
             ApiRequest::CompareRecords(batch) => {
-                self.comparisons.finish();
-                self.handle_comparison(ctx, batch, sent, result, progress);
+                self.comparisons.finish_transaction();
+                self.handle_comparison_reply(ctx, batch, sent, result, progress);
             }
-            ApiRequest::ReadRecord(query) => self.handle_record(ctx, query, sent, result, progress),
-            ApiRequest::ReadFinalRecord(query) => self.handle_final_record(ctx, query, result),
-            ApiRequest::Cancel(query) => self.handle_cancellation(ctx, query, result),
+            ApiRequest::ReadRecord(query) => self.handle_record_reply(ctx, query, sent, result, progress),
+            ApiRequest::ReadFinalRecord(query) => self.handle_final_record_reply(ctx, query, result),
+            ApiRequest::Cancel(query) => self.handle_cancellation_reply(ctx, query, result),
         }
     }
 
-    fn handle_comparison(
+    fn handle_comparison_reply(
         &mut self,
         ctx: &mut Context,
         batch: Vec<JobQuery>,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match result {
             Ok(KvReply::Committed(_)) => {
-                // All are confirmed before the first answer: one may depend on another.
+                // All jobs are confirmed before the first query is answered, since one job may depend on another.
                 for query in &batch {
                     self.known.confirm_unfinished(&query.job, sent);
                 }
@@ -72,8 +72,8 @@
         }
     }
 
-    /// Records have changed since they were known. These are read; the others, of which the store said
-    /// nothing, are compared again. If no changed one is among the queries, all are read.
+    /// Handles a conflict of a comparison: reads the changed records and compares the others, about which the conflict
+    /// says nothing, again. If none of the queries is for a changed record, all records are read.
     fn handle_changed_records(&mut self, ctx: &mut Context, batch: Vec<JobQuery>, failed: &[String]) {
         for key in failed {
             self.known.forget_unfinished(keys::job_id(key));
@@ -87,18 +87,18 @@
         self.comparisons.retry(to_compare);
     }
 
-    fn handle_record(
+    fn handle_record_reply(
         &mut self,
         ctx: &mut Context,
         query: JobQuery,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         match result {
             Ok(KvReply::Found(pair)) => self.handle_found_record(ctx, query, pair, sent, progress),
-            // Not among the unfinished at this time: either it finished before, and then its final
-            // record exists by now, or it was not accepted until now.
+            // Without a job record, the job either finished before the read, and its final record exists by now, or it
+            // had not been accepted.
             Ok(KvReply::Missing) => {
                 let key = keys::final_record(&query.job);
                 requests::send(ctx, KvRequest::Get { key }, ApiRequest::ReadFinalRecord(query));
@@ -113,7 +113,7 @@
         query: JobQuery,
         pair: KeyValue,
         sent: BatchTime,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         let Some(record) = StoredJob::read(pair.value) else {
             self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable);
@@ -127,25 +127,28 @@
             match record {
                 StoredJob::Whole(record) => {
                     let dependencies = record.submission.dependencies;
-                    let seen = UnfinishedJob { revision: pair.version, dependencies, confirmed_at: sent };
+                    let seen = UnfinishedJob { record_version: pair.version, dependencies, confirmed_at: sent };
                     self.known.record_unfinished(&query.job, seen);
                     self.reply_unfinished(ctx, query, sent, progress);
                 }
                 StoredJob::SplitSubmission(record) => {
-                    read_parts(ctx, Box::new(PartsRead { query, record, revision: pair.version, parts: Vec::new() }));
+                    read_parts(
+                        ctx,
+                        Box::new(PartsRead { query, record, record_version: pair.version, parts: Vec::new() }),
+                    );
                 }
             }
         }
     }
 
-    /// Parts of a submission were read: they tell what the job depends on.
-    fn handle_parts(
+    /// Handles a page of a submission's parts, which contain the job's dependencies.
+    fn handle_parts_reply(
         &mut self,
         ctx: &mut Context,
         mut read: Box<PartsRead>,
         sent: BatchTime,
         result: KvResult,
-        progress: &dyn TaskProgress,
+        progress: &dyn TaskCountSource,
     ) {
         let Ok(KvReply::Page(page)) = result else {
             self.reply_unavailable(ctx, &read.query, UnavailableReason::StoreUnavailable);
@@ -157,13 +160,14 @@
             return;
         }
         let Some(record) = read.record.join(&read.parts) else {
-            // The job ended meanwhile, and its parts were removed.
+            // The job ended after its record was read, and its parts were removed.
             self.reply_unavailable(ctx, &read.query, UnavailableReason::RecordChanged);
             return;
         };
-        // The job's own record was read before the parts: whoever depends on the job looks it up again.
+        // The job record was read before the parts, so the job is not confirmed for jobs that depend on it: they look
+        // it up again.
         let seen = UnfinishedJob {
-            revision: read.revision,
+            record_version: read.record_version,
             dependencies: record.submission.dependencies,
             confirmed_at: BatchTime::default(),
         };
@@ -171,23 +175,23 @@
         self.reply_unfinished(ctx, read.query, sent, progress);
     }
 
-    fn handle_final_record(&mut self, ctx: &mut Context, query: JobQuery, result: KvResult) {
+    fn handle_final_record_reply(&mut self, ctx: &mut Context, query: JobQuery, result: KvResult) {
         match result {
             Ok(KvReply::Found(pair)) => match serde_json::from_value::<FinalRecord>(pair.value) {
                 Ok(FinalRecord { cancelled: true, .. }) => self.reply_final(ctx, &query, FinalState::Cancelled),
                 Ok(FinalRecord { tasks, .. }) => self.reply_final(ctx, &query, FinalState::Done { tasks }),
                 Err(_) => self.reply_unavailable(ctx, &query, UnavailableReason::RecordUnreadable),
             },
-            Ok(KvReply::Missing) => self.handle_no_such_job(ctx, query),
+            Ok(KvReply::Missing) => self.handle_missing_job(ctx, query),
             _ => self.reply_unavailable(ctx, &query, UnavailableReason::StoreUnavailable),
         }
     }
 
-    /// Neither record of the job exists.
-    fn handle_no_such_job(&mut self, ctx: &mut Context, mut query: JobQuery) {
+    /// Handles a query for a job that has neither a job record nor a final record.
+    fn handle_missing_job(&mut self, ctx: &mut Context, mut query: JobQuery) {
         match query.purpose {
             QueryPurpose::Refusal(reason) => ctx.answer(query.request, answers::refused(reason)),
-            // A conflict said that the job exists. Reads miss it only if it was accepted between them.
+            // A conflict showed that the job exists. The two reads miss it only if it was accepted between them.
             QueryPurpose::Resubmission => {
                 if query.retry() {
                     self.read(ctx, query);
@@ -200,30 +204,31 @@
         }
     }
 
-    fn handle_cancellation(&mut self, ctx: &mut Context, mut query: JobQuery, result: KvResult) {
+    fn handle_cancellation_reply(&mut self, ctx: &mut Context, mut query: JobQuery, result: KvResult) {
         match result {
             Ok(KvReply::Committed(_)) => {
                 ctx.emit(Event::JobCancellationRecorded { job: query.job.as_str().into() });
                 self.reply_final(ctx, &query, FinalState::Cancelled);
             }
-            // The record has changed since it was read.
+            // The record has changed since it was read, so it is read again.
             Ok(KvReply::Conflict(_)) if query.retry() => self.read(ctx, query),
             _ => self.reply_unavailable(ctx, &query, UnavailableReason::StoreUnavailable),
         }
     }
 }
 
-/// Reads the next page of a submission's parts.
+/// Sends the read of the next page of a submission's parts.
 fn read_parts(ctx: &mut Context, read: Box<PartsRead>) {
     requests::send(ctx, read.next_page(), ApiRequest::ReadSubmissionParts(read));
 }
 
-/// Marks a job as cancelled, in its record and by a key of its own that all controllers watch.
-fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, revision: Revision) {
+/// Sends the transaction that marks a job as cancelled in its record and creates its cancellation key, which all
+/// controllers watch.
+fn send_cancellation(ctx: &mut Context, query: JobQuery, record: StoredJob, record_version: Revision) {
     let (job, cancellation) = (keys::job(&query.job), keys::cancellation(&query.job));
     let transaction = Transaction {
         preconditions: vec![
-            Precondition { key: job.clone(), version: revision },
+            Precondition { key: job.clone(), version: record_version },
             Precondition { key: cancellation.clone(), version: Revision::ABSENT },
         ],
         writes: vec![Write::set(job, record.into_cancelled()), Write::set(cancellation, json!(true))],
