--- a/crates/load-test/src/agents.rs
+++ b/crates/load-test/src/agents.rs
@@ -78,7 +78,7 @@
                 fleet.counters.borrow_mut().redirects += 1;
                 client = new_client(HEARTBEAT_TIMEOUT);
                 tokio::time::sleep(delay).await;
-                server.agent.borrow_mut().turn_to(controller, fleet.elapsed_ms());
+                server.agent.borrow_mut().switch_controller(controller, fleet.elapsed_ms());
             }
         }
     }
@@ -96,7 +96,7 @@
         agent.advance(now_ms, &JobFacts { jobs: &jobs, completed: &completed, failing: &BTreeSet::new() });
         fleet.counters.borrow_mut().leases_expired += agent.agent_epoch.0 - agent_epoch.0;
         agent.events.clear();
-        let heartbeat = agent.begin_heartbeat(now_ms, interval.as_millis() as u64)?;
+        let heartbeat = agent.heartbeat_if_due(now_ms, interval.as_millis() as u64)?;
         let id = agent.heartbeats.in_flight?;
         Some(DueHeartbeat { id, heartbeat: Heartbeat { endpoint: self.address.clone(), ..heartbeat } })
     }
@@ -104,7 +104,7 @@
     fn apply_answer(&self, heartbeat: HeartbeatId, reply: HeartbeatReply) {
         let mut agent = self.agent.borrow_mut();
         self.fleet.record_answered_heartbeat(&agent.machine.id);
-        agent.take_answer(self.fleet.elapsed_ms(), heartbeat, reply, &self.fleet.jobs.borrow());
+        agent.handle_heartbeat_reply(self.fleet.elapsed_ms(), heartbeat, reply, &self.fleet.jobs.borrow());
     }
 
     fn execute_commands(&self, body: &[u8]) -> Reply {
@@ -112,8 +112,11 @@
             return Reply { status: 400, body: Vec::new() };
         };
         self.fleet.counters.borrow_mut().direct_calls += 1;
-        let outcome =
-            self.agent.borrow_mut().take_commands(self.fleet.elapsed_ms(), commands, &self.fleet.jobs.borrow());
+        let outcome = self.agent.borrow_mut().execute_direct_commands(
+            self.fleet.elapsed_ms(),
+            commands,
+            &self.fleet.jobs.borrow(),
+        );
         let (status, heartbeat) = match outcome {
             DirectCommandsReply::Executed(heartbeat) => (200, heartbeat),
             DirectCommandsReply::Fenced(heartbeat) => (409, heartbeat),
