--- a/crates/core/src/leader/autoscaler/machine_list.rs
+++ b/crates/core/src/leader/autoscaler/machine_list.rs
@@ -55,7 +55,7 @@
     /// Adds a received page. Returns the whole list after the last page.
     fn take_page(
         &mut self,
-        now: u64,
+        now_ms: u64,
         page: ListPage,
         settings: &Settings,
         owned: &OwnedMachines,
@@ -65,12 +65,12 @@
         let more = page.truncated && !page.machines.is_empty();
         self.machines.extend(page.machines);
         if more {
-            self.next_page_at_ms = now + self.pause_between_pages_ms(settings, owned);
+            self.next_page_at_ms = now_ms + self.pause_between_pages_ms(settings, owned);
             return None;
         }
         let pages = f64::from(std::mem::take(&mut self.pages));
         let lag_ms = settings.machine_list_lag_s.max(1.0) * (LIST_INTERVAL_LAGS * 1000.0);
-        self.next_page_at_ms = now + lag_ms.max(pages * page_interval_ms(settings)) as u64;
+        self.next_page_at_ms = now_ms + lag_ms.max(pages * page_interval_ms(settings)) as u64;
         Some(std::mem::take(&mut self.machines))
     }
 
@@ -127,7 +127,7 @@
     /// Determines the owned machines when the service starts for the first time: the on-demand machines that are up.
     /// Because lists lag, an empty list counts only after a while.
     fn determine_owned_machines(&mut self, ctx: &mut Context, list: &[ListedMachine]) {
-        let since_election_ms = ctx.now.monotonic_ms.saturating_sub(self.elected_at) as f64;
+        let since_election_ms = ctx.now.monotonic_ms.saturating_sub(self.elected_at_ms) as f64;
         let list_is_current = since_election_ms > ctx.settings.machine_list_lag_s * (LIST_INTERVAL_LAGS * 1000.0);
         if self.autoscaler.owned.is_known() || (list.is_empty() && !list_is_current) {
             return;
--- a/crates/core/src/leader/autoscaler/mod.rs
+++ b/crates/core/src/leader/autoscaler/mod.rs
@@ -76,11 +76,11 @@
         self.request_catalog(ctx);
         self.request_machine_list_page(ctx);
         self.send_scale_outs(ctx);
-        let now = ctx.now.monotonic_ms;
-        if now < self.autoscaler.next_round_at_ms {
+        let now_ms = ctx.now.monotonic_ms;
+        if now_ms < self.autoscaler.next_round_at_ms {
             return;
         }
-        self.autoscaler.next_round_at_ms = now + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
+        self.autoscaler.next_round_at_ms = now_ms + (ctx.tuning.autoscaler_interval_s * 1000.0) as u64;
         self.scheduler.request_pass();
         if self.autoscaler.owned.is_known() {
             self.scale_out(ctx);
@@ -91,13 +91,13 @@
     /// Plans which machines to rent, and adds the requests of the plan.
     fn scale_out(&mut self, ctx: &Context) {
         let Some(catalog) = &ctx.catalog else { return };
-        let now = ctx.now.monotonic_ms;
+        let now_ms = ctx.now.monotonic_ms;
         let window_ms = longest_boot_s(catalog) * ctx.tuning.reserve_boot_times * 1000.0;
-        self.autoscaler.arrivals.drop_older(now, window_ms);
+        self.autoscaler.arrivals.drop_older(now_ms, window_ms);
         let plan = plan_scale_out(&self.scale_out_view(ctx, catalog));
         for id in plan.needed_machines {
             if let Some(machine) = self.fleet.machines.get_mut(&id) {
-                machine.lifecycle.needed_at_ms = now;
+                machine.lifecycle.needed_at_ms = now_ms;
             }
         }
         for planned in plan.requests {
--- a/crates/core/src/leader/autoscaler/scale_in.rs
+++ b/crates/core/src/leader/autoscaler/scale_in.rs
@@ -169,7 +169,7 @@
             settings: &ctx.settings,
             tuning: &ctx.tuning,
             now: ctx.now,
-            elected_at_ms: self.elected_at,
+            elected_at_ms: self.elected_at_ms,
             few_overdue: self.fleet.reachability.few_overdue(),
             zones_with_controllers: ctx.peer_lease_reports.values().map(|report| report.zone.as_str()).collect(),
         }
--- a/crates/core/src/leader/fleet/interruption.rs
+++ b/crates/core/src/leader/fleet/interruption.rs
@@ -6,13 +6,13 @@
 
 /// Marks the tasks that must stop before the machine is taken away, each with its time to save a checkpoint. Returns
 /// whether any was marked.
-pub(crate) fn stop_before_interruption(machine: &mut Machine, jobs: &BTreeMap<Id, Job>, now: u64) -> bool {
+pub(crate) fn stop_before_interruption(machine: &mut Machine, jobs: &BTreeMap<Id, Job>, now_ms: u64) -> bool {
     let Some(preemption_at_ms) = machine.lifecycle.preemption_at_ms else { return false };
-    let left_s = preemption_at_ms.saturating_sub(now) as f64 / 1000.0;
+    let left_s = preemption_at_ms.saturating_sub(now_ms) as f64 / 1000.0;
     let mut any = false;
     for placement in machine.placements.iter_mut().filter(|placement| placement.stop_grace_s.is_none()) {
         let Some(job) = jobs.get(&placement.job) else { continue };
-        if !finishes_within(placement, job, left_s, now) {
+        if !finishes_within(placement, job, left_s, now_ms) {
             placement.stop_grace_s = Some(checkpoint_time_s(job));
             any = true;
         }
@@ -21,8 +21,8 @@
 }
 
 /// Whether a task ends by itself in the time left, by its job's estimate.
-fn finishes_within(placement: &Placement, job: &Job, left_s: f64, now: u64) -> bool {
-    let elapsed_s = placement.running_since_ms.map_or(0.0, |since| now.saturating_sub(since) as f64 / 1000.0);
+fn finishes_within(placement: &Placement, job: &Job, left_s: f64, now_ms: u64) -> bool {
+    let elapsed_s = placement.running_since_ms.map_or(0.0, |since_ms| now_ms.saturating_sub(since_ms) as f64 / 1000.0);
     let remaining_s = job.spec.estimated_run_s - elapsed_s;
     !job.is_service() && remaining_s <= left_s
 }
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -36,14 +36,14 @@
 
     /// Delays further tasks of a job that fails often. The failures of a broken job count against no machine.
     fn back_off_job(&mut self, ctx: &Context, id: &Id, diagnosis: JobDiagnosis) {
-        let now = ctx.now.monotonic_ms;
+        let now_ms = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(id) else { return };
         match diagnosis {
             JobDiagnosis::Healthy | JobDiagnosis::Unknown => {}
-            JobDiagnosis::Suspect => job.scheduling.not_before_ms = now + ctx.settings.heartbeat_interval_ms() / 4,
+            JobDiagnosis::Suspect => job.scheduling.not_before_ms = now_ms + ctx.settings.heartbeat_interval_ms() / 4,
             JobDiagnosis::Broken => {
                 let pause = broken_job_pause_ms(job.failures.count, ctx.tuning.quarantine_s * 1000.0);
-                job.scheduling.not_before_ms = now + pause as u64;
+                job.scheduling.not_before_ms = now_ms + pause as u64;
                 for machine in self.fleet.machines.values_mut() {
                     machine.health.clear_job_failures(id);
                 }
@@ -65,27 +65,27 @@
 
     /// Puts a machine that fails its tasks in quarantine, for longer each time.
     pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
-        let now = ctx.now.monotonic_ms;
-        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.is_quarantined(now)) else { return };
-        let pause_ms = m.health.quarantine(now, ctx.tuning.quarantine_s * 1000.0);
+        let now_ms = ctx.now.monotonic_ms;
+        let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.is_quarantined(now_ms)) else { return };
+        let pause_ms = m.health.quarantine(now_ms, ctx.tuning.quarantine_s * 1000.0);
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause_ms / 1000.0 });
     }
 
     /// Checks with each heartbeat whether a machine is slow. A slow machine gets only services for half a machine
     /// lease. Its running tasks stay, because they have made progress and the machine may recover at any time.
     pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
-        let now = ctx.now.monotonic_ms;
+        let now_ms = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get(machine) else { return };
         if m.placements.len() < MIN_OVERRUNNING_TASKS {
             return;
         }
         ctx.work.count_overrun_check();
-        let running = m.placements.iter().filter_map(|placement| self.running_task(placement, now));
+        let running = m.placements.iter().filter_map(|placement| self.running_task(placement, now_ms));
         if !is_slow(running, ctx.settings.heartbeat_interval_s * 100.0) {
             return;
         }
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        if m.health.mark_slow(now, now + (ctx.settings.lease_s * 500.0) as u64) {
+        if m.health.mark_slow(now_ms, now_ms + (ctx.settings.lease_s * 500.0) as u64) {
             ctx.emit(Event::MachineSlow { machine: machine.clone() });
         }
     }
@@ -93,12 +93,12 @@
     /// Returns a placement as a task whose run time can be judged; `None` for tasks that are stopping and for
     /// services, which run until they are stopped. The usual run time comes from finished tasks of the job, else
     /// from its estimate with a wider margin.
-    fn running_task(&self, placement: &Placement, now: u64) -> Option<RunningTask> {
-        let since = placement.running_since_ms.filter(|_| placement.stop_grace_s.is_none())?;
+    fn running_task(&self, placement: &Placement, now_ms: u64) -> Option<RunningTask> {
+        let since_ms = placement.running_since_ms.filter(|_| placement.stop_grace_s.is_none())?;
         let job = self.jobs.get(&placement.job).filter(|job| !job.is_service())?;
         let mean = job.tasks.run_times.mean_ms(MIN_RUN_TIMES);
         Some(RunningTask {
-            elapsed_ms: now.saturating_sub(since) as f64,
+            elapsed_ms: now_ms.saturating_sub(since_ms) as f64,
             typical_run_ms: mean.unwrap_or_else(|| self.scheduler.estimated_run_s(job) * 1500.0),
         })
     }
--- a/crates/core/src/leader/mod.rs
+++ b/crates/core/src/leader/mod.rs
@@ -93,14 +93,14 @@
     pub(crate) active: bool,
     /// Reason for stepping down; `None` while the leadership lasts.
     pub(crate) step_down: Option<StepDownReason>,
-    pub(crate) elected_at: u64,
-    renew_at: u64,
+    pub(crate) elected_at_ms: u64,
+    renew_at_ms: u64,
     is_renewal_in_flight: bool,
     pub(crate) last_attempt: u64,
     last_placement_id: u64,
     /// Unfinished jobs by ID.
     pub(crate) jobs: BTreeMap<Id, Job>,
-    next_status_at: u64,
+    next_status_at_ms: u64,
     pub(crate) store: Store,
     pub(crate) scheduler: Scheduler,
     pub(crate) fleet: Fleet,
@@ -119,13 +119,13 @@
             lease_id,
             active: false,
             step_down: None,
-            elected_at: now,
-            renew_at: now,
+            elected_at_ms: now,
+            renew_at_ms: now,
             is_renewal_in_flight: false,
             last_attempt: 0,
             last_placement_id: 0,
             jobs: BTreeMap::new(),
-            next_status_at: now,
+            next_status_at_ms: now,
             store: Store::new(now, ctx.limits.write_rate() * ctx.tuning.write_share),
             scheduler: Scheduler::new(now),
             fleet: Fleet::new(now),
@@ -175,7 +175,7 @@
             Ok(KvReply::Missing) => self.step_down = Some(StepDownReason::LeaseExpired),
             Ok(_) => {}
             Err(_) => {
-                self.renew_at =
+                self.renew_at_ms =
                     ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / RENEWAL_RETRIES_PER_HEARTBEAT
             }
         }
@@ -191,12 +191,12 @@
     }
 
     fn renew_lease(&mut self, ctx: &mut Context) {
-        let now = ctx.now.monotonic_ms;
-        if self.renew_at > now || self.is_renewal_in_flight {
+        let now_ms = ctx.now.monotonic_ms;
+        if self.renew_at_ms > now_ms || self.is_renewal_in_flight {
             return;
         }
         let lease_ms = ctx.settings.heartbeat_interval_s * ctx.tuning.leader_lease_intervals * 1000.0;
-        self.renew_at = now + (lease_ms / RENEWALS_PER_LEASE) as u64;
+        self.renew_at_ms = now_ms + (lease_ms / RENEWALS_PER_LEASE) as u64;
         self.is_renewal_in_flight = true;
         let pending = self.pending_request(LeaderRequest::RenewLease);
         ctx.send_kv(KvRequest::RenewLease { lease: self.lease_id }, pending);
@@ -212,8 +212,8 @@
             self.expire_machine_leases(ctx);
             self.probe_overdue(ctx);
         }
-        if now >= self.next_status_at {
-            self.next_status_at = now + ctx.settings.heartbeat_interval_ms();
+        if now >= self.next_status_at_ms {
+            self.next_status_at_ms = now + ctx.settings.heartbeat_interval_ms();
             self.emit_status(ctx);
         }
         self.read_final_records(ctx);
--- a/crates/core/src/leader/scheduler/mod.rs
+++ b/crates/core/src/leader/scheduler/mod.rs
@@ -44,7 +44,7 @@
     preemption_sample_start: Option<Id>,
     pass_requested: bool,
     /// Earliest time of the next pass (monotonic clock, ms).
-    next_pass_at: u64,
+    next_pass_at_ms: u64,
 }
 
 impl Scheduler {
@@ -57,7 +57,7 @@
             ranks: RankInputs::new(),
             preemption_sample_start: None,
             pass_requested: true,
-            next_pass_at: now,
+            next_pass_at_ms: now,
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// Returns whether a pass is due now, and if so marks the request as served.
     pub(crate) fn begin_pass(&mut self, now: u64) -> bool {
-        let due = self.pass_requested && now >= self.next_pass_at;
+        let due = self.pass_requested && now >= self.next_pass_at_ms;
         if due {
             self.pass_requested = false;
         }
@@ -82,7 +82,7 @@
 
     /// Allows no further pass before `not_before` (monotonic clock, ms).
     pub(crate) fn delay_next_pass(&mut self, not_before: u64) {
-        self.next_pass_at = not_before;
+        self.next_pass_at_ms = not_before;
     }
 
     /// Resources and task counts that classes and teams have placed on machines.
--- a/crates/core/src/leader/store/collect.rs
+++ b/crates/core/src/leader/store/collect.rs
@@ -52,10 +52,10 @@
         changes: &mut TransactionChanges,
         rate: f64,
     ) {
-        let now = ctx.now.monotonic_ms;
+        let now_ms = ctx.now.monotonic_ms;
         if self.budget.has_half_after(0, rate) {
             let lease_ms = (ctx.settings.lease_s * 1000.0) as u64;
-            self.blocks.queue_optional_rewrite(now, lease_ms * BLOCK_REWRITE_INTERVAL_LEASES);
+            self.blocks.queue_optional_rewrite(now_ms, lease_ms * BLOCK_REWRITE_INTERVAL_LEASES);
         }
         let max_writes = changes.builder.limits().writes;
         let limits = BlockLimits {
@@ -68,7 +68,7 @@
             },
         };
         let mut members = BlockMembers { machines: sources.machines, images: sources.images };
-        changes.blocks = self.blocks.collect(now, &mut changes.builder, &mut members, limits);
+        changes.blocks = self.blocks.collect(now_ms, &mut changes.builder, &mut members, limits);
     }
 
     /// Adds ends of jobs while the transaction has fewer than `max_writes` writes.
--- a/crates/core/src/leader/store/write_budget.rs
+++ b/crates/core/src/leader/store/write_budget.rs
@@ -42,10 +42,10 @@
     }
 
     /// Adds the tokens for the time since the last refill, at `rate` writes per second.
-    pub(super) fn refill(&mut self, now: u64, rate: f64) {
-        let gained = now.saturating_sub(self.refilled_at_ms) as f64 / 1000.0 * rate;
+    pub(super) fn refill(&mut self, now_ms: u64, rate: f64) {
+        let gained = now_ms.saturating_sub(self.refilled_at_ms) as f64 / 1000.0 * rate;
         self.tokens = (self.tokens + gained).min(rate.max(1.0));
-        self.refilled_at_ms = now;
+        self.refilled_at_ms = now_ms;
     }
 
     /// Removes the tokens for the writes of a transaction.
--- a/crates/core/src/leader/unreachable_machines.rs
+++ b/crates/core/src/leader/unreachable_machines.rs
@@ -16,7 +16,7 @@
         let check = PartitionCheck {
             now_ms: ctx.now.monotonic_ms,
             interval_ms: ctx.settings.heartbeat_interval_ms(),
-            elected_at_ms: self.elected_at,
+            elected_at_ms: self.elected_at_ms,
         };
         match check.run(&self.fleet) {
             // Without peers no other controller could lead instead.
@@ -47,7 +47,7 @@
 
     /// Releases the placements on machines whose lease has certainly expired.
     pub(crate) fn expire_machine_leases(&mut self, ctx: &mut Context) {
-        let clock = LeaseTiming::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at);
+        let clock = LeaseTiming::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at_ms);
         self.fleet.update_zone_machine_counts(clock.now_ms, clock.lease_ms);
         let peers: Vec<&PeerLeaseReport> = ctx.peer_lease_reports.values().collect();
         for id in self.fleet.machines_with_expired_lease(clock, &peers) {
--- a/crates/simulation/src/scenario/grammar/fault.rs
+++ b/crates/simulation/src/scenario/grammar/fault.rs
@@ -49,17 +49,21 @@
         "cut" => {
             let controller = controller(words)?;
             words.expect_keyword("from")?;
-            let side = cut_side(words)?;
+            let scope = partition_scope(words)?;
             ControllerFault::Partition {
                 controller,
-                scope: side,
+                scope,
                 duration_ms: duration(words)?,
-                messages: cut_messages(words),
+                messages: partitioned_messages(words),
             }
         }
         "cut-zone" => {
             let zone = words.text("a zone")?;
-            ControllerFault::PartitionZone { zone, duration_ms: duration(words)?, messages: cut_messages(words) }
+            ControllerFault::PartitionZone {
+                zone,
+                duration_ms: duration(words)?,
+                messages: partitioned_messages(words),
+            }
         }
         "refuse-peer-connections" => ControllerFault::RefusePeerConnections { duration_ms: duration(words)? },
         "refuse-direct-calls" => ControllerFault::RefuseDirectCalls { duration_ms: duration(words)? },
@@ -110,7 +114,7 @@
         "copy-some-heartbeats" => LinkFault::DuplicateSomeHeartbeats {
             percent: words.number("a percentage")?,
             duration_ms: duration(words)?,
-            arrival: copy_arrival(words)?,
+            arrival: duplicate_arrival(words)?,
         },
         _ => return Ok(None),
     }))
@@ -204,7 +208,7 @@
     }
 }
 
-fn cut_side(words: &mut Words) -> Result<PartitionScope, SyntaxError> {
+fn partition_scope(words: &mut Words) -> Result<PartitionScope, SyntaxError> {
     const EXPECTED: &str = "`store`, `agents`, `store-and-peers` or `everything`";
     match words.next(EXPECTED)? {
         "store" => Ok(PartitionScope::Store),
@@ -216,7 +220,7 @@
 }
 
 /// Parses an optional `held`; without it, messages are lost.
-fn cut_messages(words: &mut Words) -> PartitionedMessages {
+fn partitioned_messages(words: &mut Words) -> PartitionedMessages {
     if words.take_if("held") { PartitionedMessages::Held } else { PartitionedMessages::Lost }
 }
 
@@ -231,7 +235,7 @@
 }
 
 /// Parses `arriving late` or `arriving at-next-leader`.
-fn copy_arrival(words: &mut Words) -> Result<DuplicateArrival, SyntaxError> {
+fn duplicate_arrival(words: &mut Words) -> Result<DuplicateArrival, SyntaxError> {
     words.expect_keyword("arriving")?;
     match words.next("`late` or `at-next-leader`")? {
         "late" => Ok(DuplicateArrival::Late),
