--- a/crates/core/src/leader/direct_calls.rs
+++ b/crates/core/src/leader/direct_calls.rs
@@ -1,5 +1,5 @@
-//! Direct calls to agents: commands that should not wait for the next heartbeat, and probes for whether an agent
-//! is alive and has seen the fencing token.
+//! Direct calls: requests that the leader sends to an agent instead of waiting for the agent's next heartbeat. A call
+//! carries commands, or only checks that the agent is alive and has seen the current fencing token.
 
 use crate::controller::Context;
 use crate::io::{DirectCommandsReply, RequestError, RequestId};
@@ -10,13 +10,13 @@
 use crate::model::{CallInFlight, CallPurpose, Id, Placement, PlacementState};
 use shaleshunt_wire::worker::{DirectCommands, Heartbeat};
 
-/// Backoff after failed calls: the first is the heartbeat interval divided by this number, and it doubles with
-/// each further failure up to a maximum number of doublings.
+/// After a failed call, the next call waits for a heartbeat interval divided by this number.
 const INITIAL_BACKOFFS_PER_HEARTBEAT: u64 = 3;
+/// The wait doubles with each further failure in a row, at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 impl Leader {
-    /// Returns the commands that a machine needs now, and marks the placements that they start as sent.
+    /// Returns the commands that a machine needs now, and records which start commands are thereby sent.
     pub(crate) fn take_commands(&mut self, machine: &Id, channel: CommandChannel) -> MachineCommands {
         let jobs = &self.jobs;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return MachineCommands::default() };
@@ -34,8 +34,8 @@
         planned
     }
 
-    /// Sends the direct calls that are due, and probes agents for the fencing token within the limit on concurrent
-    /// confirmations.
+    /// Makes the direct calls that are due, then asks further agents to confirm the fencing token, up to the limit on
+    /// confirmations in flight.
     pub(crate) fn send_due_commands(&mut self, ctx: &mut Context) {
         let now = ctx.now.monotonic_ms;
         for id in self.fleet.calls.take_due(now) {
@@ -48,17 +48,18 @@
                 CallDecision::AgentUnknown => {}
             }
         }
-        // A confirmation has no effect on the machine, so a lost reply does no harm. Each one costs processor time
-        // of the leader, though, and most machines send a heartbeat within an interval anyway.
+        // Confirmations change nothing on a machine, so a lost reply does no harm. Their number in flight is limited
+        // because each one costs processor time of the leader, and most machines send a heartbeat within an interval
+        // anyway.
         let max_confirmations = (ctx.settings.kv_rps / 4.0).max(1.0) as u32;
         while let Some(id) = self.fleet.next_to_confirm(max_confirmations) {
             self.call(ctx, &id, CallPurpose::ConfirmToken);
         }
     }
 
-    /// Calls the agent of a machine with the commands that it needs now. A call without commands only asks the
-    /// agent to confirm the fencing token or to show that it is alive; it is skipped if the reply could tell
-    /// nothing new.
+    /// Sends a direct call with the commands that the machine needs now. A call without commands only lets the agent
+    /// confirm the fencing token or show that it is alive. A call made to send commands is skipped if there are none,
+    /// the token is confirmed and no command is unacknowledged, because the reply could tell nothing new.
     pub(crate) fn call(&mut self, ctx: &mut Context, id: &Id, purpose: CallPurpose) {
         let MachineCommands { commands, starts } = self.take_commands(id, CommandChannel::DirectCall);
         let pending = self.pending_request(LeaderRequest::DirectCommands(id.clone()));
@@ -104,10 +105,10 @@
         }
     }
 
-    /// Processes the heartbeat with which an agent answered a direct call. Returns whether the agent has to be
-    /// called again, for placements committed in the meantime.
+    /// Processes the heartbeat with which an agent answered a direct call. Returns whether to call the agent again,
+    /// because start commands of committed placements are still unsent.
     fn direct_call_answered(&mut self, ctx: &mut Context, machine: &Id, heartbeat: Heartbeat) -> bool {
-        // Another machine may have received the address since the call was sent.
+        // A reply from another machine is ignored: the address may have been reassigned since the call was sent.
         if heartbeat.machine != **machine {
             return false;
         }
@@ -118,11 +119,11 @@
         self.fleet.machines.get(machine).is_some_and(|m| m.placements.iter().any(is_unsent))
     }
 
-    /// Handles a failed direct call, whose commands may or may not be executed.
+    /// Handles a failed direct call. Unless the call was never sent, the agent may or may not execute its commands.
     fn direct_call_failed(&mut self, ctx: &Context, machine: &Id, call: CallInFlight, error: RequestError) {
         let now = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
-        // A failure for lack of local resources tells nothing about the machine.
+        // A call that failed for lack of local resources tells nothing about the machine.
         if error != RequestError::LocalOverload {
             m.agent.record_unacknowledged_command();
         }
@@ -131,17 +132,18 @@
             now + ctx.settings.heartbeat_interval_ms() / INITIAL_BACKOFFS_PER_HEARTBEAT * u64::from(1u32 << doublings),
         );
         if matches!(error, RequestError::NotSent | RequestError::LocalOverload) {
-            // The commands never left this process, so other machines may take the tasks.
+            // The commands never left this process, so the tasks may be placed on other machines.
             for placement in m.placements.iter_mut().filter(|p| call.first_starts.contains(&p.placement_id)) {
                 placement.start_sent = false;
             }
-            // After a local overload the machine is not at fault, and the reply to its next heartbeat can carry
-            // the commands.
+            // After a local overload the placements stay: the machine is not at fault, and the reply to its next
+            // heartbeat can carry the commands.
             if error == RequestError::NotSent {
                 self.release_unsent(now, machine);
             }
         } else if call.has_commands {
-            // The agent may still execute the commands, even minutes later.
+            // The commands may still reach the agent, even minutes later. Once the agent has seen the raised token, it
+            // refuses them.
             m.agent.raise_token();
         }
     }
--- a/crates/core/src/leader/machine_failures.rs
+++ b/crates/core/src/leader/machine_failures.rs
@@ -1,4 +1,5 @@
-//! Failed tasks, and the backoff of jobs and the quarantine of machines because of them.
+//! Handling of failed and slow tasks: backs off jobs that fail, puts machines that fail tasks in quarantine, and marks
+//! machines whose tasks overrun as slow.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -20,7 +21,7 @@
         self.scheduler.request_pass();
     }
 
-    /// Counts a failure of the job and returns the diagnosis of the job.
+    /// Counts a failure of the job and returns the job's diagnosis; `None` if the leader has no such unfinished job.
     fn diagnose_failed_job(&mut self, ctx: &Context, machine: &Id, job: &Id, ran_ms: u64) -> Option<JobDiagnosis> {
         let job = self.jobs.get_mut(job)?;
         job.failures.count += 1;
@@ -34,7 +35,8 @@
         Some(diagnose_job(evidence, sibling_task_evidence(job, failed, &self.fleet.machines, ctx.now.monotonic_ms)))
     }
 
-    /// Delays further tasks of a job that fails often. The failures of a broken job count against no machine.
+    /// Delays further tasks of a suspect or broken job. Earlier failures of a broken job no longer count against any
+    /// machine.
     fn back_off_job(&mut self, ctx: &Context, id: &Id, diagnosis: JobDiagnosis) {
         let now_ms = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(id) else { return };
@@ -51,7 +53,8 @@
         }
     }
 
-    /// Counts a failure of a task on a machine, and puts the machine in quarantine if it is diagnosed as failing.
+    /// Records a task failure on a machine, which counts against the machine unless the job is broken. Puts the machine
+    /// in quarantine if it is diagnosed as failing.
     fn count_failure(&mut self, ctx: &mut Context, machine: &Id, job: &Id, diagnosis: JobDiagnosis) {
         let Some(m) = self.fleet.machines.get_mut(machine) else { return };
         m.health.record_task_failure(ctx.now.monotonic_ms);
@@ -63,7 +66,8 @@
         }
     }
 
-    /// Puts a machine that fails its tasks in quarantine, for longer each time.
+    /// Puts a machine in quarantine unless it is in quarantine already. The time doubles with each quarantine, up to a
+    /// maximum, until a task succeeds on the machine.
     pub(crate) fn quarantine(&mut self, ctx: &mut Context, machine: &Id) {
         let now_ms = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get_mut(machine).filter(|m| !m.health.is_quarantined(now_ms)) else { return };
@@ -71,8 +75,9 @@
         ctx.emit(Event::MachineQuarantined { machine: machine.clone(), seconds: pause_ms / 1000.0 });
     }
 
-    /// Checks with each heartbeat whether a machine is slow. A slow machine gets only services for half a machine
-    /// lease. Its running tasks stay, because they have made progress and the machine may recover at any time.
+    /// Marks a machine as slow for half a machine lease if several of its tasks overrun; called for each heartbeat. A
+    /// slow machine gets only tasks of services. Its running tasks stay, because they have made progress and the
+    /// machine may recover at any time.
     pub(crate) fn detect_slow_machine(&mut self, ctx: &mut Context, machine: &Id) {
         let now_ms = ctx.now.monotonic_ms;
         let Some(m) = self.fleet.machines.get(machine) else { return };
@@ -90,9 +95,9 @@
         }
     }
 
-    /// Returns a placement as a task whose run time can be judged; `None` for tasks that are stopping and for
-    /// services, which run until they are stopped. The usual run time comes from finished tasks of the job, else
-    /// from its estimate with a wider margin.
+    /// Returns the elapsed and the typical run time of a placement's task. The typical run time is the mean of the
+    /// job's finished tasks; with too few of them, 1.5 times the job's estimate, as a wider margin. `None` for tasks
+    /// that are not running or are stopping, and for services, which run until they are stopped.
     fn running_task(&self, placement: &Placement, now_ms: u64) -> Option<RunningTask> {
         let since_ms = placement.running_since_ms.filter(|_| placement.stop_grace_s.is_none())?;
         let job = self.jobs.get(&placement.job).filter(|job| !job.is_service())?;
--- a/crates/core/src/leader/task_exits.rs
+++ b/crates/core/src/leader/task_exits.rs
@@ -1,4 +1,4 @@
-//! Tasks that have ended, as reported by a heartbeat under the current fencing token.
+//! Handling of ended tasks, which agents report in heartbeats under the current fencing token.
 
 use crate::controller::Context;
 use crate::event::Event;
@@ -18,8 +18,8 @@
         };
         let Some(placement) = released else { return };
         if let Some(m) = self.fleet.machines.get_mut(machine) {
-            // The agent reports the task until it is told to forget it, which happens only after the commit of the
-            // outcome.
+            // The agent reports the ended task in its heartbeats until the leader commands it to forget the task, which
+            // happens only after the outcome is committed.
             let task = format!("{}/{}", placement.job, placement.task);
             let unexpected = UnexpectedTask { task, attempt: placement.attempt, exit: Some(cause) };
             m.agent.unexpected_tasks.push(unexpected);
@@ -32,7 +32,7 @@
                 let ran_ms = placement.running_since_ms.map_or(0, |since| ctx.now.monotonic_ms.saturating_sub(since));
                 self.task_failed(ctx, machine, &placement.job, ran_ms);
             }
-            // The machine is not at fault. The job waits for a heartbeat interval.
+            // These causes are not the machine's fault, so only the job waits, for a heartbeat interval.
             ExitCause::Done | ExitCause::UnknownTask | ExitCause::Unknown => {
                 self.emit_task_failed(ctx, machine, &placement, cause);
                 if let Some(job) = self.jobs.get_mut(&placement.job) {
@@ -49,8 +49,8 @@
         ctx.emit(Event::TaskFailed { task, machine: machine.clone(), cause });
     }
 
-    /// Marks a task as done. This shows that its job is healthy, so machines blamed for its earlier failures are put
-    /// in quarantine.
+    /// Marks a task as done. The success shows that the job is healthy, so other machines against which failures of the
+    /// job count are put in quarantine.
     fn task_done(&mut self, ctx: &mut Context, machine: &Id, placement: &Placement) {
         let now = ctx.now.monotonic_ms;
         let Some(job) = self.jobs.get_mut(&placement.job) else { return };
@@ -71,8 +71,8 @@
         }
     }
 
-    /// Records the run time of a task for its job and its class. A job without an estimate is skipped, because
-    /// there is nothing to compare the run time with.
+    /// Records the run time of a task for its job and the job's class. Run times of a job without an estimate are not
+    /// recorded, because there is nothing to compare them with.
     fn record_run_time(&mut self, id: &Id, ran_ms: u64) {
         let Some(job) = self.jobs.get_mut(id) else { return };
         let estimated_s = job.spec.estimated_run_s;
@@ -83,8 +83,8 @@
         self.scheduler.record_run_time(&job.spec.class, ran_ms as f64 / 1000.0, estimated_s);
     }
 
-    /// Pauses a machine that refused a task for lack of room, for example because a stopped task is still running
-    /// there.
+    /// Gives a machine that refused a task no tasks for a third of a heartbeat interval. A machine refuses a task for
+    /// lack of room, for example because a stopped task is still running there.
     fn start_refused(&mut self, ctx: &Context, machine: &Id) {
         let until = ctx.now.monotonic_ms + ctx.settings.heartbeat_interval_ms() / 3;
         if let Some(m) = self.fleet.machines.get_mut(machine) {
--- a/crates/core/src/leader/unreachable_machines.rs
+++ b/crates/core/src/leader/unreachable_machines.rs
@@ -1,5 +1,6 @@
-//! Machines and zones without heartbeats: probes overdue machines, excludes partitioned zones from placement, and
-//! releases placements after lease expiry. A partitioned leader with peers steps down.
+//! Handling of machines and zones without heartbeats: probes machines with overdue heartbeats, excludes partitioned
+//! zones from placement, and releases placements after lease expiry. A leader that is itself partitioned from the
+//! machines steps down if it has peers.
 
 use crate::controller::{Context, PeerLeaseReport};
 use crate::event::Event;
@@ -11,7 +12,8 @@
 use std::collections::BTreeSet;
 
 impl Leader {
-    /// Detects partitioned zones, which get no new tasks.
+    /// Updates the set of partitioned zones, which get no new tasks. If the leader itself is partitioned and has peers,
+    /// it steps down instead.
     pub(crate) fn detect_zone_partitions(&mut self, ctx: &mut Context) {
         let check = PartitionCheck {
             now_ms: ctx.now.monotonic_ms,
@@ -19,7 +21,7 @@
             elected_at_ms: self.elected_at_ms,
         };
         match check.run(&self.fleet) {
-            // Without peers no other controller could lead instead.
+            // A leader without peers stays, because no other controller could take over.
             PartitionFinding::LeaderPartitioned if !ctx.peer_lease_reports.is_empty() => {
                 self.step_down = Some(StepDownReason::NoHeartbeats);
             }
@@ -37,7 +39,8 @@
         self.scheduler.request_pass();
     }
 
-    /// Probes the machines whose heartbeats are overdue.
+    /// Calls the agents of machines with overdue heartbeats to learn whether they are alive. If many are overdue at
+    /// once, the network or this controller is at fault, and none is called.
     pub(crate) fn probe_overdue(&mut self, ctx: &mut Context) {
         let interval = ctx.settings.heartbeat_interval_ms();
         for id in self.fleet.machines_to_probe(ctx.now.monotonic_ms, interval) {
@@ -45,7 +48,7 @@
         }
     }
 
-    /// Releases the placements on machines whose lease has certainly expired.
+    /// Releases the placements on machines whose lease has certainly expired, so that the tasks can be placed again.
     pub(crate) fn expire_machine_leases(&mut self, ctx: &mut Context) {
         let clock = LeaseTiming::new(ctx.now.monotonic_ms, &ctx.settings, self.elected_at_ms);
         self.fleet.update_zone_machine_counts(clock.now_ms, clock.lease_ms);
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -3,9 +3,10 @@
 //! The core does no I/O and reads no clock. The surrounding process passes the time with every batch of commands and
 //! executes the effects in order.
 //!
-//! - [`controller`]: the state of one process, [`Controller`]. Composes leader election, users' requests and the leader.
+//! - [`controller`]: the state of one process, [`Controller`]. Composes leader election, users' requests and the
+//!   leader.
 //! - `api`: users' submissions, status queries and cancellations, on every controller.
-//! - `leader`: the tasks of the elected leader. Composes `store` (writes to the key-value store), `scheduler` (queue,
+//! - `leader`: the work of the elected leader. Composes `store` (writes to the key-value store), `scheduler` (queue,
 //!   placement, preemption, offloading), `fleet` (machines, heartbeats, commands, health), `autoscaler` (scale out and
 //!   scale in) and recovery at a failover.
 //! - [`model`]: jobs, machines and placements. [`records`]: their stored records and keys.
--- a/crates/core/src/step_down.rs
+++ b/crates/core/src/step_down.rs
@@ -1,4 +1,4 @@
-//! Reasons for which a leader steps down: gives up leadership and the leader lease.
+//! Reasons for which a leader steps down. A leader that steps down gives up leadership and the leader lease.
 
 use shaleshunt_wire::Revision;
 use std::fmt;
--- a/crates/core/src/store_limits.rs
+++ b/crates/core/src/store_limits.rs
@@ -4,7 +4,7 @@
 //! store switches between them does not matter. The rate in force is the present one until throttling shows that the
 //! store has reduced it. A quota that shrinks without an announcement shows as rejected requests and as throttling too.
 //!
-//! Invariants: sizes never grow, and the rate stays between a floor and a ceiling, the highest rate known to be granted.
+//! Invariants: sizes never grow, and the rate stays between a lower bound and the highest rate known to be granted.
 
 use crate::settings::{Settings, StoreQuota};
 
--- a/crates/core/src/work_counters.rs
+++ b/crates/core/src/work_counters.rs
@@ -1,4 +1,4 @@
-//! Counters of the work that a controller does. Tests bound the work by them without measuring time.
+//! Counters of the work that a controller does, with which tests check bounds on the work without measuring time.
 
 use std::cell::Cell;
 
--- a/crates/load-test/src/http_server.rs
+++ b/crates/load-test/src/http_server.rs
@@ -106,7 +106,8 @@
     Ok(response)
 }
 
-/// Decodes each `%XX` as one ASCII character; an invalid code becomes `?`.
+/// Replaces each `%XX` with the character U+00XX, so codes above 0x7F become Latin-1 characters instead of bytes of a
+/// UTF-8 sequence. An invalid code becomes `?`.
 fn percent_decode(text: &str) -> String {
     let mut parts = text.split('%');
     let mut decoded = parts.next().unwrap_or_default().to_string();
