--- a/crates/core/src/leader/store/pages/tests.rs
+++ b/crates/core/src/leader/store/pages/tests.rs
@@ -53,7 +53,7 @@
         Write::Set { key, value, .. } => {
             Some(KeyValue { key: key.clone(), value: value.clone(), version: Revision(version), lease: None })
         }
-        Write::Delete { .. } => None,
+        Write::Drop { .. } => None,
     };
     transaction.writes.iter().filter_map(value_of).collect()
 }
--- a/crates/core/src/leader/store/transaction.rs
+++ b/crates/core/src/leader/store/transaction.rs
@@ -170,7 +170,7 @@
             _ => None,
         });
         let dropped = self.transaction.writes.iter().find_map(|write| match write {
-            Write::Delete { key } => Some(key),
+            Write::Drop { key } => Some(key),
             Write::Set { .. } => None,
         });
         let key = set.or(dropped)?;
--- a/crates/core/src/leader/store/unreferenced/tests.rs
+++ b/crates/core/src/leader/store/unreferenced/tests.rs
@@ -15,7 +15,7 @@
 fn dropped(builder: &TransactionBuilder) -> Vec<&str> {
     fn key(write: &Write) -> Option<&str> {
         match write {
-            Write::Delete { key } => Some(key.as_str()),
+            Write::Drop { key } => Some(key.as_str()),
             Write::Set { .. } => None,
         }
     }
--- a/crates/core/src/leader/store/write_counts.rs
+++ b/crates/core/src/leader/store/write_counts.rs
@@ -20,7 +20,7 @@
         for write in &transaction.writes {
             let key = match write {
                 Write::Set { key, .. } => key,
-                Write::Delete { key } => key,
+                Write::Drop { key } => key,
             };
             *self.count_for_prefix(key.get(..2)) += 1;
         }
--- a/crates/simulation/src/store/transaction.rs
+++ b/crates/simulation/src/store/transaction.rs
@@ -27,7 +27,7 @@
         for write in transaction.writes {
             match write {
                 Write::Set { key, value, lease } => self.set(key, value, lease),
-                Write::Delete { key } => self.delete(key),
+                Write::Drop { key } => self.delete(key),
             }
         }
         Ok(KvReply::Committed(self.revision))
@@ -72,6 +72,6 @@
 fn key_of(write: &Write) -> &String {
     match write {
         Write::Set { key, .. } => key,
-        Write::Delete { key } => key,
+        Write::Drop { key } => key,
     }
 }
--- a/crates/wire/src/kv.rs
+++ b/crates/wire/src/kv.rs
@@ -62,7 +62,7 @@
         lease: Option<u64>,
     },
     /// Deletes a key.
-    Delete {
+    Drop {
         /// Name of the key.
         #[serde(rename = "drop")]
         key: String,
@@ -76,7 +76,7 @@
     }
     /// Write that deletes a key.
     pub fn delete(key: impl Into<String>) -> Write {
-        Write::Delete { key: key.into() }
+        Write::Drop { key: key.into() }
     }
 }
 
