--- a/crates/core/src/api/tests.rs
+++ b/crates/core/src/api/tests.rs
@@ -3,37 +3,23 @@
 use super::*;
 use crate::api::acceptance::PendingSubmission;
 use crate::io::{Answer, Effect, KvReply, KvRequest, RequestError, Timestamp};
+use crate::model::samples;
 use crate::settings::{StoreQuota, TeamQuota, Tuning};
 use serde_json::{Value, json};
 use shaleshunt_wire::cloud::{Catalog, MachineType};
 use shaleshunt_wire::kv::KeyValue;
-use shaleshunt_wire::user::{JobKind, JobStatus, Priority, Submission};
+use shaleshunt_wire::user::{JobStatus, Submission};
 use std::collections::BTreeMap;
 
 /// The submission of an array of three small tasks.
 pub(super) fn submission(job: &str) -> Submission {
     Submission {
-        id: job.into(),
         class: "batch".into(),
         team: "research".into(),
-        kind: JobKind::Array,
-        priority: Priority::Normal,
         tasks: 3,
         cores: 2.0,
-        accelerators: 0.0,
         memory_gb: 4.0,
-        image: "image".into(),
-        image_gb: 1.0,
-        machine_types: None,
-        zone: None,
-        single_zone: false,
-        spread_zones: false,
-        spot: false,
-        estimated_run_s: 60.0,
-        checkpoint_interval_s: 0.0,
-        checkpoint_duration_s: 0.0,
-        deadline_s: None,
-        dependencies: Vec::new(),
+        ..samples::submission(job)
     }
 }
 
