--- a/crates/net/src/forwarding/tests.rs
+++ b/crates/net/src/relay/tests.rs
@@ -9,11 +9,11 @@
 }
 
 #[test]
-fn a_peer_is_told_what_it_would_have_understood_itself() {
+fn the_response_for_a_peer_decodes_as_the_original_result() {
     let get = KvRequest::Get { key: "k".into() };
     let watch = KvRequest::Watch { prefix: "k".into(), after: shaleshunt_wire::Revision::ABSENT, max_wait_ms: 0 };
-    let large = || Ok(HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY + 1) });
-    let fits = HttpResponse { status: 200, body: body(MAX_FORWARDED_BODY) };
+    let large = || Ok(HttpResponse { status: 200, body: body(MAX_RELAYED_BODY_BYTES + 1) });
+    let fits = HttpResponse { status: 200, body: body(MAX_RELAYED_BODY_BYTES) };
     assert_eq!(response_for_peer(&get, Ok(fits.clone())), fits);
     assert_eq!(status_for_peer(&get, large()), NO_RESPONSE);
     assert_eq!(status_for_peer(&watch, large()), GONE);
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn a_request_that_is_given_up_leaves_nothing_behind() {
-    let mut requests = ForwardedRequests::new();
+fn a_dropped_request_removes_its_responder() {
+    let mut requests = RelayedRequests::new();
     let request = requests.next();
     let (responder, _response) = oneshot::channel();
     requests.responders.borrow_mut().insert(request.id, responder);
--- a/crates/net/src/services/worker.rs
+++ b/crates/net/src/services/agent.rs
@@ -1,4 +1,4 @@
-//! Direct commands to workers.
+//! The client of the agents on machines.
 
 use crate::client::Client;
 use crate::protocol;
@@ -8,30 +8,30 @@
 use shaleshunt_wire::worker::DirectCommands;
 use std::time::Duration;
 
-/// A client of all workers.
+/// Sends direct commands to agents.
 #[derive(Clone)]
-pub(crate) struct WorkerClient {
+pub(crate) struct AgentClient {
     http: Client,
     timeout: Duration,
 }
 
-impl WorkerClient {
-    pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> WorkerClient {
-        // A machine that does not even accept a connection is given up sooner.
+impl AgentClient {
+    pub(crate) fn new(sockets: &SocketBudget, timeout: Duration) -> AgentClient {
+        // Half the timeout, so that a machine that accepts no connection fails sooner than one that is slow to respond.
         let connect_timeout = timeout / 2;
-        WorkerClient { http: Client::new(sockets, sockets.worker_calls(), connect_timeout), timeout }
+        AgentClient { http: Client::new(sockets, sockets.agent_calls(), connect_timeout), timeout }
     }
 
-    /// Sends commands to the worker at an address and reads the response.
+    /// Sends commands to the agent at `address` and decodes the response.
     pub(crate) async fn execute(
         &self,
         address: &str,
         commands: &DirectCommands,
     ) -> Result<DirectCommandsReply, RequestError> {
-        let priority = protocol::worker::priority(commands);
-        let encoded = protocol::worker::encode(commands);
+        let priority = protocol::agent::priority(commands);
+        let encoded = protocol::agent::encode(commands);
         let response = self.http.send(encoded.call(address, self.timeout, priority)).await?;
-        protocol::worker::decode(&response)
+        protocol::agent::decode(&response)
     }
 
     pub(crate) fn http(&self) -> &Client {
