--- a/crates/simulation/src/scenario/model.rs
+++ b/crates/simulation/src/scenario/model.rs
@@ -1,7 +1,7 @@
 //! The data model of a parsed scenario.
 
 use super::expectation::Expectation;
-use crate::simulation::{Fault, PlannedJob, Version};
+use crate::simulation::{Fault, PlannedJob, ProgramVersion};
 use shaleshunt_core::settings::{ServiceObjective, StoreQuota, TeamQuota};
 use shaleshunt_wire::cloud::MachineType;
 use std::collections::BTreeMap;
@@ -20,7 +20,7 @@
     pub(super) objectives: BTreeMap<String, ServiceObjective>,
     pub(super) store: StoreSettings,
     /// The version that all controllers run at first.
-    pub(super) version: Version,
+    pub(super) version: ProgramVersion,
 }
 
 /// The limits of the key-value store.
@@ -127,7 +127,7 @@
                 requests_per_s: 0.0,
                 announced_limits: None,
             },
-            version: Version::Current,
+            version: ProgramVersion::Current,
         }
     }
 }
--- a/crates/simulation/src/scenario/production_store.rs
+++ b/crates/simulation/src/scenario/production_store.rs
@@ -37,8 +37,8 @@
     let is_cancelled = record["x"] == true;
     Some(PlannedJob {
         spec,
-        submit_at: FIRST_REQUEST_MS,
-        cancel_at: is_cancelled.then_some(FIRST_REQUEST_MS),
+        submit_at_ms: FIRST_REQUEST_MS,
+        cancel_at_ms: is_cancelled.then_some(FIRST_REQUEST_MS),
         submit_when: SubmitWhen::DependenciesAccepted,
     })
 }
--- a/crates/simulation/src/simulation/requests.rs
+++ b/crates/simulation/src/simulation/requests.rs
@@ -1,32 +1,32 @@
-//! Requests under way: of controllers to the services around them, and of users and agents to controllers.
+//! Requests in flight: from controllers to services and agents, and from users and agents to controllers.
 
 use crate::agent::HeartbeatId;
 use crate::process::ProcessId;
 use crate::store::RequestKey;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Numbers of requests to controllers begin here, apart from those that controllers give.
+/// First id of requests to controllers, above all request ids that controllers assign themselves.
 const FIRST_REQUEST_ID: u64 = 1 << 62;
 
-/// Who awaits a controller's answer.
+/// The party that awaits a controller's answer.
 pub(super) enum Requester {
-    /// A user who follows a job.
-    User { job: String, asked_at: u64 },
-    /// A user who looks at a job at every controller.
-    Probe { job: String, asked_at: u64 },
-    /// An agent that has reported; nobody, if the heartbeat was a copy.
+    /// A user who submits, queries or cancels a job.
+    User { job: String, asked_at_ms: u64 },
+    /// A user who probes a job at all controllers.
+    Probe { job: String, asked_at_ms: u64 },
+    /// An agent that has sent a heartbeat; `heartbeat` is `None` if the heartbeat was a duplicate, which nobody awaits.
     Agent { agent: String, heartbeat: Option<HeartbeatId> },
 }
 
-/// Requests under way.
+/// Requests in flight.
 #[derive(Default)]
 pub(super) struct Requests {
-    /// Of controllers, not yet answered.
+    /// Requests of controllers that have had neither a reply nor a timeout.
     open: BTreeSet<RequestKey>,
-    /// Watches that went to the key-value store through a peer.
+    /// Watches that a peer relays to the key-value store.
     relayed: BTreeSet<RequestKey>,
-    /// To controllers.
-    awaited: BTreeMap<u64, Requester>,
+    /// Requesters of the requests to controllers, by request id.
+    requesters: BTreeMap<u64, Requester>,
     last_id: u64,
 }
 
@@ -35,30 +35,31 @@
         self.open.insert(RequestKey { process, id });
     }
 
-    /// Whether a controller's request was still open; it is not from now on.
+    /// Closes a controller's request; returns whether the request was open.
     pub(super) fn close(&mut self, process: ProcessId, id: u64) -> bool {
         self.open.remove(&RequestKey { process, id })
     }
 
-    pub(super) fn relay(&mut self, request: RequestKey) {
+    pub(super) fn mark_relayed(&mut self, request: RequestKey) {
         self.relayed.insert(request);
     }
 
-    pub(super) fn end_relay(&mut self, request: RequestKey) -> bool {
+    /// Forgets that a watch is relayed; returns whether it was.
+    pub(super) fn take_relayed(&mut self, request: RequestKey) -> bool {
         self.relayed.remove(&request)
     }
 
-    /// A number for a request to a controller.
+    /// Assigns the id of a request to a controller.
     pub(super) fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         FIRST_REQUEST_ID + self.last_id
     }
 
-    pub(super) fn await_answer(&mut self, id: u64, requester: Requester) {
-        self.awaited.insert(id, requester);
+    pub(super) fn register(&mut self, id: u64, requester: Requester) {
+        self.requesters.insert(id, requester);
     }
 
     pub(super) fn take_requester(&mut self, id: u64) -> Option<Requester> {
-        self.awaited.remove(&id)
+        self.requesters.remove(&id)
     }
 }
